--- a/marblefold/__main__.py
+++ b/marblefold/__main__.py
@@ -5,9 +5,11 @@
 from marblefold.lean_imports import leave_out
 
 # The tools are clients: they need what the daemons can do without.
-if not {"plan", "windows", "partners", "owners", "trace", "rehearse", "history"} & set(sys.argv[1:]):
+if not {"plan", "windows", "partners", "owners", "trace", "rehearse", "history"} & set(
+    sys.argv[1:]
+):
     leave_out()
 
-from marblefold.command_line import main  # noqa: E402
+from marblefold.command_line import main
 
 sys.exit(main(sys.argv))
--- a/marblefold/circuit_breaker/breaker.py
+++ b/marblefold/circuit_breaker/breaker.py
@@ -15,7 +15,7 @@
 
 
 class BreakerConfig(NamedTuple):
-    """Starting values; the operator's spec carries none of them."""
+    """Starting values; the operator's configuration carries none of them."""
 
     deviations: float = 5.0
     trusted_hits: int = 100
--- a/marblefold/circuit_breaker/crowd_control.py
+++ b/marblefold/circuit_breaker/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Turns away requests of one sort when they crowd out all others.
+"""Turns away requests of one sort when they concurrency_limiter out all others.
 
 The source calls them tribbles: requests like any other, but too many of them
 too fast.  Spikes are allowed while there is room for what the other sorts
@@ -10,12 +10,12 @@
 from marblefold.circuit_breaker.breaker import Passage
 from marblefold.circuit_breaker.work_tracker import Ticket, WorkTracker
 
-__all__ = ["CrowdConfig", "CrowdControl"]
+__all__ = ["ConcurrencyLimits", "ConcurrencyLimiter"]
 
 _LEARN = 0.01
 
 
-class CrowdConfig(NamedTuple):
+class ConcurrencyLimits(NamedTuple):
     """What part of the resources may be used up, and how much stays free."""
 
     resources: int
@@ -27,7 +27,7 @@
 
 
 class _Sort:
-    """Requests that are alike: those of one mapping."""
+    """Requests that are alike: those of one route."""
 
     __slots__ = ("tracker", "normal")
 
@@ -36,10 +36,10 @@
         self.normal = 0.0
 
 
-class CrowdControl:
+class ConcurrencyLimiter:
     """Counts the requests in this process by their sort."""
 
-    def __init__(self, config: CrowdConfig) -> None:
+    def __init__(self, config: ConcurrencyLimits) -> None:
         self._config = config
         self._sorts: dict[str, _Sort] = {}
         self._total = 0
@@ -52,8 +52,7 @@
     def allowed(self, sort: str, rank: int) -> float:
         """How many of the sort may be here at once."""
         config = self._config
-        others = sum(
-            known.normal for name, known in self._sorts.items() if name != sort)
+        others = sum(known.normal for name, known in self._sorts.items() if name != sort)
         ranks = min(max(0, rank), config.most_ranks)
         headroom = config.headroom + config.headroom_per_rank * ranks
         return max(1.0, config.resources * (1.0 - headroom) - others)
--- a/marblefold/circuit_breaker/work_tracker.py
+++ b/marblefold/circuit_breaker/work_tracker.py
@@ -1,6 +1,7 @@
-"""Tracks the calls in flight: take a ticket, return it, stream them by age."""
+"""Tracks the calls in flight: take a ticket, return it, connection them by age."""
 
-from typing import Iterator, NamedTuple
+from collections.abc import Iterator
+from typing import NamedTuple
 
 __all__ = ["Ticket", "WorkTracker"]
 
--- a/marblefold/command_line.py
+++ b/marblefold/command_line.py
@@ -7,9 +7,10 @@
 from absl import flags
 
 import marblefold
+
 # Its flags are those of several programs.
-import marblefold.program_flags  # noqa: F401
-from marblefold.breakdowns import Breakdown
+import marblefold.program_flags
+from marblefold.errors import MeshError
 
 __all__ = ["main"]
 
@@ -18,7 +19,7 @@
     "gateway": ("marblefold.gateway.program", "GatewayProgram"),
     "proxy": ("marblefold.proxy.program", "ProxyProgram"),
     "registry": ("marblefold.registry.program", "RegistryProgram"),
-    "store": ("marblefold.spec_store.program", "StoreProgram"),
+    "store": ("marblefold.register_store.program", "StoreProgram"),
 }
 
 FLAGS = flags.FLAGS
@@ -105,8 +106,8 @@
         module, program = _PROGRAMS[name]
         kind = getattr(importlib.import_module(module), program)
         asyncio.run(_serve(kind, ConfigWatch(config)))
-    except Breakdown as breakdown:
-        log.error("cannot run", step=breakdown.step, reason=breakdown.reason)
+    except MeshError as error:
+        log.error("cannot run", step=error.step, reason=error.reason)
         return 1
     except OSError as error:
         log.error("cannot run", step="listen", reason=str(error))
--- /dev/null
+++ b/marblefold/configuration/laying_out.py
@@ -0,0 +1,52 @@
+"""Lays out a checked configuration in rows for the proxies."""
+
+import zlib
+from datetime import timedelta
+
+from marblefold.configuration.model import Configuration
+from marblefold.inner_protocol.messages import kinds
+
+__all__ = ["lay_out"]
+
+_MILLISECOND = timedelta(milliseconds=1)
+
+
+def lay_out(configuration: Configuration) -> bytes:
+    """The rows of the configuration as bytes."""
+    limits = configuration.limits
+    # Hundreds of routes are much alike, and links may be narrow.
+    return zlib.compress(
+        kinds.ConfigurationRows(
+            number=configuration.config_version,
+            routes=[
+                kinds.RouteRow(
+                    name=route.name,
+                    host=route.host_name.lower(),
+                    prefix=route.path_prefix,
+                    kind=route.route_type,
+                    timeout_ms=route.timeout_ms / _MILLISECOND,
+                    target_latency_ms=route.target_latency_ms / _MILLISECOND,
+                    max_attempts=route.max_attempts,
+                    priority=route.priority,
+                    split_upstreams=[split.upstream for split in route.splits],
+                    split_weights=[split.weight for split in route.splits],
+                    allowed_regions=route.allowed_regions or (),
+                )
+                for route in configuration.route_list
+            ],
+            upstreams=[
+                kinds.UpstreamRow(
+                    name=upstream.name,
+                    health_check_path=upstream.health_check_path,
+                    max_connections=upstream.max_connections,
+                    coldstart_per_s=upstream.coldstart_per_s,
+                )
+                for upstream in configuration.service_list
+            ],
+            header_bytes=limits.max_header_bytes,
+            body_bytes=limits.max_body_bytes,
+            header_time_ms=int(limits.header_timeout_ms / _MILLISECOND),
+            idle_time_ms=int(limits.idle_timeout_ms / _MILLISECOND),
+        ).SerializeToString(),
+        1,
+    )
--- a/marblefold/operator_spec/model.py
+++ b/marblefold/configuration/model.py
@@ -1,41 +1,41 @@
-"""The operator's spec as plain values."""
+"""The operator's configuration as plain values."""
 
 from datetime import timedelta
 
 import attrs
 
-__all__ = ["Limits", "Mapping", "Spec", "Split", "Upstream"]
+__all__ = ["Limits", "Route", "Configuration", "Split", "Upstream"]
 
 
 @attrs.frozen(slots=True)
 class Split:
-    """One part of a mapping that is split over upstreams."""
+    """One part of a route that is split over upstreams."""
 
     upstream: str
     weight: float
 
 
 @attrs.frozen(slots=True)
-class Mapping:
+class Route:
     """Where requests of one host below one prefix go, and how."""
 
     name: str
     host_name: str
     path_prefix: str
-    mapping_kind: str
-    time_limit_ms: timedelta
+    route_type: str
+    timeout_ms: timedelta
     target_latency_ms: timedelta
-    attempt_limit: int
+    max_attempts: int
     priority: int = 0
     upstream: str | None = None
-    upstream_split: tuple[Split, ...] | None = None
-    home_regions: tuple[str, ...] | None = None
+    weighted_targets: tuple[Split, ...] | None = None
+    allowed_regions: tuple[str, ...] | None = None
 
     @property
     def splits(self) -> tuple[Split, ...]:
-        """The upstreams of this mapping with their weights."""
-        if self.upstream_split:
-            return self.upstream_split
+        """The upstreams of this route with their weights."""
+        if self.weighted_targets:
+            return self.weighted_targets
         return (Split(self.upstream or "", 1.0),)
 
 
@@ -45,14 +45,14 @@
 
     name: str
     health_check_path: str = "/health"
-    stream_limit: int = 100
+    max_connections: int = 100
     cold_start_s: timedelta = timedelta(0)
     coldstart_per_s: float = 0.0
 
 
 @attrs.frozen(slots=True)
 class Limits:
-    """What a downstream may send and how long it may take."""
+    """What a client may send and how long it may take."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 67108864
@@ -61,10 +61,10 @@
 
 
 @attrs.frozen(slots=True)
-class Spec:
-    """A whole spec under its number."""
+class Configuration:
+    """A whole configuration under its number."""
 
-    spec_number: int
-    mapping_list: tuple[Mapping, ...]
-    upstream_list: tuple[Upstream, ...]
+    config_version: int
+    route_list: tuple[Route, ...]
+    service_list: tuple[Upstream, ...]
     limits: Limits
--- a/marblefold/operator_spec/reading.py
+++ b/marblefold/configuration/reading.py
@@ -1,4 +1,4 @@
-"""Reads a spec from the operator's bytes and finds all that is wrong with it."""
+"""Reads a configuration from the operator's bytes and finds all that is wrong with it."""
 
 import json
 from datetime import timedelta
@@ -6,15 +6,15 @@
 import cattrs
 from cattrs.gen import make_dict_structure_fn, override
 
-from marblefold.breakdowns import Breakdown
-from marblefold.operator_spec.checking import find_faults
-from marblefold.operator_spec.model import Limits, Mapping, Spec, Split, Upstream
+from marblefold.configuration.checking import find_faults
+from marblefold.configuration.model import Configuration, Limits, Route, Split, Upstream
+from marblefold.errors import MeshError
 
-__all__ = ["InvalidSpec", "read_spec"]
+__all__ = ["InvalidConfiguration", "read_configuration"]
 
 
-class InvalidSpec(ExceptionGroup):
-    """All the faults of one spec, each a Breakdown with its place."""
+class InvalidConfiguration(ExceptionGroup):
+    """All the faults of one configuration, each a MeshError with its place."""
 
     @property
     def faults(self) -> list[str]:
@@ -22,7 +22,7 @@
         return [fault.reason for fault in self.exceptions]
 
     def derive(self, exceptions):
-        return InvalidSpec(self.message, exceptions)
+        return InvalidConfiguration(self.message, exceptions)
 
 
 def _strict_number(value, _kind) -> float:
@@ -57,7 +57,7 @@
     converter.register_structure_hook(int, _strict_whole)
     converter.register_structure_hook(str, _strict_text)
     converter.register_structure_hook(timedelta, _milliseconds)
-    for kind in (Split, Upstream, Limits, Mapping, Spec):
+    for kind in (Split, Upstream, Limits, Route, Configuration):
         names = {}
         for field in kind.__attrs_attrs__:
             names[field.name] = override(rename=field.name.replace("_", "-"))
@@ -67,9 +67,7 @@
                 rename="cold-start-s",
                 struct_hook=lambda value, of: timedelta(seconds=_strict_number(value, of)),
             )
-        converter.register_structure_hook(
-            kind, make_dict_structure_fn(kind, converter, **names)
-        )
+        converter.register_structure_hook(kind, make_dict_structure_fn(kind, converter, **names))
     return converter
 
 
@@ -82,21 +80,27 @@
     return f"{place.removeprefix('$.').replace('_', '-')}: {fault}"
 
 
-def read_spec(body: bytes) -> Spec:
-    """The spec in the body, or InvalidSpec with every fault found."""
+def read_configuration(body: bytes) -> Configuration:
+    """The configuration in the body, or InvalidConfiguration with every fault found."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise InvalidSpec("spec", [Breakdown("read spec", f"body: {error}")]) from error
+        raise InvalidConfiguration(
+            "configuration", [MeshError("read configuration", f"body: {error}")]
+        ) from error
     if not isinstance(document, dict):
-        raise InvalidSpec("spec", [Breakdown("read spec", "body: not an object")])
+        raise InvalidConfiguration(
+            "configuration", [MeshError("read configuration", "body: not an object")]
+        )
     try:
-        spec = _converter.structure(document, Spec)
+        configuration = _converter.structure(document, Configuration)
     except cattrs.BaseValidationError as error:
         faults = [
-            Breakdown("read spec", _place_first(line)) for line in cattrs.transform_error(error)]
-        raise InvalidSpec("spec", faults) from error
-    faults = [Breakdown("check spec", line) for line in find_faults(spec)]
+            MeshError("read configuration", _place_first(line))
+            for line in cattrs.transform_error(error)
+        ]
+        raise InvalidConfiguration("configuration", faults) from error
+    faults = [MeshError("check configuration", line) for line in find_faults(configuration)]
     if faults:
-        raise InvalidSpec("spec", faults)
-    return spec
+        raise InvalidConfiguration("configuration", faults)
+    return configuration
--- a/marblefold/operator_spec/mapping_table.py
+++ b/marblefold/configuration/route_table.py
@@ -1,26 +1,26 @@
-"""Finds the mapping of a request."""
+"""Finds the route of a request."""
 
-from marblefold.operator_spec.rows import Mapping, Rows, Upstream
+from marblefold.configuration.rows import Route, Rows, Upstream
 
-__all__ = ["MappingTable"]
+__all__ = ["RouteTable"]
 
 
-class MappingTable:
-    """A spec laid out for look-ups; made anew for each spec, never changed."""
+class RouteTable:
+    """A configuration laid out for look-ups; made anew for each configuration, never changed."""
 
     def __init__(self, rows: Rows) -> None:
         self.number = rows.number
         self.limits = rows.limits
-        self.count = len(rows.mappings)
+        self.count = len(rows.routes)
         self.upstreams: dict[str, Upstream] = {
             upstream.name: upstream for upstream in rows.upstreams
         }
-        self._hosts: dict[str, dict[str, Mapping]] = {}
-        for mapping in rows.mappings:
-            self._hosts.setdefault(mapping.host, {})[mapping.prefix] = mapping
+        self._hosts: dict[str, dict[str, Route]] = {}
+        for route in rows.routes:
+            self._hosts.setdefault(route.host, {})[route.prefix] = route
 
-    def find(self, host: str, target: str) -> Mapping | None:
-        """The mapping with the longest prefix of the path, if there is one."""
+    def find(self, host: str, target: str) -> Route | None:
+        """The route with the longest prefix of the path, if there is one."""
         prefixes = self._hosts.get(host.partition(":")[0].lower())
         if prefixes is None:
             return None
--- /dev/null
+++ b/marblefold/configuration/rows.py
@@ -0,0 +1,91 @@
+"""A checked configuration in rows: how registries pass it on and proxies hold it.
+
+Registries read and check the operator's bytes once; proxies need neither the
+reader nor its libraries.
+"""
+
+import zlib
+from datetime import timedelta
+from typing import NamedTuple
+
+from marblefold.inner_protocol.messages import kinds
+
+__all__ = ["Limits", "Route", "Rows", "Upstream", "read_rows"]
+
+
+class Route(NamedTuple):
+    """Where requests of one host below one prefix go, and how."""
+
+    name: str
+    host: str
+    prefix: str
+    kind: str
+    time_limit: timedelta
+    target_latency: timedelta
+    max_attempts: int
+    priority: int
+    upstreams: tuple[str, ...]
+    weights: tuple[float, ...]
+    allowed_regions: tuple[str, ...]
+
+
+class Upstream(NamedTuple):
+    """A service that requests may be sent to."""
+
+    name: str
+    health_check_path: str
+    max_connections: int
+    coldstart_per_s: float
+
+
+class Limits(NamedTuple):
+    """What a client may send and how long it may take."""
+
+    header_bytes: int
+    body_bytes: int
+    header_time: timedelta
+    idle_time: timedelta
+
+
+class Rows(NamedTuple):
+    """A whole configuration under its number."""
+
+    number: int
+    routes: tuple[Route, ...]
+    upstreams: tuple[Upstream, ...]
+    limits: Limits
+
+
+def read_rows(data: bytes) -> Rows:
+    """The rows in the bytes."""
+    message = kinds.ConfigurationRows.FromString(zlib.decompress(data))
+    return Rows(
+        message.number,
+        tuple(_read_route(row) for row in message.routes),
+        tuple(
+            Upstream(row.name, row.health_check_path, row.max_connections, row.coldstart_per_s)
+            for row in message.upstreams
+        ),
+        Limits(
+            message.header_bytes,
+            message.body_bytes,
+            timedelta(milliseconds=message.header_time_ms),
+            timedelta(milliseconds=message.idle_time_ms),
+        ),
+    )
+
+
+def _read_route(row) -> Route:
+    return Route(
+        row.name,
+        row.host,
+        row.prefix,
+        row.kind,
+        timedelta(milliseconds=row.timeout_ms),
+        timedelta(milliseconds=row.target_latency_ms),
+        row.max_attempts,
+        row.priority,
+        tuple(row.split_upstreams),
+        tuple(row.split_weights),
+        tuple(row.allowed_regions),
+    )
--- a/marblefold/breakdowns.py
+++ b/marblefold/errors.py
@@ -1,9 +1,9 @@
 """Errors that carry the step and the peer at which they arose."""
 
-__all__ = ["Breakdown"]
+__all__ = ["MeshError"]
 
 
-class Breakdown(Exception):
+class MeshError(Exception):
     """Something broke down at a step, perhaps in talk with a peer."""
 
     def __init__(self, step: str, reason: str, peer: str = "") -> None:
--- a/marblefold/gateway/partner_hops.py
+++ b/marblefold/gateway/partner_hops.py
@@ -1,14 +1,14 @@
 """The far end of a partner route: where a request leaves for the partner.
 
 What was allowed when the request came in may not be any more.  The check is
-made again with the stream in hand, just before the first byte goes out.
+made again with the connection in hand, just before the first byte goes out.
 """
 
 import time
 
 from marblefold.gateway.target_hops import TargetHops
 from marblefold.gateway.target_pool import TargetPool
-from marblefold.http_streams.downstream_request import DownstreamRequest
+from marblefold.http_connections.client_request import ClientRequest
 from marblefold.partners.merging import partner_of
 from marblefold.request_path.hop_sender import Hops
 from marblefold.request_path.mesh_view import MeshView
@@ -34,9 +34,14 @@
         return not partner_of(upstream) and self._usual.has_guard(upstream)
 
     async def send(
-        self, peer: str, head, request: DownstreamRequest, body_bound: int, seconds: float,
+        self,
+        peer: str,
+        head,
+        request: ClientRequest,
+        body_bound: int,
+        seconds: float,
     ) -> HopResult:
-        """The hop's end; it raises only BodyTooLarge and a lost downstream."""
+        """The hop's end; it raises only BodyTooLarge and a lost client."""
         partner = partner_of(head.upstream)
         if not partner:
             return await self._usual.send(peer, head, request, body_bound, seconds)
@@ -46,15 +51,18 @@
         def may_send() -> bool:
             return self.may_leave(partner, peer, request, time.monotonic())
 
-        return await self._to_partners.send(
-            peer, head, request, body_bound, seconds, may_send)
+        return await self._to_partners.send(peer, head, request, body_bound, seconds, may_send)
 
     def may_leave(
-        self, partner: str, peer: str, request: DownstreamRequest, now: float,
+        self,
+        partner: str,
+        peer: str,
+        request: ClientRequest,
+        now: float,
     ) -> bool:
         """Whether the partner's word allows the request at this moment."""
-        mapping = self._view.find_partner_mapping(request.host, request.path, now)
-        if mapping is None or partner_of(mapping.upstreams[0]) != partner:
+        route = self._view.find_partner_route(request.host, request.path, now)
+        if route is None or partner_of(route.upstreams[0]) != partner:
             return False
         return self._view.partners.addresses.get(partner) == peer
 
--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -1,30 +1,30 @@
-"""The gateway: a front door for downstreams, straight to the targets."""
+"""The gateway: a front door for clients, straight to the targets."""
 
 import asyncio
 import signal
 from datetime import timedelta
 
 from marblefold import wire_names
+from marblefold.configuration.route_table import RouteTable
 from marblefold.gateway.partner_hops import PartnerHops
 from marblefold.gateway.target_hops import TargetHops
 from marblefold.gateway.target_pool import TargetPool
-from marblefold.http_streams.answer import Answer
-from marblefold.http_streams.call_router import Call, CallRouter, json_answer
-from marblefold.http_streams.downstream_server import DownstreamServer
+from marblefold.http_connections.answer import Answer
+from marblefold.http_connections.call_router import Call, CallRouter, json_answer
+from marblefold.http_connections.http_server import HttpServer
 from marblefold.inner_protocol.ports import GATEWAY_FOLLOWS, REGISTRY, inner_address
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
 from marblefold.node_config.watching import ConfigWatch
-from marblefold.operator_spec.mapping_table import MappingTable
+from marblefold.proxy.lease_client import LeaseClient
 from marblefold.proxy.leaving import leave_in_order
 from marblefold.proxy.registry_follower import RegistryFollower
-from marblefold.proxy.term_asker import TermAsker
 from marblefold.proxy.traffic_teller import TrafficTeller
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.request_path.nomination import Nominator
 from marblefold.request_path.running_work import RunningWork
 from marblefold.request_path.surroundings import Surroundings
+from marblefold.request_path.target_selection import TargetSelector
 from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.starting import start_tracing
 
@@ -47,29 +47,36 @@
         self._config = config
         self.is_leaving = False
         self.view = MeshView(config.node_name)
-        # Few streams: news of one registry is enough, another stands by.
+        # Few connections: news of one registry is enough, another stands by.
         self.follower = RegistryFollower(
-            config.node_name, self._seed_registries, self.view, most=GATEWAY_FOLLOWS,
-            asker=TermAsker(config.node_name, self.view))
-        nominator = Nominator(self.view, config.zone, subset_of=config.node_name, has_guards=False)
+            config.node_name,
+            self._seed_registries,
+            self.view,
+            most=GATEWAY_FOLLOWS,
+            asker=LeaseClient(config.node_name, self.view),
+        )
+        selector = TargetSelector(
+            self.view, config.zone, subset_of=config.node_name, has_guards=False
+        )
         free = config.limits.file_descriptors - _KEPT_FOR_FILES - _KEPT_FOR_OURSELVES
         for_targets = max(4, int(free * _TARGET_SHARE))
-        self.surroundings = Surroundings(self.view, nominator, config.bounds, config.limits)
+        self.surroundings = Surroundings(self.view, selector, config.bounds, config.limits)
         self.pool = TargetPool(for_targets, self._addresses)
         hops = TargetHops(self.pool)
         self.executor = RequestExecutor(
-            self.surroundings, PartnerHops(hops, hops, self.view), RunningWork(), "")
-        self.outbound = DownstreamServer(self.executor.serve, max(4, free - for_targets))
+            self.surroundings, PartnerHops(hops, hops, self.view), RunningWork(), ""
+        )
+        self.outbound = HttpServer(self.executor.serve, max(4, free - for_targets))
         ready = CallRouter()
         ready.add(*wire_names.READINESS_CALL, self._readiness)
-        self._readiness_server = DownstreamServer(ready.handle)
-        self.view.on_spec = self._on_spec
+        self._readiness_server = HttpServer(ready.handle)
+        self.view.on_configuration = self._on_configuration
         self._stop = asyncio.Event()
         self._tasks = TaskKeeper()
         # Hops end at targets: there are no peers to pass marks on to.
         self._tracing = start_tracing(
-            config, str(config.listen.get("front-http", "")), self.view, self.follower,
-            self._tasks)
+            config, str(config.listen.get("front-http", "")), self.view, self.follower, self._tasks
+        )
         if self._tracing is not None:
             self.executor.tracer = self._tracing.tracer
         self._traffic = TrafficTeller(self.surroundings.traffic, self.follower, config)
@@ -85,8 +92,12 @@
         await self.outbound.start(listen["front-http"])
         log.info("serving", node=self._config.node_name, front=str(listen["front-http"]))
         for run in (
-            self._watch.run(), self.follower.run(), self.outbound.run(),
-            self._readiness_server.run(), self.pool.run(), self._look_for_overdue(),
+            self._watch.run(),
+            self.follower.run(),
+            self.outbound.run(),
+            self._readiness_server.run(),
+            self.pool.run(),
+            self._look_for_overdue(),
             self._traffic.run(),
         ):
             self._tasks.start(run)
@@ -99,7 +110,7 @@
         self._tasks.cancel()
 
     def tell_leaving(self) -> None:
-        """From now on the platform should send downstreams elsewhere."""
+        """From now on the platform should send clients elsewhere."""
         self.is_leaving = True
 
     @property
@@ -113,8 +124,8 @@
         return self._config.bounds.grace_period
 
     async def _readiness(self, _call: Call) -> Answer:
-        # Ready means: a downstream that comes now can be served as it should.
-        # Pressure has no say: a full gateway refuses, it does not flap.
+        # Ready means: a client that comes now can be served as it should.
+        # TargetLoad has no say: a full gateway refuses, it does not flap.
         is_ready = not self.is_leaving and self.view.table is not None and self.view.peers()
         return json_answer(200 if is_ready else 503, {"ready": bool(is_ready)})
 
@@ -126,7 +137,7 @@
         partners = self.view.partners
         return self.view.peers() | set(partners.addresses.values() if partners else ())
 
-    def _on_spec(self, table: MappingTable) -> None:
+    def _on_configuration(self, table: RouteTable) -> None:
         self.outbound.set_limits(table.limits)
 
     def _on_config(self, config: NodeConfig) -> None:
--- a/marblefold/gateway/target_hops.py
+++ b/marblefold/gateway/target_hops.py
@@ -1,16 +1,16 @@
 """Ends a hop at a target itself, where a proxy ends it at a peer's guard.
 
 The same caller as beside the guard talks to the target; here its exchange is
-no stream to a peer but the two ends below.
+no connection to a peer but the two ends below.
 """
 
 import asyncio
 import time
-from typing import Callable
+from collections.abc import Callable
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.gateway.target_pool import TargetPool
-from marblefold.http_streams.downstream_request import DownstreamRequest
+from marblefold.http_connections.client_request import ClientRequest
 from marblefold.inner_protocol.body_pipe import FIRST_CREDIT, BodyPipe
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
@@ -21,9 +21,9 @@
 
 
 class _RequestBody:
-    """The body of the downstream's request, as the caller reads it."""
+    """The body of the client's request, as the caller reads it."""
 
-    def __init__(self, request: DownstreamRequest, bound: int) -> None:
+    def __init__(self, request: ClientRequest, bound: int) -> None:
         self._request = request
         self._bound = bound
 
@@ -34,7 +34,7 @@
 class _TargetExchange:
     """What the caller of the target sees of the hop."""
 
-    def __init__(self, request: DownstreamRequest, bound: int) -> None:
+    def __init__(self, request: ClientRequest, bound: int) -> None:
         self.incoming = _RequestBody(request, bound)
         self.answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self.pipe = BodyPipe(self._grant)
@@ -42,16 +42,16 @@
         self._waiter: asyncio.Future | None = None
 
     def send(self, kind: FrameKind, payload: bytes = b"") -> None:
-        """A frame of the answer, on its way to the downstream."""
+        """A frame of the answer, on its way to the client."""
         if kind == FrameKind.ANSWER and not self.answer.done():
             self.answer.set_result(payload)
         elif kind == FrameKind.BODY_END:
             self.pipe.finish()
         elif kind == FrameKind.RESET:
-            self.pipe.break_off(Breakdown("answer", "broken off by the target"))
+            self.pipe.break_off(MeshError("answer", "broken off by the target"))
 
     async def send_body(self, chunk: bytes) -> None:
-        """A part of the answer's body; waits for a downstream that reads slowly."""
+        """A part of the answer's body; waits for a client that reads slowly."""
         self._credit -= len(chunk)
         self.pipe.feed(chunk)
         while self._credit <= 0:
@@ -75,10 +75,15 @@
         return False
 
     async def send(
-        self, peer: str, head, request: DownstreamRequest, body_bound: int, seconds: float,
+        self,
+        peer: str,
+        head,
+        request: ClientRequest,
+        body_bound: int,
+        seconds: float,
         may_send: Callable[[], bool] | None = None,
     ) -> HopResult:
-        """The hop's end; it raises only BodyTooLarge and a lost downstream."""
+        """The hop's end; it raises only BodyTooLarge and a lost client."""
         caller = self._pool.caller(peer)
         if caller is None:
             # Nothing was sent: certain.
@@ -86,11 +91,11 @@
         started = time.monotonic()
         exchange = _TargetExchange(request, body_bound)
         offer = asyncio.get_running_loop().create_task(
-            caller.offer(exchange, head, seconds, may_send))
+            caller.offer(exchange, head, seconds, may_send)
+        )
         try:
             # A large answer follows its head; a small one comes with it.
-            await asyncio.wait(
-                {offer, exchange.answer}, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait({offer, exchange.answer}, return_when=asyncio.FIRST_COMPLETED)
         except asyncio.CancelledError:
             offer.cancel()
             raise
--- a/marblefold/history/command.py
+++ b/marblefold/history/command.py
@@ -4,12 +4,12 @@
 import difflib
 import json
 import sys
-from datetime import datetime, timezone
+from datetime import UTC, datetime
 
 from absl import flags
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.registry_client import ask_one
 
 __all__ = ["run_history"]
@@ -22,33 +22,39 @@
 _COUNTS = {"list": 1, "show": 2, "diff": 3}
 
 
-def run_history(words: list[str]) -> int:
+def run_history(arguments: list[str]) -> int:
     """history list | show N | diff N M."""
-    if not words or _COUNTS.get(words[0]) != len(words) or not FLAGS.registry:
-        print("usage: python3 -m marblefold history --registry=HOST:PORT "
-              "list | show N | diff N M", file=sys.stderr)
+    if not arguments or _COUNTS.get(arguments[0]) != len(arguments) or not FLAGS.registry:
+        print(
+            "usage: python3 -m marblefold history --registry=HOST:PORT list | show N | diff N M",
+            file=sys.stderr,
+        )
         return _USAGE
     try:
-        return asyncio.run(_run(words))
-    except Breakdown as breakdown:
-        print(breakdown, file=sys.stderr)
+        return asyncio.run(_run(arguments))
+    except MeshError as error:
+        print(error, file=sys.stderr)
         return _USAGE
 
 
-async def _run(words: list[str]) -> int:
-    if words[0] == "list":
+async def _run(arguments: list[str]) -> int:
+    if arguments[0] == "list":
         for row in (await _ask(wire_names.HISTORY_PATH))["versions"]:
-            at = datetime.fromtimestamp(row["at"], timezone.utc).isoformat()
-            print(f"{row[wire_names.SPEC_NUMBER]} {at} {row['commit']}")
+            at = datetime.fromtimestamp(row["at"], UTC).isoformat()
+            print(f"{row[wire_names.CONFIG_VERSION]} {at} {row['commit']}")
         return _FINE
     texts = [
         json.dumps(await _ask(wire_names.VERSION_PATH.format(word)), indent=2, sort_keys=True)
-        for word in words[1:]]
-    if words[0] == "show":
+        for word in arguments[1:]
+    ]
+    if arguments[0] == "show":
         print(texts[0])
         return _FINE
-    lines = list(difflib.unified_diff(
-        texts[0].splitlines(), texts[1].splitlines(), words[1], words[2], lineterm=""))
+    lines = list(
+        difflib.unified_diff(
+            texts[0].splitlines(), texts[1].splitlines(), arguments[1], arguments[2], lineterm=""
+        )
+    )
     print("\n".join(lines), end="\n" if lines else "")
     return _DIFFERENT if lines else _FINE
 
@@ -56,5 +62,5 @@
 async def _ask(path: str) -> dict:
     status, document = await ask_one(FLAGS.registry, path)
     if status != 200:
-        raise Breakdown("history", f"status {status}: {document.get(wire_names.REASON, '')}")
+        raise MeshError("history", f"status {status}: {document.get(wire_names.REASON, '')}")
     return document
--- a/marblefold/history/keeper.py
+++ b/marblefold/history/keeper.py
@@ -1,14 +1,15 @@
 """Keeps the history of a registry beside its work, and answers calls on it."""
 
 import asyncio
+import functools
 import json
 import os
 from concurrent.futures import ThreadPoolExecutor
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.answer import Answer
-from marblefold.http_streams.call_router import Call, CallRouter, json_answer
+from marblefold.errors import MeshError
+from marblefold.http_connections.answer import Answer
+from marblefold.http_connections.call_router import Call, CallRouter, json_answer
 from marblefold.logs import log
 
 __all__ = ["HistoryKeeper"]
@@ -48,12 +49,15 @@
         while True:
             number, body = await self._waiting.get()
             try:
-                await self._do(lambda: self._open().add(number, body))
+                await self._do(functools.partial(self._add, number, body))
             except Exception as error:
                 # Nothing depends on it, so nothing may break by it either.
                 log.warning("history not kept", number=number, reason=str(error))
                 self._versions = None
 
+    def _add(self, number: int, body: bytes) -> None:
+        self._open().add(number, body)
+
     async def _do(self, work):
         return await asyncio.get_running_loop().run_in_executor(self._thread, work)
 
@@ -73,9 +77,19 @@
         if not self._folder:
             return json_answer(404, {wire_names.REASON: "no history is kept here"})
         versions = await self._do(lambda: list(self._open().newest_first()))
-        return json_answer(200, {"versions": [
-            {wire_names.SPEC_NUMBER: version.number, "at": version.at, "commit": version.commit}
-            for version in versions]})
+        return json_answer(
+            200,
+            {
+                "versions": [
+                    {
+                        wire_names.CONFIG_VERSION: version.number,
+                        "at": version.at,
+                        "commit": version.commit,
+                    }
+                    for version in versions
+                ]
+            },
+        )
 
     async def _show(self, call: Call) -> Answer:
         if not self._folder:
@@ -85,6 +99,6 @@
             return json_answer(400, {wire_names.REASON: "version: not a number"})
         try:
             body = await self._do(lambda: self._open().read(int(number)))
-        except Breakdown as breakdown:
-            return json_answer(404, {wire_names.REASON: breakdown.reason})
+        except MeshError as error:
+            return json_answer(404, {wire_names.REASON: error.reason})
         return json_answer(200, json.loads(body))
--- a/marblefold/history/versions.py
+++ b/marblefold/history/versions.py
@@ -9,17 +9,18 @@
 import os
 import shutil
 import time
-from typing import Iterator, NamedTuple
+from collections.abc import Iterator
+from typing import NamedTuple
 
 from dulwich.objects import Blob, Commit, Tree
 from dulwich.repo import Repo
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 
 __all__ = ["Version", "Versions"]
 
-_BRANCH = b"refs/heads/specs"
-_FILE = b"spec.json"
+_BRANCH = b"refs/heads/configurations"
+_FILE = b"configuration.json"
 _WHO = b"marblefold <marblefold@localhost>"
 _REGULAR = 0o100644
 
@@ -72,17 +73,17 @@
         commit_id = self._repo.refs.read_ref(_BRANCH)
         while commit_id:
             commit = self._repo[commit_id]
-            number = int(commit.message.decode().removeprefix("spec "))
+            number = int(commit.message.decode().removeprefix("configuration "))
             yield Version(number, commit.commit_time, commit.id.decode())
             commit_id = commit.parents[0] if commit.parents else None
 
     def read(self, number: int) -> bytes:
-        """A version as it was put; a Breakdown where it is not kept."""
+        """A version as it was put; a MeshError where it is not kept."""
         for version in self.newest_first():
             if version.number == number:
                 tree = self._repo[self._repo[version.commit.encode()].tree]
                 return self._repo[tree[_FILE][1]].data
-        raise Breakdown("history", f"version {number} is not kept")
+        raise MeshError("history", f"version {number} is not kept")
 
     def _commit(self, number: int, body: bytes, at: int, parent: str) -> None:
         objects = self._repo.object_store
@@ -98,7 +99,7 @@
         commit.author_time = commit.commit_time = at
         commit.author_timezone = commit.commit_timezone = 0
         commit.encoding = b"UTF-8"
-        commit.message = f"spec {number}".encode()
+        commit.message = f"configuration {number}".encode()
         objects.add_object(commit)
         self._repo.refs[_BRANCH] = commit.id
 
@@ -108,7 +109,7 @@
             json.loads(self.read(version.number))
 
     def _forget_old(self) -> None:
-        kept = list(self.newest_first())[:self._most]
+        kept = list(self.newest_first())[: self._most]
         bodies = [(version, self.read(version.number)) for version in reversed(kept)]
         fresh = self._folder + ".new"
         shutil.rmtree(fresh, ignore_errors=True)
--- a/marblefold/http_streams/answer.py
+++ b/marblefold/http_connections/answer.py
@@ -1,4 +1,4 @@
-"""The answer a downstream gets, as a small value, and its one writer."""
+"""The answer a client gets, as a small value, and its one writer."""
 
 from http import HTTPStatus
 from typing import NamedTuple
@@ -27,7 +27,10 @@
 
 
 def own_answer(
-    status: int, text: str, attempt_id: str = "", retry_after: float | None = None,
+    status: int,
+    text: str,
+    attempt_id: str = "",
+    retry_after: float | None = None,
     closes: bool = False,
 ) -> Answer:
     """An answer of the mesh itself."""
--- a/marblefold/http_streams/call_router.py
+++ b/marblefold/http_connections/call_router.py
@@ -1,14 +1,15 @@
 """Sends calls of targets and operators to what serves them."""
 
 import json
-from typing import Awaitable, Callable, NamedTuple
+from collections.abc import Awaitable, Callable
+from typing import NamedTuple
 from urllib.parse import unquote
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.answer import Answer
-from marblefold.http_streams.downstream_request import BodyTooLarge, DownstreamRequest
-from marblefold.http_streams.heads import find_header
+from marblefold.errors import MeshError
+from marblefold.http_connections.answer import Answer
+from marblefold.http_connections.client_request import BodyTooLarge, ClientRequest
+from marblefold.http_connections.heads import find_header
 from marblefold.logs import log
 
 __all__ = ["Call", "CallRouter", "faults_answer", "json_answer", "not_now_answer"]
@@ -38,10 +39,10 @@
     return Answer(status, header_block=block, body=json.dumps(document).encode())
 
 
-def not_now_answer(breakdown: Breakdown) -> Answer:
+def not_now_answer(error: MeshError) -> Answer:
     """No majority answered in time: the word may or may not come to hold."""
-    log.warning("no clear word", step=breakdown.step, peer=breakdown.peer, reason=breakdown.reason)
-    return json_answer(503, {wire_names.REASON: str(breakdown)}, _RETRY_SECONDS)
+    log.warning("no clear word", step=error.step, peer=error.peer, reason=error.reason)
+    return json_answer(503, {wire_names.REASON: str(error)}, _RETRY_SECONDS)
 
 
 def faults_answer(group: ExceptionGroup) -> Answer:
@@ -66,7 +67,7 @@
         """Serves the method at the path; {} at its end stands for a subject."""
         self._routes.setdefault(path, {})[method] = _Route(serve, most_bytes)
 
-    async def handle(self, request: DownstreamRequest) -> Answer:
+    async def handle(self, request: ClientRequest) -> Answer:
         """The answer to any call."""
         path, _sign, query = request.path.partition("?")
         methods, subject = self._find(path)
@@ -77,7 +78,8 @@
             allowed = ", ".join(sorted(methods))
             answer = json_answer(405, {wire_names.REASON: f"allowed here: {allowed}"})
             return answer._replace(
-                header_block=answer.header_block + b"Allow: " + allowed.encode() + b"\r\n")
+                header_block=answer.header_block + b"Allow: " + allowed.encode() + b"\r\n"
+            )
         try:
             body, _whole = await request.gather(route.most_bytes + 1, route.most_bytes)
         except BodyTooLarge:
--- a/marblefold/http_streams/downstream_stream.py
+++ b/marblefold/http_connections/client_connection.py
@@ -1,41 +1,42 @@
-"""One stream from a downstream: requests in, answers out in their order.
+"""One connection from a client: requests in, answers out in their order.
 
 The parser is aiohttp's.  Its own server answers pipelined requests one by
-one; here repeatable ones behind each other run together, since a downstream
+one; here repeatable ones behind each other run together, since a client
 that sends several at once waits for them all.
 """
 
 import asyncio
 import time
 from collections import deque
-from typing import Awaitable, Protocol
+from collections.abc import Awaitable
+from typing import Protocol
 
 from aiohttp.base_protocol import BaseProtocol
-from aiohttp.http_parser import HttpRequestParser
 from aiohttp.http_exceptions import BadStatusLine, HttpProcessingError, LineTooLong
+from aiohttp.http_parser import HttpRequestParser
 
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.answer import Answer, own_answer, pack_head
-from marblefold.http_streams.downstream_request import DownstreamRequest
+from marblefold.errors import MeshError
+from marblefold.http_connections.answer import Answer, own_answer, pack_head
+from marblefold.http_connections.client_request import ClientRequest
 
-__all__ = ["DownstreamStream", "StreamKeeper"]
+__all__ = ["ClientConnection", "ConnectionKeeper"]
 
 _PARSER_BUFFER = 128 * 1024
 _MOST_TOGETHER = 8
 _REPEATABLE = ("GET", "HEAD", "OPTIONS")
 
 
-class StreamKeeper(Protocol):
-    """What a stream asks of the server that accepted it."""
+class ConnectionKeeper(Protocol):
+    """What a connection asks of the server that accepted it."""
 
     is_leaving: bool
     header_bytes: int
 
-    def on_made(self, stream: "DownstreamStream") -> None: ...
+    def on_made(self, connection: "ClientConnection") -> None: ...
 
-    def on_lost(self, stream: "DownstreamStream") -> None: ...
+    def on_lost(self, connection: "ClientConnection") -> None: ...
 
-    def handle(self, request: DownstreamRequest) -> Awaitable[Answer]: ...
+    def handle(self, request: ClientRequest) -> Awaitable[Answer]: ...
 
 
 class _Place:
@@ -43,22 +44,25 @@
 
     __slots__ = ("request", "task", "answer")
 
-    def __init__(self, request: DownstreamRequest | None) -> None:
+    def __init__(self, request: ClientRequest | None) -> None:
         self.request = request
         self.task: asyncio.Task | None = None
         self.answer: Answer | None = None
 
 
-class DownstreamStream(BaseProtocol):
+class ClientConnection(BaseProtocol):
     """Owns one accepted connection."""
 
-    def __init__(self, keeper: StreamKeeper) -> None:
+    def __init__(self, keeper: ConnectionKeeper) -> None:
         loop = asyncio.get_running_loop()
         super().__init__(loop)
         self._keeper = keeper
         self._parser = HttpRequestParser(
-            self, loop, _PARSER_BUFFER,
-            max_line_size=keeper.header_bytes, max_field_size=keeper.header_bytes,
+            self,
+            loop,
+            _PARSER_BUFFER,
+            max_line_size=keeper.header_bytes,
+            max_field_size=keeper.header_bytes,
         )
         self._places: deque[_Place] = deque()
         self._is_closing = False
@@ -81,7 +85,7 @@
         super().connection_lost(error)
         self._is_closing = True
         if self._payload is not None:
-            self._payload.set_exception(ConnectionResetError("downstream left"))
+            self._payload.set_exception(ConnectionResetError("client left"))
         # Nobody waits for these any more: stop the work at the targets too.
         for place in self._places:
             if place.task is not None:
@@ -106,8 +110,9 @@
             if size > self._keeper.header_bytes:
                 self._refuse_bytes(LineTooLong("head", self._keeper.header_bytes))
                 return
-            self._places.append(_Place(DownstreamRequest(
-                message, payload, self.quiet_since, self._write_continue)))
+            self._places.append(
+                _Place(ClientRequest(message, payload, self.quiet_since, self._write_continue))
+            )
         if messages:
             self.head_since = None
             self._start_places()
@@ -119,14 +124,14 @@
         self._append_answer(own_answer(408, "the head took too long", closes=True))
 
     def close_if_idle(self) -> bool:
-        """Closes the stream unless a request is being served on it."""
+        """Closes the connection unless a request is being served on it."""
         if not self.is_idle or self.head_since is not None:
             return False
         self._close()
         return True
 
     def turn_away(self) -> None:
-        """Ends the stream before anything was read from it."""
+        """Ends the connection before anything was read from it."""
         self._is_closing = True
         self.transport.abort()
 
@@ -179,7 +184,7 @@
             if answer is None:
                 break
             if answer.pipe is not None:
-                self._streaming = self._loop.create_task(self._stream(place, answer))
+                self._streaming = self._loop.create_task(self._connection(place, answer))
                 break
             closes = self._closes(place, answer)
             self.transport.write(pack_head(answer, closes, False) + answer.body)
@@ -206,7 +211,7 @@
             self._places.clear()
             self._close()
 
-    async def _stream(self, place: _Place, answer: Answer) -> None:
+    async def _connection(self, place: _Place, answer: Answer) -> None:
         is_chunked = not place.request.is_old_version
         closes = self._closes(place, answer) or not is_chunked
         try:
@@ -218,8 +223,8 @@
                 await self._drain_helper()
             if is_chunked:
                 self.transport.write(b"0\r\n\r\n")
-        except (Breakdown, ConnectionError):
-            # An early end must never look complete: reset the stream.
+        except (MeshError, ConnectionError):
+            # An early end must never look complete: reset the connection.
             if self.transport is not None:
                 self.transport.abort()
             return
@@ -229,5 +234,3 @@
                 answer.release()
         self._finish(closes)
         self._flush()
-
-
--- a/marblefold/http_streams/downstream_request.py
+++ b/marblefold/http_connections/client_request.py
@@ -1,14 +1,14 @@
-"""A request as a downstream sent it."""
+"""A request as a client sent it."""
 
-from typing import Callable
+from collections.abc import Callable
 
 from aiohttp.http_exceptions import HttpProcessingError
 from aiohttp.streams import EMPTY_PAYLOAD
 
 from marblefold import wire_names
-from marblefold.http_streams.heads import REQUEST_ONLY_HERE, find_header, make_header_block
+from marblefold.http_connections.heads import REQUEST_ONLY_HERE, find_header, make_header_block
 
-__all__ = ["BodyTooLarge", "DownstreamRequest", "HeldRequest"]
+__all__ = ["BodyTooLarge", "ClientRequest", "HeldRequest"]
 
 
 _HELD_CHUNK = 16 * 1024
@@ -18,7 +18,7 @@
     """The body is over what the operator allows."""
 
 
-class DownstreamRequest:
+class ClientRequest:
     """The head of a request, and its body as far as it has come."""
 
     def __init__(self, message, payload, arrived: float, write_continue: Callable) -> None:
@@ -40,7 +40,7 @@
 
     @property
     def deadline_ms(self) -> float | None:
-        """How long the downstream waits, if it says so in a form we can read."""
+        """How long the client waits, if it says so in a form we can read."""
         text = find_header(self.headers, wire_names.DEADLINE_MS)
         try:
             value = float(text) if text is not None else None
@@ -93,7 +93,7 @@
 class HeldRequest:
     """A request whose body is at hand, to be sent as often as need be."""
 
-    def __init__(self, request: DownstreamRequest, body: bytes) -> None:
+    def __init__(self, request: ClientRequest, body: bytes) -> None:
         self.method = request.method
         self.host = request.host
         self.path = request.path
@@ -102,6 +102,6 @@
 
     async def read_chunk(self, _most: int) -> bytes:
         """The next part of the body; nothing at its end."""
-        chunk = self._body[self._place:self._place + _HELD_CHUNK]
+        chunk = self._body[self._place : self._place + _HELD_CHUNK]
         self._place += len(chunk)
         return chunk
--- a/marblefold/http_streams/heads.py
+++ b/marblefold/http_connections/heads.py
@@ -1,17 +1,29 @@
 """Heads of requests and answers: what may pass a proxy and what may not."""
 
-from typing import Iterable, Sequence
+from collections.abc import Iterable, Sequence
 
 __all__ = ["find_header", "make_header_block", "REQUEST_ONLY_HERE", "ANSWER_ONLY_HERE"]
 
-_HOP_BY_HOP = frozenset((
-    b"connection", b"keep-alive", b"proxy-connection", b"proxy-authenticate",
-    b"proxy-authorization", b"te", b"trailer", b"transfer-encoding", b"upgrade",
-    b"content-length",
-))
+_HOP_BY_HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+    )
+)
 # Ours to set, whatever was sent.
 REQUEST_ONLY_HERE = _HOP_BY_HOP | {
-    b"expect", b"deadline-ms", b"caller-service", b"expected-instance",
+    b"expect",
+    b"deadline-ms",
+    b"caller-service",
+    b"expected-instance",
 }
 ANSWER_ONLY_HERE = _HOP_BY_HOP
 
@@ -30,12 +42,10 @@
 def make_header_block(headers: RawHeaders, dropped: Iterable[bytes]) -> bytes:
     """The header lines that pass along, duplicates and order kept."""
     connection = find_header(headers, b"connection")
-    # A header named by Connection concerns that stream only.
+    # A header named by Connection concerns that connection only.
     if connection is not None and connection.lower() not in (b"keep-alive", b"close"):
         dropped = set(dropped)
         dropped.update(word.strip().lower() for word in connection.split(b","))
-    return b"".join([
-        name + b": " + value + b"\r\n"
-        for name, value in headers
-        if name.lower() not in dropped
-    ])
+    return b"".join(
+        [name + b": " + value + b"\r\n" for name, value in headers if name.lower() not in dropped]
+    )
--- /dev/null
+++ b/marblefold/http_connections/http_server.py
@@ -0,0 +1,113 @@
+"""Accepts the connections of clients and looks after the quiet ones."""
+
+import asyncio
+import time
+from collections.abc import Awaitable, Callable
+from datetime import timedelta
+
+from marblefold.configuration.rows import Limits
+from marblefold.http_connections.answer import Answer, own_answer
+from marblefold.http_connections.client_connection import ClientConnection
+from marblefold.http_connections.client_request import ClientRequest
+from marblefold.node_config.reading import Address
+
+__all__ = ["HttpServer"]
+
+_SWEEP = timedelta(milliseconds=500)
+_BACKLOG = 1024
+_LARGEST_UNSERVED = 64 * 1024 * 1024
+
+
+class HttpServer:
+    """One listening address and the connections accepted at it."""
+
+    def __init__(
+        self,
+        handle: Callable[[ClientRequest], Awaitable[Answer]],
+        most_connections: int | None = None,
+    ) -> None:
+        self.is_leaving = False
+        # Late in leaving what still comes is refused, never begun.
+        self.turns_away = False
+        self.header_bytes = 16384
+        self.idle_time = timedelta(seconds=15)
+        self.header_time = timedelta(seconds=3)
+        self.last_arrival = time.monotonic()
+        self.in_progress = 0
+        self._handle = handle
+        self._most_connections = most_connections
+        self._connections: set[ClientConnection] = set()
+        self._server: asyncio.Server | None = None
+
+    async def start(self, address: Address) -> None:
+        """Begins to listen."""
+        loop = asyncio.get_running_loop()
+        self._server = await loop.create_server(
+            lambda: ClientConnection(self), address.host, address.port, backlog=_BACKLOG
+        )
+
+    async def handle(self, request: ClientRequest) -> Answer:
+        """Serves one request."""
+        self.last_arrival = request.arrived
+        self.in_progress += 1
+        try:
+            if self.turns_away:
+                # Read whole first: a close with unread bytes resets the answer.
+                await request.gather(_LARGEST_UNSERVED, _LARGEST_UNSERVED)
+                return own_answer(503, "leaving", request.attempt_id, 0.1, closes=True)
+            return await self._handle(request)
+        finally:
+            self.in_progress -= 1
+
+    def on_made(self, connection: ClientConnection) -> None:
+        """A client has come."""
+        self._connections.add(connection)
+        if self._most_connections is not None and len(self._connections) > self._most_connections:
+            self._make_room(connection)
+
+    def on_lost(self, connection: ClientConnection) -> None:
+        """A client has gone."""
+        self._connections.discard(connection)
+
+    def close_idle(self) -> None:
+        """Closes every connection on which no request is being served."""
+        for connection in list(self._connections):
+            connection.close_if_idle()
+
+    def set_limits(self, limits: Limits) -> None:
+        """What the operator's configuration allows clients."""
+        self.header_bytes = limits.header_bytes
+        self.header_time = limits.header_time
+        self.idle_time = limits.idle_time
+
+    def _make_room(self, newcomer: ClientConnection) -> None:
+        """Connections to targets must never starve of descriptors."""
+        idle = [
+            connection
+            for connection in self._connections
+            if connection is not newcomer and connection.is_idle and connection.head_since is None
+        ]
+        # What was not read is sent again by any client, so where nobody
+        # rests the newcomer itself is turned away before it is read.
+        if idle:
+            min(idle, key=lambda connection: connection.quiet_since).close_if_idle()
+        else:
+            newcomer.turn_away()
+
+    def stop(self) -> None:
+        """Listens no longer."""
+        if self._server is not None:
+            self._server.close()
+
+    async def run(self) -> None:
+        """Closes the connections that are quiet or slow for too long, for ever."""
+        while True:
+            await asyncio.sleep(_SWEEP.total_seconds())
+            now = time.monotonic()
+            idle_before = now - self.idle_time.total_seconds()
+            head_before = now - self.header_time.total_seconds()
+            for connection in list(self._connections):
+                if connection.head_since is not None and connection.head_since < head_before:
+                    connection.refuse_slow_head()
+                elif connection.quiet_since < idle_before:
+                    connection.close_if_idle()
--- a/marblefold/http_streams/target_stream.py
+++ b/marblefold/http_connections/target_connection.py
@@ -1,32 +1,33 @@
-"""One stream to the target beside this proxy: one request at a time.
+"""One connection to the target beside this proxy: one request at a time.
 
 The parser is aiohttp's.  Its client is not used: it repeats requests on its
-own when a reused stream breaks, and here nobody but the request path may.
+own when a reused connection breaks, and here nobody but the request path may.
 """
 
 import asyncio
 import enum
 import time
-from typing import Callable, NamedTuple
+from collections.abc import Callable
+from typing import NamedTuple
 
 from aiohttp.base_protocol import BaseProtocol
-from aiohttp.http_parser import HttpResponseParser
 from aiohttp.http_exceptions import HttpProcessingError
+from aiohttp.http_parser import HttpResponseParser
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.heads import find_header
+from marblefold.errors import MeshError
+from marblefold.http_connections.heads import find_header
 
-__all__ = ["StreamState", "TargetAnswer", "TargetStream"]
+__all__ = ["ConnectionState", "TargetAnswer", "TargetConnection"]
 
 _PARSER_BUFFER = 256 * 1024
-# A kept stream is dropped so long before the target would close it.
+# A kept connection is dropped so long before the target would close it.
 _KEEP_MARGIN_SECONDS = 0.7
 _LONGEST_KEPT_SECONDS = 30.0
 
 
-class StreamState(enum.Enum):
-    """What a stream to a target may be used for."""
+class ConnectionState(enum.Enum):
+    """What a connection to a target may be used for."""
 
     IDLE = "idle"
     BUSY = "busy"
@@ -45,7 +46,7 @@
     is_not_executed: bool
 
 
-class TargetStream(BaseProtocol):
+class TargetConnection(BaseProtocol):
     """Owns one connection to a target."""
 
     def __init__(self, on_heard: Callable[[], None] = lambda: None) -> None:
@@ -53,10 +54,15 @@
         super().__init__(loop)
         self._on_heard = on_heard
         self._parser = HttpResponseParser(
-            self, loop, _PARSER_BUFFER, payload_exception=ConnectionError,
-            auto_decompress=False, max_line_size=32768, max_field_size=32768,
+            self,
+            loop,
+            _PARSER_BUFFER,
+            payload_exception=ConnectionError,
+            auto_decompress=False,
+            max_line_size=32768,
+            max_field_size=32768,
         )
-        self.state = StreamState.IDLE
+        self.state = ConnectionState.IDLE
         self.usable_until = time.monotonic() + 1.0
         # Since when nothing went over it.
         self.rested_since = time.monotonic()
@@ -67,18 +73,18 @@
         self._waiter: asyncio.Future[TargetAnswer] | None = None
         self._payload = None
 
-    def change_state(self, state: StreamState) -> None:
+    def change_state(self, state: ConnectionState) -> None:
         """The one place where the state changes; closed stays closed."""
-        if self.state is StreamState.CLOSED:
+        if self.state is ConnectionState.CLOSED:
             return
-        # What poisoned a stream does not wear off.
-        if self.state is StreamState.POISONED and state is not StreamState.CLOSED:
+        # What poisoned a connection does not wear off.
+        if self.state is ConnectionState.POISONED and state is not ConnectionState.CLOSED:
             return
         self.state = state
 
     async def begin(self, head: bytes, attempt_id: bytes | None) -> None:
         """Sends the head of a request, perhaps with its body behind it."""
-        self.change_state(StreamState.BUSY)
+        self.change_state(ConnectionState.BUSY)
         self.rest_before = time.monotonic() - self.rested_since
         self.has_answered = False
         self._attempt_id = attempt_id
@@ -90,7 +96,7 @@
     async def send(self, chunk: bytes) -> None:
         """Sends more of the body."""
         if self.transport is None:
-            raise Breakdown("target", "closed while the body was sent")
+            raise MeshError("target", "closed while the body was sent")
         self.transport.write(chunk)
         if self._paused:
             await self._drain_helper()
@@ -100,19 +106,19 @@
         return await self._waiter
 
     def finish(self) -> bool:
-        """The answer was read whole; tells whether the stream may be kept."""
+        """The answer was read whole; tells whether the connection may be kept."""
         self._waiter = None
         self._payload = None
         self.rested_since = time.monotonic()
-        if self.state is StreamState.BUSY and time.monotonic() < self.usable_until:
-            self.change_state(StreamState.IDLE)
+        if self.state is ConnectionState.BUSY and time.monotonic() < self.usable_until:
+            self.change_state(ConnectionState.IDLE)
             return True
         self.close()
         return False
 
     def close(self) -> None:
-        """Ends the stream; a target at work on a request then drops it."""
-        self.change_state(StreamState.CLOSED)
+        """Ends the connection; a target at work on a request then drops it."""
+        self.change_state(ConnectionState.CLOSED)
         if self.transport is not None:
             self.transport.abort()
 
@@ -122,15 +128,17 @@
         try:
             messages, _upgraded, _tail = self._parser.feed_data(data)
         except (HttpProcessingError, ValueError) as error:
-            self._break_off(Breakdown("target", f"bytes that are no answer: {type(error).__name__}"))
+            self._break_off(
+                MeshError("target", f"bytes that are no answer: {type(error).__name__}")
+            )
             return
         for message, payload in messages:
             self._take(message, payload)
 
     def connection_lost(self, error: Exception | None) -> None:
         super().connection_lost(error)
-        self.change_state(StreamState.CLOSED)
-        self._break_off(Breakdown("target", f"closed: {error or 'without a word'}"))
+        self.change_state(ConnectionState.CLOSED)
+        self._break_off(MeshError("target", f"closed: {error or 'without a word'}"))
 
     def _take(self, message, payload) -> None:
         waiter = self._waiter
@@ -141,8 +149,9 @@
         if message.code < 200:
             return
         headers = message.raw_headers
-        is_not_executed = message.code == 421 or find_header(
-            headers, wire_names.NOT_EXECUTED) is not None
+        is_not_executed = (
+            message.code == 421 or find_header(headers, wire_names.NOT_EXECUTED) is not None
+        )
         told = find_header(headers, wire_names.ATTEMPT_ID)
         if self._attempt_id is not None and told != self._attempt_id:
             # Only a refusal may come without the id; another id is an answer
@@ -150,15 +159,16 @@
             if told is not None or not is_not_executed:
                 self._poison()
                 if told is None:
-                    self._break_off(Breakdown("target", "an answer without an id"))
+                    self._break_off(MeshError("target", "an answer without an id"))
                 return
         if not _has_end(message):
-            self._break_off(Breakdown("target", "an answer without an end"))
+            self._break_off(MeshError("target", "an answer without an end"))
             return
         self._note_keeping(message)
         self._payload = payload
-        waiter.set_result(TargetAnswer(
-            message.code, message.reason, headers, payload, is_not_executed))
+        waiter.set_result(
+            TargetAnswer(message.code, message.reason, headers, payload, is_not_executed)
+        )
 
     def _note_keeping(self, message) -> None:
         kept = _LONGEST_KEPT_SECONDS
@@ -172,15 +182,15 @@
         self.usable_until = time.monotonic() + kept
 
     def _poison(self) -> None:
-        self.change_state(StreamState.POISONED)
+        self.change_state(ConnectionState.POISONED)
         # Nobody uses it now, so nothing is lost by ending it at once.
         if self._waiter is None:
             self.close()
 
-    def _break_off(self, breakdown: Breakdown) -> None:
+    def _break_off(self, error: MeshError) -> None:
         self.close()
         if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_exception(breakdown)
+            self._waiter.set_exception(error)
             self._waiter.exception()
         if self._payload is not None and not self._payload.is_eof():
             self._payload.set_exception(ConnectionResetError("answer broken off"))
--- a/marblefold/inner_protocol/body_pipe.py
+++ b/marblefold/inner_protocol/body_pipe.py
@@ -1,13 +1,13 @@
-"""A body on its way over a shared stream, bounded by credit.
+"""A body on its way over a shared connection, bounded by credit.
 
-Streams between peers carry many exchanges, so a slow reader of one body must
+Connections between peers carry many exchanges, so a slow reader of one body must
 not stop the others: its sender may only send what the reader granted.
 """
 
 import asyncio
 from collections import deque
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 
 __all__ = ["BodyPipe", "FIRST_CREDIT"]
 
@@ -21,7 +21,7 @@
         self._chunks: deque[bytes] = deque()
         self._waiter: asyncio.Future | None = None
         self._ended = False
-        self._broken: Breakdown | None = None
+        self._broken: MeshError | None = None
         self._grant = grant
         # How much of the body came so far.
         self.taken = 0
@@ -37,9 +37,9 @@
         self._ended = True
         self._wake()
 
-    def break_off(self, breakdown: Breakdown) -> None:
+    def break_off(self, error: MeshError) -> None:
         """The rest of the body will not come."""
-        self._broken = breakdown
+        self._broken = error
         self._wake()
 
     async def read(self) -> bytes:
--- a/marblefold/inner_protocol/exchange.py
+++ b/marblefold/inner_protocol/exchange.py
@@ -1,10 +1,11 @@
-"""One hop on a stream between peers, as either end holds it."""
+"""One hop on a connection between peers, as either end holds it."""
 
 import asyncio
 import struct
-from typing import TYPE_CHECKING, Callable
+from collections.abc import Callable
+from typing import TYPE_CHECKING
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.frames import FrameKind
 
@@ -18,28 +19,28 @@
 
 
 class Exchange:
-    """One hop on a stream, at either end."""
+    """One hop on a connection, at either end."""
 
-    def __init__(self, stream: "PeerConnection", number: int, credit: int) -> None:
-        self.stream = stream
+    def __init__(self, connection: "PeerConnection", number: int, credit: int) -> None:
+        self.connection = connection
         self.number = number
         self.answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self.incoming = BodyPipe(self.grant)
         self.on_cancel: Callable[[], None] | None = None
         self._credit = credit
         self._credit_waiter: asyncio.Future | None = None
-        self.broken: Breakdown | None = None
+        self.broken: MeshError | None = None
         # Whether the request may go elsewhere while this peer is silent.
         self.is_repeatable = False
 
-    def break_off(self, breakdown: Breakdown) -> None:
-        """The stream below this exchange is gone, or its peer reset it."""
-        self.broken = breakdown
+    def break_off(self, error: MeshError) -> None:
+        """The connection below this exchange is gone, or its peer reset it."""
+        self.broken = error
         if not self.answer.done():
-            self.answer.set_exception(breakdown)
+            self.answer.set_exception(error)
             # Nobody may be waiting any more; the loop need not complain.
             self.answer.exception()
-        self.incoming.break_off(breakdown)
+        self.incoming.break_off(error)
         self._wake_sender()
         if self.on_cancel is not None:
             self.on_cancel()
@@ -60,23 +61,23 @@
                 raise self.broken
             # Never beyond the credit: the peer counts on it for its link, where
             # what overshoots stands before every other hop.
-            part = bytes(rest[:min(_CHUNK, self._credit)])
-            rest = rest[len(part):]
+            part = bytes(rest[: min(_CHUNK, self._credit)])
+            rest = rest[len(part) :]
             self._credit -= len(part)
-            self.stream.send(FrameKind.BODY, self.number, part)
-            await self.stream.drain()
+            self.connection.send(FrameKind.BODY, self.number, part)
+            await self.connection.drain()
 
     def send(self, kind: FrameKind, payload: bytes = b"") -> None:
         """Sends a frame of this exchange."""
-        self.stream.send(kind, self.number, payload)
+        self.connection.send(kind, self.number, payload)
 
     def close(self) -> None:
         """The exchange is over at this end."""
-        self.stream.forget(self.number)
+        self.connection.forget(self.number)
 
     def grant(self, size: int) -> None:
         """Lets the peer send more of the body."""
-        self.stream.send(FrameKind.CREDIT, self.number, _CREDIT.pack(size))
+        self.connection.send(FrameKind.CREDIT, self.number, _CREDIT.pack(size))
 
     def _wake_sender(self) -> None:
         if self._credit_waiter is not None and not self._credit_waiter.done():
@@ -95,6 +96,6 @@
     elif kind == FrameKind.CREDIT:
         exchange.take_credit(_CREDIT.unpack(payload)[0])
     elif kind == FrameKind.RESET:
-        exchange.break_off(Breakdown("answer", "reset by peer", exchange.stream.peer))
+        exchange.break_off(MeshError("answer", "reset by peer", exchange.connection.peer))
     elif kind == FrameKind.CANCEL and exchange.on_cancel is not None:
         exchange.on_cancel()
--- a/marblefold/inner_protocol/messages.py
+++ b/marblefold/inner_protocol/messages.py
@@ -1,13 +1,25 @@
-"""Tells the protobuf messages apart on a stream: one byte says which it is."""
+"""Tells the protobuf messages apart on a connection: one byte says which it is."""
 
 from marblefold.inner_protocol import messages_pb2 as kinds
 
 __all__ = ["kinds", "pack_message", "unpack_message"]
 
 _ORDER = (
-    kinds.TargetNotice, kinds.Follow, kinds.Feed, kinds.StoreCall, kinds.StoreAnswer,
-    kinds.WordCall, kinds.WordAnswer, kinds.Accepted, kinds.Probe, kinds.RenewTerm,
-    kinds.TermGrant, kinds.Want, kinds.Entry, kinds.TrafficNotice, kinds.SpanBatch,
+    kinds.TargetNotice,
+    kinds.Follow,
+    kinds.Feed,
+    kinds.StoreCall,
+    kinds.StoreAnswer,
+    kinds.RegisterCall,
+    kinds.RegisterAnswer,
+    kinds.Accepted,
+    kinds.Probe,
+    kinds.RenewLease,
+    kinds.LeaseGrant,
+    kinds.Want,
+    kinds.Entry,
+    kinds.TrafficNotice,
+    kinds.SpanBatch,
     kinds.TraceMark,
 )
 _CODES = {kind: code for code, kind in enumerate(_ORDER)}
--- a/marblefold/inner_protocol/peer_connection.py
+++ b/marblefold/inner_protocol/peer_connection.py
@@ -1,18 +1,18 @@
-"""One stream between two of marblefold's own processes."""
+"""One connection between two of marblefold's own processes."""
 
 import asyncio
 import socket
 import time
 from typing import Protocol
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.inner_protocol.body_pipe import FIRST_CREDIT
 from marblefold.inner_protocol.exchange import Exchange, take_frame
 from marblefold.inner_protocol.frames import Frame, FrameKind, FrameReader, pack_frame
 
-__all__ = ["PeerConnection", "PEER_KEEP_ALIVE", "StreamOwner"]
+__all__ = ["PeerConnection", "PEER_KEEP_ALIVE", "ConnectionOwner"]
 
-# A cut says nothing: bytes not acknowledged for so long end the stream.
+# A cut says nothing: bytes not acknowledged for so long end the connection.
 _UNHEARD_MILLISECONDS = 2000
 # Where many peers are connected, idle connections are asked for a sign of life
 # rarely: every node has one to every other, so what they say grows with all of
@@ -21,22 +21,22 @@
 PEER_KEEP_ALIVE = 20
 
 
-class StreamOwner(Protocol):
-    """What the owner of a stream is told."""
+class ConnectionOwner(Protocol):
+    """What the owner of a connection is told."""
 
     def on_hop(self, exchange: "Exchange", payload: bytes) -> None: ...
 
-    def on_call(self, stream: "PeerConnection", number: int, payload: bytes) -> None: ...
+    def on_call(self, connection: "PeerConnection", number: int, payload: bytes) -> None: ...
 
-    def on_tell(self, stream: "PeerConnection", payload: bytes) -> None: ...
+    def on_tell(self, connection: "PeerConnection", payload: bytes) -> None: ...
 
-    def on_lost(self, stream: "PeerConnection") -> None: ...
+    def on_lost(self, connection: "PeerConnection") -> None: ...
 
 
 class PeerConnection(asyncio.Protocol):
     """Carries many exchanges at once; knows nothing of what they are about."""
 
-    def __init__(self, owner: StreamOwner, peer: str = "", keep_alive: int = 1) -> None:
+    def __init__(self, owner: ConnectionOwner, peer: str = "", keep_alive: int = 1) -> None:
         self.peer = peer
         self._keep_alive = keep_alive
         self.is_open = False
@@ -68,16 +68,16 @@
         except ValueError:
             self.close()
 
-    def connection_lost(self, error: Exception | None) -> None:
+    def connection_lost(self, exc: Exception | None) -> None:
         self.is_open = False
-        breakdown = Breakdown("stream", str(error or "closed"), self.peer)
+        error = MeshError("connection", str(exc or "closed"), self.peer)
         exchanges, self._exchanges = self._exchanges, {}
         for exchange in exchanges.values():
-            exchange.break_off(breakdown)
+            exchange.break_off(error)
         calls, self._calls = self._calls, {}
         for future in calls.values():
             if not future.done():
-                future.set_exception(breakdown)
+                future.set_exception(error)
         self.resume_writing()
         self._owner.on_lost(self)
 
@@ -90,12 +90,12 @@
         self._drained = None
 
     async def drain(self) -> None:
-        """Waits while the stream holds more than it can send."""
+        """Waits while the connection holds more than it can send."""
         if self._drained is not None:
             await asyncio.shield(self._drained)
 
     def send(self, kind: int, number: int, payload: bytes = b"") -> None:
-        """Sends a frame; on a lost stream it goes nowhere."""
+        """Sends a frame; on a lost connection it goes nowhere."""
         if self.is_open:
             self._transport.write(pack_frame(kind, number, payload))
 
@@ -117,9 +117,9 @@
         self._exchanges.pop(number, None)
 
     async def call(self, message: bytes, seconds: float) -> bytes:
-        """Sends a message and waits for the reply, or a Breakdown."""
+        """Sends a message and waits for the reply, or a MeshError."""
         if not self.is_open:
-            raise Breakdown("call", "stream is closed", self.peer)
+            raise MeshError("call", "connection is closed", self.peer)
         self._next_number += 1
         number = self._next_number
         future = asyncio.get_running_loop().create_future()
@@ -129,7 +129,7 @@
             async with asyncio.timeout(seconds):
                 return await future
         except TimeoutError:
-            raise Breakdown("call", "no reply in time", self.peer) from None
+            raise MeshError("call", "no reply in time", self.peer) from None
         finally:
             self._calls.pop(number, None)
 
@@ -148,14 +148,14 @@
             self.send(FrameKind.PING, 0)
         return False
 
-    def break_off_repeatable(self, breakdown: Breakdown) -> None:
+    def break_off_repeatable(self, error: MeshError) -> None:
         """Lets go of the exchanges whose requests may go elsewhere."""
         for exchange in list(self._exchanges.values()):
             if exchange.is_repeatable:
-                exchange.break_off(breakdown)
+                exchange.break_off(error)
 
     def close(self) -> None:
-        """Ends the stream at once."""
+        """Ends the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
--- a/marblefold/terms/held_terms.py
+++ b/marblefold/leases/held_leases.py
@@ -1,22 +1,22 @@
-"""The terms that a node holds: how long it may go on with what it knows.
+"""The leases that a node holds: how long it may go on with what it knows.
 
-Allow late, forbid early.  A term is asked for, and counted on the node's own
+Allow late, forbid early.  A lease is asked for, and counted on the node's own
 steady clock from the moment it asked; whoever grants it counts from a moment
 no earlier.  So it ends at the node before anybody relies on its end.
 """
 
 from typing import NamedTuple
 
-__all__ = ["DRIFT_MARGIN", "Grant", "HeldTerms", "OwnedTerm", "TERM_SECONDS"]
+__all__ = ["DRIFT_MARGIN", "Grant", "HeldLeases", "OwnedLease", "LEASE_SECONDS"]
 
-TERM_SECONDS = 3.0
-# Two steady clocks may run so far apart: whoever waits for a term's end waits
+LEASE_SECONDS = 3.0
+# Two steady clocks may run so far apart: whoever waits for a lease's end waits
 # this part longer.
 DRIFT_MARGIN = 0.05
 _KEPT_ASKINGS = 16
 
 
-class OwnedTerm(NamedTuple):
+class OwnedLease(NamedTuple):
     """A service that our site owns, under an epoch."""
 
     upstream: str
@@ -30,10 +30,10 @@
     asking: int
     partner_seconds: float
     partner_digest: str
-    owned: tuple[OwnedTerm, ...]
+    owned: tuple[OwnedLease, ...]
 
 
-class HeldTerms:
+class HeldLeases:
     """Asked on the path, so it only compares numbers."""
 
     def __init__(self) -> None:
@@ -54,7 +54,7 @@
         asked = self._asked.get(grant.asking)
         if asked is None:
             return
-        # A term for other routes than ours says nothing of ours.
+        # A lease for other routes than ours says nothing of ours.
         if grant.partner_digest == own_digest:
             self._partner_until = max(self._partner_until, asked + grant.partner_seconds)
         for owned in grant.owned:
--- a/marblefold/maintenance/calls.py
+++ b/marblefold/maintenance/calls.py
@@ -1,16 +1,20 @@
 """The administration calls for windows and floors."""
 
-from datetime import datetime, timedelta, timezone
-from typing import Callable
+from collections.abc import Callable
+from datetime import UTC, datetime, timedelta
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.answer import Answer
-from marblefold.http_streams.call_router import (
-    Call, CallRouter, faults_answer, json_answer, not_now_answer)
-from marblefold.maintenance.duty import REGISTER, Words
-from marblefold.maintenance.model import (
-    Document, WindowState, read_floors_body, read_window_body)
+from marblefold.errors import MeshError
+from marblefold.http_connections.answer import Answer
+from marblefold.http_connections.call_router import (
+    Call,
+    CallRouter,
+    faults_answer,
+    json_answer,
+    not_now_answer,
+)
+from marblefold.maintenance.duty import REGISTER, RegisterClient
+from marblefold.maintenance.model import Document, WindowState, read_floors_body, read_window_body
 from marblefold.maintenance.planning import change_state
 
 __all__ = ["MaintenanceCalls"]
@@ -32,9 +36,12 @@
     """Reads, checks and has the stores hold what operators ask."""
 
     def __init__(
-        self, words: Words, zones: Callable[[], set[str]], capacity: Callable[[], dict[str, int]],
+        self,
+        store_client: RegisterClient,
+        zones: Callable[[], set[str]],
+        capacity: Callable[[], dict[str, int]],
     ) -> None:
-        self._words = words
+        self._store_client = store_client
         self._zones = zones
         self._capacity = capacity
 
@@ -47,13 +54,14 @@
 
     async def _list(self, _call: Call) -> Answer:
         try:
-            held = await self._words.ask("describe", REGISTER)
-        except Breakdown as breakdown:
-            return not_now_answer(breakdown)
+            held = await self._store_client.ask("describe", REGISTER)
+        except MeshError as error:
+            return not_now_answer(error)
         document = Document.read(held.value)
         windows = sorted(document.windows.values(), key=lambda window: window.expected_start)
-        return json_answer(200, {
-            "floors": document.floors, "windows": [window.to_plain() for window in windows]})
+        return json_answer(
+            200, {"floors": document.floors, "windows": [window.to_plain() for window in windows]}
+        )
 
     async def _set_floors(self, call: Call) -> Answer:
         try:
@@ -85,7 +93,8 @@
             if known.state.is_over:
                 return document
             return document.with_window(
-                change_state(known, WindowState.WITHDRAWN, reason="withdrawn by an operator"))
+                change_state(known, WindowState.WITHDRAWN, reason="withdrawn by an operator")
+            )
 
         return await self._change(change)
 
@@ -93,22 +102,27 @@
         """Changes the document at the number it was read at, or tries again."""
         try:
             for _ in range(_TRIES):
-                held = await self._words.ask("describe", REGISTER)
+                held = await self._store_client.ask("describe", REGISTER)
                 value = change(Document.read(held.value)).pack()
-                answer = await self._words.ask(REGISTER, REGISTER, held.number, value)
+                answer = await self._store_client.ask(REGISTER, REGISTER, held.number, value)
                 if answer.value == value:
                     return json_answer(200, {})
         except _Refused as refused:
             return json_answer(refused.status, {wire_names.REASON: str(refused)})
-        except Breakdown as breakdown:
-            return not_now_answer(breakdown)
+        except MeshError as error:
+            return not_now_answer(error)
         return json_answer(
-            503, {wire_names.REASON: "others change it all the time"}, _RETRY_SECONDS)
+            503, {wire_names.REASON: "others change it all the time"}, _RETRY_SECONDS
+        )
 
 
 def _without_old(document: Document) -> Document:
     """What is long over need not be carried for ever."""
-    oldest = datetime.now(timezone.utc) - _KEPT
-    return document._replace(windows={
-        name: window for name, window in document.windows.items()
-        if window.is_emptied or not window.state.is_over or window.latest_end > oldest})
+    oldest = datetime.now(UTC) - _KEPT
+    return document._replace(
+        windows={
+            name: window
+            for name, window in document.windows.items()
+            if window.is_emptied or not window.state.is_over or window.latest_end > oldest
+        }
+    )
--- a/marblefold/maintenance/command.py
+++ b/marblefold/maintenance/command.py
@@ -24,19 +24,19 @@
 _WORDS = "list | set NAME | withdraw NAME | floors"
 
 
-def run_windows(words: list[str]) -> int:
-    """Does what the words ask; the exit status of the process."""
-    call = _make_call(words)
+def run_windows(arguments: list[str]) -> int:
+    """Does what the arguments ask; the exit status of the process."""
+    call = _make_call(arguments)
     if call is None or not FLAGS.system:
         print(f"usage: python3 -m marblefold windows --system=HOST:PORT {_WORDS}", file=sys.stderr)
         return _USAGE
     return asyncio.run(_call(*call))
 
 
-def _make_call(words: list[str]):
-    if words == ["list"]:
+def _make_call(arguments: list[str]):
+    if arguments == ["list"]:
         return "GET", wire_names.MAINTENANCE_PATH, None
-    if words == ["floors"]:
+    if arguments == ["floors"]:
         floors = {}
         for floor in FLAGS.floor:
             upstream, sign, slots = floor.partition("=")
@@ -44,15 +44,22 @@
                 return None
             floors[upstream] = int(slots)
         return "PUT", wire_names.FLOORS_PATH, floors
-    if len(words) != 2:
+    if len(arguments) != 2:
         return None
-    path = wire_names.WINDOW_PATH.format(quote(words[1], safe=""))
-    if words[0] == "withdraw":
+    path = wire_names.WINDOW_PATH.format(quote(arguments[1], safe=""))
+    if arguments[0] == "withdraw":
         return "DELETE", path, None
-    if words[0] == "set":
-        return "PUT", path, {
-            "zone": FLAGS.zone, "wanted-start": FLAGS.start, "length-s": FLAGS.length_s,
-            "latest-end": FLAGS.latest_end}
+    if arguments[0] == "set":
+        return (
+            "PUT",
+            path,
+            {
+                "zone": FLAGS.zone,
+                "wanted-start": FLAGS.start,
+                "length-s": FLAGS.length_s,
+                "latest-end": FLAGS.latest_end,
+            },
+        )
     return None
 
 
@@ -61,11 +68,12 @@
 
     timeout = aiohttp.ClientTimeout(total=_CALL_SECONDS)
     try:
-        async with aiohttp.ClientSession(timeout=timeout) as session:
-            async with session.request(
-                    method, f"http://{FLAGS.system}{path}", json=document) as answer:
-                body = json.loads(await answer.read())
-                status = answer.status
+        async with (
+            aiohttp.ClientSession(timeout=timeout) as session,
+            session.request(method, f"http://{FLAGS.system}{path}", json=document) as answer,
+        ):
+            body = json.loads(await answer.read())
+            status = answer.status
     except (aiohttp.ClientError, TimeoutError, ValueError) as error:
         print(f"{FLAGS.system}: {error or 'no answer in time'}", file=sys.stderr)
         return _USAGE
@@ -82,5 +90,7 @@
         print(f"floor {upstream}: {slots} slots")
     for window in body["windows"]:
         reason = f" ({window['reason']})" if window["reason"] else ""
-        print(f"window {window['name']}: {window['state']} in {window['zone']} "
-              f"from {window['expected-start']} for {window['length-s']:g} s{reason}")
+        print(
+            f"window {window['name']}: {window['state']} in {window['zone']} "
+            f"from {window['expected-start']} for {window['length-s']:g} s{reason}"
+        )
--- a/marblefold/maintenance/duty.py
+++ b/marblefold/maintenance/duty.py
@@ -9,7 +9,7 @@
 from datetime import datetime
 from typing import Protocol
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.logs import log
 from marblefold.maintenance.model import Document, Window, WindowState
 from marblefold.maintenance.planning import LiveSlots, change_state, plan_windows, shortfalls
@@ -34,7 +34,7 @@
     def now(self) -> datetime: ...
 
 
-class Words(Protocol):
+class RegisterClient(Protocol):
     """Where the operator's words are kept."""
 
     async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
@@ -43,10 +43,10 @@
 class MaintenanceDuty:
     """Holds the newest document known and acts on it while the duty is ours."""
 
-    def __init__(self, words: Words, surroundings: Surroundings) -> None:
+    def __init__(self, store_client: RegisterClient, surroundings: Surroundings) -> None:
         self.document = Document({}, {})
         self.number = 0
-        self._words = words
+        self._store_client = store_client
         self._surroundings = surroundings
         self._warned: list[str] = []
 
@@ -64,8 +64,8 @@
                 continue
             try:
                 await self.step()
-            except Breakdown as breakdown:
-                log.warning("maintenance", step=breakdown.step, reason=breakdown.reason)
+            except MeshError as error:
+                log.warning("maintenance", step=error.step, reason=error.reason)
 
     async def step(self) -> None:
         """One round: plans, has the plan held, then acts on what is held."""
@@ -85,18 +85,20 @@
     async def _act(self, window: Window) -> Window:
         register = "evacuation/" + window.zone
         if window.state is WindowState.RUNNING and not window.is_emptied:
-            await self._words.ask("window-empty", register)
+            await self._store_client.ask("window-empty", register)
             log.info("window runs", window=window.name, zone=window.zone)
             return window._replace(is_emptied=True)
-        if window.state is WindowState.RUNNING and self._surroundings.evacuation(
-                window.zone) == b"off":
+        if (
+            window.state is WindowState.RUNNING
+            and self._surroundings.evacuation(window.zone) == b"off"
+        ):
             # An operator's own order goes before ours.
             return change_state(
-                window, WindowState.FINISHED, is_emptied=False,
-                reason="taken back by an operator")
+                window, WindowState.FINISHED, is_emptied=False, reason="taken back by an operator"
+            )
         if window.state.is_over and window.is_emptied:
             if not self._is_zone_in_use(window.zone):
-                await self._words.ask("window-release", register)
+                await self._store_client.ask("window-release", register)
                 log.info("window over", window=window.name, zone=window.zone)
             return window._replace(is_emptied=False)
         return window
@@ -105,25 +107,28 @@
         """Gives back zones that a late act of an older holder emptied."""
         for zone in self._surroundings.window_zones():
             if not self._is_zone_in_use(zone):
-                await self._words.ask("window-release", "evacuation/" + zone)
+                await self._store_client.ask("window-release", "evacuation/" + zone)
                 log.warning("zone was emptied for no window", zone=zone)
 
     def _is_zone_in_use(self, zone: str) -> bool:
         return any(
             window.zone == zone and window.state is WindowState.RUNNING
-            for window in self.document.windows.values())
+            for window in self.document.windows.values()
+        )
 
     async def _hold(self, document: Document) -> bool:
         """Whether the document was taken at the number that we acted on."""
         value = document.pack()
-        answer = await self._words.ask(REGISTER, REGISTER, self.number, value)
+        answer = await self._store_client.ask(REGISTER, REGISTER, self.number, value)
         self.take(answer.number, answer.value)
         return answer.value == value
 
     def _warn_of_shortfalls(self) -> None:
         zones = {
-            window.zone for window in self.document.windows.values()
-            if window.state is WindowState.RUNNING}
+            window.zone
+            for window in self.document.windows.values()
+            if window.state is WindowState.RUNNING
+        }
         missing = shortfalls(self.document.floors, self._surroundings.live_slots(), zones)
         # Said once for each change, not every second.
         if zones and missing != self._warned and missing:
--- a/marblefold/maintenance/model.py
+++ b/marblefold/maintenance/model.py
@@ -2,10 +2,10 @@
 
 import enum
 import json
-from datetime import datetime, timedelta, timezone
+from datetime import UTC, datetime, timedelta
 from typing import NamedTuple
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 
 __all__ = ["Document", "Window", "WindowState", "read_floors_body", "read_window_body"]
 
@@ -59,14 +59,16 @@
     def to_plain(self) -> dict:
         """The window as a document for operators and for the stores."""
         return {
-            "name": self.name, "zone": self.zone,
+            "name": self.name,
+            "zone": self.zone,
             "wanted-start": self.wanted_start.isoformat(),
             "length-s": self.length.total_seconds(),
             "latest-end": self.latest_end.isoformat(),
             "state": self.state.value,
             "start": self.start.isoformat() if self.start else None,
             "expected-start": self.expected_start.isoformat(),
-            "reason": self.reason, "emptied": self.is_emptied,
+            "reason": self.reason,
+            "emptied": self.is_emptied,
         }
 
 
@@ -78,10 +80,13 @@
 
     def pack(self) -> bytes:
         """The document as bytes."""
-        return json.dumps({
-            "floors": self.floors,
-            "windows": [window.to_plain() for window in self.windows.values()],
-        }, sort_keys=True).encode()
+        return json.dumps(
+            {
+                "floors": self.floors,
+                "windows": [window.to_plain() for window in self.windows.values()],
+            },
+            sort_keys=True,
+        ).encode()
 
     @classmethod
     def read(cls, data: bytes) -> "Document":
@@ -92,11 +97,16 @@
         windows = {}
         for row in plain["windows"]:
             windows[row["name"]] = Window(
-                row["name"], row["zone"], datetime.fromisoformat(row["wanted-start"]),
-                timedelta(seconds=row["length-s"]), datetime.fromisoformat(row["latest-end"]),
+                row["name"],
+                row["zone"],
+                datetime.fromisoformat(row["wanted-start"]),
+                timedelta(seconds=row["length-s"]),
+                datetime.fromisoformat(row["latest-end"]),
                 WindowState(row["state"]),
                 datetime.fromisoformat(row["start"]) if row["start"] else None,
-                row["reason"], row["emptied"])
+                row["reason"],
+                row["emptied"],
+            )
         return cls(plain["floors"], windows)
 
     def with_window(self, window: Window) -> "Document":
@@ -112,9 +122,9 @@
         try:
             return convert(document[key])
         except KeyError:
-            faults.append(Breakdown("window", f"{key}: missing"))
+            faults.append(MeshError("window", f"{key}: missing"))
         except (ValueError, TypeError, OverflowError) as error:
-            faults.append(Breakdown("window", f"{key}: {error}"))
+            faults.append(MeshError("window", f"{key}: {error}"))
         return None
 
     zone = field("zone", lambda value: _known_zone(value, zones))
@@ -122,7 +132,7 @@
     length = field("length-s", _length)
     end = field("latest-end", _moment)
     if not faults and start + length > end:
-        faults.append(Breakdown("window", "latest-end: before wanted-start and length-s are over"))
+        faults.append(MeshError("window", "latest-end: before wanted-start and length-s are over"))
     if faults:
         raise ExceptionGroup("window", faults)
     return Window(name, zone, start, length, end)
@@ -133,10 +143,14 @@
     floors, faults = _read_object(body), []
     for upstream, slots in floors.items():
         if isinstance(slots, bool) or not isinstance(slots, int) or slots < 0:
-            faults.append(Breakdown("floors", f"{upstream}: not a number of slots"))
+            faults.append(MeshError("floors", f"{upstream}: not a number of slots"))
         elif slots > capacity.get(upstream, 0):
-            faults.append(Breakdown(
-                "floors", f"{upstream}: {slots} is above all there is, {capacity.get(upstream, 0)}"))
+            faults.append(
+                MeshError(
+                    "floors",
+                    f"{upstream}: {slots} is above all there is, {capacity.get(upstream, 0)}",
+                )
+            )
     if faults:
         raise ExceptionGroup("floors", faults)
     return floors
@@ -146,9 +160,9 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise ExceptionGroup("body", [Breakdown("read", f"body: {error}")]) from error
+        raise ExceptionGroup("body", [MeshError("read", f"body: {error}")]) from error
     if not isinstance(document, dict):
-        raise ExceptionGroup("body", [Breakdown("read", "body: not an object")])
+        raise ExceptionGroup("body", [MeshError("read", "body: not an object")])
     return document
 
 
@@ -162,7 +176,7 @@
     moment = datetime.fromisoformat(str(value))
     if moment.tzinfo is None:
         raise ValueError("without a time zone")
-    return moment.astimezone(timezone.utc)
+    return moment.astimezone(UTC)
 
 
 def _length(value: object) -> timedelta:
--- a/marblefold/maintenance/planning.py
+++ b/marblefold/maintenance/planning.py
@@ -32,8 +32,10 @@
     def outside(self, upstream: str, zones: set[str]) -> int:
         """The slots of the upstream outside the zones."""
         return sum(
-            count for (name, zone), count in self.slots.items()
-            if name == upstream and zone not in zones)
+            count
+            for (name, zone), count in self.slots.items()
+            if name == upstream and zone not in zones
+        )
 
 
 def change_state(window: Window, state: WindowState, **fields) -> Window:
@@ -66,9 +68,13 @@
             running[name] = window
     # Earlier wishes first, so that no window overtakes one asked for before.
     pending = sorted(
-        (window for window in windows.values()
-         if window.state not in (WindowState.RUNNING,) and not window.state.is_over),
-        key=lambda window: (window.wanted_start, window.name))
+        (
+            window
+            for window in windows.values()
+            if window.state not in (WindowState.RUNNING,) and not window.state.is_over
+        ),
+        key=lambda window: (window.wanted_start, window.name),
+    )
     ahead = list(running.values())
     for window in pending:
         planned = _place(window, ahead, document.floors, live, now)
@@ -79,13 +85,18 @@
 
 
 def _place(
-    window: Window, ahead: list[Window], floors: dict[str, int], live: LiveSlots, now: datetime,
+    window: Window,
+    ahead: list[Window],
+    floors: dict[str, int],
+    live: LiveSlots,
+    now: datetime,
 ) -> Window:
     """Where the window fits behind and beside those that go before it."""
     wanted = max(window.wanted_start, now)
     # It can start when wanted, or when one of those before it is over.
-    starts = sorted({wanted} | {
-        other.expected_end for other in ahead if other.expected_end > wanted})
+    starts = sorted(
+        {wanted} | {other.expected_end for other in ahead if other.expected_end > wanted}
+    )
     reason = ""
     for start in starts:
         end = start + window.length
@@ -99,7 +110,8 @@
         return _start_at(window, start, reason, now)
     if max(now, window.wanted_start) + window.length > window.latest_end:
         return change_state(
-            window, WindowState.IMPOSSIBLE, reason=reason or "no time is left before latest-end")
+            window, WindowState.IMPOSSIBLE, reason=reason or "no time is left before latest-end"
+        )
     # No end that is known of makes room; more capacity may.
     if window.wanted_start <= now:
         return change_state(window, WindowState.WAITING, start=wanted, reason=reason)
@@ -117,5 +129,5 @@
 
 def _zones_during(ahead: list[Window], start: datetime, end: datetime) -> set[str]:
     return {
-        other.zone for other in ahead
-        if other.expected_start < end and start < other.expected_end}
+        other.zone for other in ahead if other.expected_start < end and start < other.expected_end
+    }
--- a/marblefold/membership/datagrams.py
+++ b/marblefold/membership/datagrams.py
@@ -16,12 +16,19 @@
 
 def _pack(message: Message) -> bytes:
     return kinds.Probe(
-        kind=message.kind, number=message.number, subject=message.subject,
+        kind=message.kind,
+        number=message.number,
+        subject=message.subject,
         members=[
             kinds.Member(
-                address=member.address, node=member.node, role=member.role,
-                zone=member.zone, life=member.life, incarnation=member.incarnation,
-                state=member.liveness.name)
+                address=member.address,
+                node=member.node,
+                role=member.role,
+                zone=member.zone,
+                life=member.life,
+                incarnation=member.incarnation,
+                state=member.liveness.name,
+            )
             for member in message.members
         ],
     ).SerializeToString()
@@ -29,12 +36,24 @@
 
 def _unpack(data: bytes, peer: str) -> Message:
     probe = kinds.Probe.FromString(data)
-    return Message(peer, probe.kind, probe.number, probe.subject, tuple(
-        Member(
-            member.address, member.node, member.role, member.zone, member.life,
-            member.incarnation, Liveness[member.state])
-        for member in probe.members
-    ))
+    return Message(
+        peer,
+        probe.kind,
+        probe.number,
+        probe.subject,
+        tuple(
+            Member(
+                member.address,
+                member.node,
+                member.role,
+                member.zone,
+                member.life,
+                member.incarnation,
+                Liveness[member.state],
+            )
+            for member in probe.members
+        ),
+    )
 
 
 class MembershipSocket(asyncio.DatagramProtocol):
--- a/marblefold/membership/members.py
+++ b/marblefold/membership/members.py
@@ -3,7 +3,8 @@
 import enum
 import heapq
 import math
-from typing import Callable, NamedTuple
+from collections.abc import Callable
+from typing import NamedTuple
 
 __all__ = ["Liveness", "Member", "MemberTable"]
 
--- a/marblefold/membership/node.py
+++ b/marblefold/membership/node.py
@@ -1,7 +1,7 @@
 """A node's membership, put together from its config."""
 
 import time
-from typing import Callable
+from collections.abc import Callable
 
 from marblefold.inner_protocol.ports import REGISTRY, inner_address
 from marblefold.membership.datagrams import MembershipSocket
@@ -16,15 +16,24 @@
     """Tells who lives, as far as this node knows."""
 
     def __init__(
-        self, watch: ConfigWatch, role: str, port: int,
+        self,
+        watch: ConfigWatch,
+        role: str,
+        port: int,
         on_change: Callable[[Member], None] = lambda member: None,
     ) -> None:
         config = watch.config
         self._watch = watch
         self._address = inner_address(config.host, config, port)
         own = Member(
-            self._address, config.node_name, role, config.zone,
-            int(time.time() * 1000), 0, Liveness.ALIVE)
+            self._address,
+            config.node_name,
+            role,
+            config.zone,
+            int(time.time() * 1000),
+            0,
+            Liveness.ALIVE,
+        )
         self._prober = Prober(own, self._seeds, on_change)
         self._socket = MembershipSocket(self._prober)
 
@@ -39,7 +48,8 @@
     def members(self, role: str) -> list[Member]:
         """The other members of a role that are not thought gone."""
         return [
-            member for member in self._prober.table
+            member
+            for member in self._prober.table
             if member.role == role and member.liveness is not Liveness.GONE
         ]
 
--- a/marblefold/membership/prober.py
+++ b/marblefold/membership/prober.py
@@ -4,7 +4,8 @@
 """
 
 import random
-from typing import Callable, NamedTuple
+from collections.abc import Callable
+from typing import NamedTuple
 
 from marblefold.membership.members import Liveness, Member, MemberTable
 
@@ -59,9 +60,12 @@
     """One node's part in finding out who lives."""
 
     def __init__(
-        self, own: Member, seeds: Callable[[], list[str]],
+        self,
+        own: Member,
+        seeds: Callable[[], list[str]],
         on_change: Callable[[Member], None] = lambda member: None,
-        config: ProberConfig = ProberConfig(), seed: int | None = None,
+        config: ProberConfig = ProberConfig(),
+        seed: int | None = None,
     ) -> None:
         self.table = MemberTable(own, on_change)
         self._seeds = seeds
@@ -85,8 +89,8 @@
             # it may be lost like any other.  All others do the same: a few each
             # are enough, and a zone that is lost does not flood who is left.
             suspects = [
-                member.address for member in self.table
-                if member.liveness is Liveness.SUSPECT]
+                member.address for member in self.table if member.liveness is Liveness.SUSPECT
+            ]
             picked = self._random.sample(suspects, min(len(suspects), self._config.helpers))
             out.extend(self._ping(address) for address in picked)
         if now >= self._next_gone_probe:
@@ -128,13 +132,17 @@
         # It speaks, so it lives; only its own word counts with the others,
         # so the answer tells it what is thought of it.
         self.table.take(
-            member._replace(incarnation=member.incarnation + 1, liveness=Liveness.ALIVE), now)
+            member._replace(incarnation=member.incarnation + 1, liveness=Liveness.ALIVE), now
+        )
 
     def _probe_next(self, now: float) -> list[Message]:
         members = [member for member in self.table if member.liveness is not Liveness.GONE]
         if not members:
-            return [self._ping(address) for address in self._seeds()
-                    if address != self.table.own.address]
+            return [
+                self._ping(address)
+                for address in self._seeds()
+                if address != self.table.own.address
+            ]
         if not self._turn:
             self._turn = [member.address for member in members]
             self._random.shuffle(self._turn)
@@ -147,7 +155,8 @@
     def _probe_gone(self, now: float) -> list[Message]:
         """A cut may heal: the gone, and seeds nobody knows, are tried at times."""
         out = [
-            self._ping(address) for address in self._seeds()
+            self._ping(address)
+            for address in self._seeds()
             if address != self.table.own.address and self.table.find(address) is None
         ]
         gone = [member for member in self.table if member.liveness is Liveness.GONE]
@@ -182,14 +191,14 @@
 
     def _ask_helpers(self, member: Member, number: int) -> list[Message]:
         helpers = [
-            other for other in self.table
+            other
+            for other in self.table
             if other.liveness is Liveness.ALIVE and other.address != member.address
         ]
         picked = self._random.sample(helpers, min(len(helpers), self._config.helpers))
         # The loss of one datagram is likely enough to ask once more ourselves.
         return [self._make(member.address, "ping", number, "")] + [
-            self._make(helper.address, "ping_request", number, member.address)
-            for helper in picked
+            self._make(helper.address, "ping_request", number, member.address) for helper in picked
         ]
 
     def _end_suspicions(self, now: float) -> None:
@@ -216,6 +225,8 @@
         if known is not None and known.liveness is not Liveness.ALIVE:
             members.append(known)
         members.extend(
-            member for member in self.table.pick_news(self._count_news())
-            if member.address != self.table.own.address)
+            member
+            for member in self.table.pick_news(self._count_news())
+            if member.address != self.table.own.address
+        )
         return Message(peer, kind, number, subject, tuple(members))
--- a/marblefold/node_config/model.py
+++ b/marblefold/node_config/model.py
@@ -33,7 +33,7 @@
     drain_time: timedelta
     grace_period: timedelta
     loss_slack: timedelta
-    spec_apply: timedelta
+    configuration_apply: timedelta
     retry_ratio: float
     retry_window: timedelta
     retry_slack: float
--- a/marblefold/node_config/reading.py
+++ b/marblefold/node_config/reading.py
@@ -5,11 +5,11 @@
 """
 
 import os
+from collections.abc import Callable, Mapping
 from datetime import timedelta
-from typing import Callable, Mapping as MappingType
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.node_config.model import Address, Bounds, Cloud, Limits, NodeConfig
 
 __all__ = ["Address", "Bounds", "Cloud", "Limits", "NodeConfig", "read_config", "parse_config"]
@@ -72,16 +72,16 @@
                 self._values[name.strip()] = value.strip()
 
     def get(self, name: str, convert: Callable, default: object = None):
-        """The converted field; without a default a missing one is a breakdown."""
+        """The converted field; without a default a missing one is a error."""
         text = self._values.get(name)
         if text is None:
             if default is None:
-                raise Breakdown("config", f"field {name} is missing")
+                raise MeshError("config", f"field {name} is missing")
             return default
         try:
             return convert(text)
         except ValueError as error:
-            raise Breakdown("config", f"field {name} is bad: {error}") from error
+            raise MeshError("config", f"field {name} is bad: {error}") from error
 
     def __contains__(self, name: str) -> bool:
         return name in self._values
@@ -89,7 +89,7 @@
     def under(self, prefix: str) -> dict:
         """All fields that begin with the prefix, by what follows it."""
         return {
-            name[len(prefix):]: value
+            name[len(prefix) :]: value
             for name, value in self._values.items()
             if name.startswith(prefix)
         }
@@ -106,7 +106,7 @@
         drain_time=lines.get("bounds.drain-timeout-ms", _milliseconds),
         grace_period=lines.get("bounds.grace-period-s", _seconds),
         loss_slack=lines.get("bounds.loss-slack-ms", _milliseconds),
-        spec_apply=lines.get("bounds.spec-apply-ms", _milliseconds),
+        configuration_apply=lines.get("bounds.config-apply-ms", _milliseconds),
         retry_ratio=lines.get("bounds.retry-budget-ratio", _positive),
         retry_window=lines.get("bounds.retry-window-s", _seconds),
         retry_slack=lines.get("bounds.retry-budget-slack", _positive),
@@ -125,7 +125,7 @@
 
 
 def parse_config(text: str) -> NodeConfig:
-    """The checked config of a node, or a Breakdown that names the bad field."""
+    """The checked config of a node, or a MeshError that names the bad field."""
     lines = _Lines(text)
     listen = {}
     for name in lines.under("listen-addresses."):
@@ -138,10 +138,10 @@
         host=lines.get("ip-address", _word),
         listen=listen,
         inner_ports=lines.get("internal-port-range", _port_range),
-        seeds=lines.get("seed-mates", _addresses),
+        seeds=lines.get("seed-nodes", _addresses),
         is_first_start=lines.get("initial-start", _truth),
         is_loss_counted=lines.get("loss-counted", _truth, False),
-        beat_interval=lines.get("beat-wakeup-ms", _milliseconds),
+        beat_interval=lines.get("heartbeat-interval-ms", _milliseconds),
         bounds=_read_bounds(lines),
         limits=Limits(
             memory_mb=lines.get("limits.memory-mb", _positive),
@@ -159,15 +159,15 @@
     )
 
 
-def read_config(environment: MappingType[str, str]) -> NodeConfig:
+def read_config(environment: Mapping[str, str]) -> NodeConfig:
     """Reads the file that the environment names."""
     path = environment.get(wire_names.CONFIG_FILE_VARIABLE)
     if not path:
-        raise Breakdown("config", f"variable {wire_names.CONFIG_FILE_VARIABLE} is not set")
+        raise MeshError("config", f"variable {wire_names.CONFIG_FILE_VARIABLE} is not set")
     try:
         with open(path, encoding="utf-8") as file:
             return parse_config(file.read())
     except OSError as error:
-        raise Breakdown("config", f"file {path}: {os.strerror(error.errno or 0)}") from error
+        raise MeshError("config", f"file {path}: {os.strerror(error.errno or 0)}") from error
     except UnicodeDecodeError as error:
-        raise Breakdown("config", f"file {path} is not text") from error
+        raise MeshError("config", f"file {path} is not text") from error
--- a/marblefold/node_config/watching.py
+++ b/marblefold/node_config/watching.py
@@ -2,11 +2,11 @@
 
 import asyncio
 import os
+from collections.abc import Callable
 from datetime import timedelta
-from typing import Callable
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig, read_config
 
@@ -33,9 +33,9 @@
         self._mark = self._read_mark()
         try:
             config = read_config(self._environment)
-        except Breakdown as breakdown:
+        except MeshError as error:
             # What was in force serves on: a half-written file must not end us.
-            log.warning("config kept", reason=breakdown.reason)
+            log.warning("config kept", reason=error.reason)
             return
         if config == self.config:
             return
--- a/marblefold/ownership/agent.py
+++ b/marblefold/ownership/agent.py
@@ -1,19 +1,20 @@
 """A site's agent: claims services for its site and lets its guards serve them.
 
 One registry of each site is its agent.  It renews every claim in the stores,
-on the number that it wrote last; from a renewal it grants its guards terms
+on the number that it wrote last; from a renewal it grants its guards leases
 that end, on their own clocks, before its own does.
 """
 
 import asyncio
 import json
 import time
-from typing import Awaitable, Callable, NamedTuple, Protocol
+from collections.abc import Awaitable, Callable
+from typing import NamedTuple, Protocol
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
+from marblefold.leases.held_leases import DRIFT_MARGIN, LEASE_SECONDS, OwnedLease
 from marblefold.logs import log
-from marblefold.ownership.claims import Claim, Owner, Verdict, read_owners_word, settle
-from marblefold.terms.held_terms import DRIFT_MARGIN, TERM_SECONDS, OwnedTerm
+from marblefold.ownership.claims import Claim, Owner, Verdict, read_owners, settle
 
 __all__ = ["OWNERS_REGISTER", "OWNER_PREFIX", "SiteAgent"]
 
@@ -21,10 +22,10 @@
 OWNER_PREFIX = "owner/"
 _RECORD = "site-claims"
 _ROUND_SECONDS = 0.8
-_RIVALS_TERMS = 2.5
+_RIVALS_LEASES = 2.5
 
 
-class Words(Protocol):
+class RegisterClient(Protocol):
     """Where claims are held."""
 
     async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
@@ -49,7 +50,11 @@
     """Claims for one site."""
 
     def __init__(
-        self, site: str, agent: str, words: Words, records: Records,
+        self,
+        site: str,
+        agent: str,
+        store_client: RegisterClient,
+        records: Records,
         claimed: Callable[[], dict[str, set[tuple[str, str]]]],
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
@@ -57,27 +62,29 @@
         self.verdicts: dict[str, Verdict] = {}
         self._site = site
         self._agent = agent
-        self._words = words
+        self._store_client = store_client
         self._records = records
         self._claimed = claimed
         self._clock = clock
         self._sleep = sleep
         self._word: dict[str, tuple[str, ...]] = {}
         self._seen: dict[str, _Seen] = {}
-        self._terms: dict[str, tuple[int, float]] = {}
+        self._leases: dict[str, tuple[int, float]] = {}
         loaded = records.load().get(_RECORD, b"{}")
         self._written: dict[str, list[int]] = json.loads(loaded)
 
-    def take_word(self, value: bytes) -> None:
+    def take_record(self, value: bytes) -> None:
         """The operator says which sites may own which services."""
-        self._word = read_owners_word(value)
+        self._word = read_owners(value)
 
-    def grants(self) -> tuple[OwnedTerm, ...]:
+    def grants(self) -> tuple[OwnedLease, ...]:
         """What the guards of this site may serve, and for how long from now."""
         now = self._clock()
         return tuple(
-            OwnedTerm(upstream, epoch, until - now)
-            for upstream, (epoch, until) in self._terms.items() if until > now)
+            OwnedLease(upstream, epoch, until - now)
+            for upstream, (epoch, until) in self._leases.items()
+            if until > now
+        )
 
     async def run(self) -> None:
         """Renews for ever; without a word of the operator it costs nothing."""
@@ -86,50 +93,57 @@
             for upstream in list(self._word):
                 try:
                     await self.step(upstream)
-                except Breakdown as breakdown:
-                    log.info("claim not settled", upstream=upstream, step=breakdown.step,
-                             reason=breakdown.reason)
+                except MeshError as error:
+                    log.info(
+                        "claim not settled", upstream=upstream, step=error.step, reason=error.reason
+                    )
 
     async def step(self, upstream: str) -> Verdict:
         """Claims one service once."""
         register = OWNER_PREFIX + upstream
         began = self._clock()
-        held = await self._words.ask("describe", register)
+        held = await self._store_client.ask("describe", register)
         owner = Owner.read(held.value)
         seen = self._seen.get(upstream)
         if seen is None or seen.number != held.number:
             # Counted from when it was seen: the renewal came before that.
             seen = self._seen[upstream] = _Seen(held.number, self._clock())
-        # Nobody renewed it for longer than any term granted from it lasts.
-        is_lapsed = began - seen.since > TERM_SECONDS * (1.0 + DRIFT_MARGIN)
+        # Nobody renewed it for longer than any lease granted from it lasts.
+        is_lapsed = began - seen.since > LEASE_SECONDS * (1.0 + DRIFT_MARGIN)
         epoch, renewals = self._written.get(upstream, (0, 0))
         listed = self._word.get(upstream, ())
         claimants = self._claimed().get(upstream, set())
         rivals = frozenset(
-            site for site, _agent in claimants if site != self._site and site in listed)
+            site for site, _agent in claimants if site != self._site and site in listed
+        )
         # Who goes first by the operator's word, but does not come, has lost.
-        if began - seen.since > _RIVALS_TERMS * TERM_SECONDS:
+        if began - seen.since > _RIVALS_LEASES * LEASE_SECONDS:
             rivals = frozenset()
         verdict, wanted = settle(
-            listed, owner, Claim(self._site, self._agent, epoch, renewals), is_lapsed, rivals)
+            listed, owner, Claim(self._site, self._agent, epoch, renewals), is_lapsed, rivals
+        )
         if verdict is Verdict.OWNER:
             verdict = await self._hold(upstream, register, held.number, wanted)
         self._change_verdict(upstream, verdict, owner)
         return verdict
 
     async def _hold(
-        self, upstream: str, register: str, number: int, wanted: Owner,
+        self,
+        upstream: str,
+        register: str,
+        number: int,
+        wanted: Owner,
     ) -> Verdict:
         asked = self._clock()
         value = wanted.pack()
-        answer = await self._words.ask("duty", register, number, value)
+        answer = await self._store_client.ask("duty", register, number, value)
         # Another was faster; what it wrote is judged in the next round.
         if answer.value != value:
             return Verdict.WAITING
         self._written[upstream] = [wanted.epoch, wanted.renewals]
         # On disk before it is used: a start from an older disk must show.
         self._records.write(_RECORD, json.dumps(self._written).encode())
-        self._terms[upstream] = (wanted.epoch, asked + TERM_SECONDS)
+        self._leases[upstream] = (wanted.epoch, asked + LEASE_SECONDS)
         return Verdict.OWNER
 
     def _change_verdict(self, upstream: str, verdict: Verdict, owner: Owner) -> None:
@@ -139,6 +153,12 @@
         self.verdicts[upstream] = verdict
         if verdict is not Verdict.OWNER:
             # What was granted runs out by itself; nothing new is granted.
-            self._terms.pop(upstream, None)
-        log.warning("claim", upstream=upstream, site=self._site, verdict=verdict.value,
-                    owner=owner.site, epoch=owner.epoch)
+            self._leases.pop(upstream, None)
+        log.warning(
+            "claim",
+            upstream=upstream,
+            site=self._site,
+            verdict=verdict.value,
+            owner=owner.site,
+            epoch=owner.epoch,
+        )
--- a/marblefold/ownership/calls.py
+++ b/marblefold/ownership/calls.py
@@ -1,17 +1,23 @@
 """The administration calls for owners: the operator's word, and who owns what."""
 
 import json
-from typing import Callable, NamedTuple
+from collections.abc import Callable
+from typing import NamedTuple
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.answer import Answer
-from marblefold.http_streams.call_router import (
-    Call, CallRouter, faults_answer, json_answer, not_now_answer)
+from marblefold.errors import MeshError
+from marblefold.http_connections.answer import Answer
+from marblefold.http_connections.call_router import (
+    Call,
+    CallRouter,
+    faults_answer,
+    json_answer,
+    not_now_answer,
+)
 from marblefold.logs import log
 from marblefold.ownership.agent import OWNERS_REGISTER
-from marblefold.ownership.claims import Owner, find_clashes, read_owners_word
-from marblefold.partners.duty import Words
+from marblefold.ownership.claims import Owner, find_clashes, read_owners
+from marblefold.partners.duty import RegisterClient
 
 __all__ = ["Claimed", "OwnerCalls"]
 
@@ -28,8 +34,8 @@
 class OwnerCalls:
     """Checks the operator's word, has it held, and shows clashes."""
 
-    def __init__(self, words: Words, claimed: Callable[[], Claimed]) -> None:
-        self._words = words
+    def __init__(self, store_client: RegisterClient, claimed: Callable[[], Claimed]) -> None:
+        self._store_client = store_client
         self._claimed = claimed
 
     def add_to(self, router: CallRouter) -> None:
@@ -39,17 +45,21 @@
 
     async def _show(self, _call: Call) -> Answer:
         try:
-            held = await self._words.ask("describe", OWNERS_REGISTER)
-        except Breakdown as breakdown:
-            return not_now_answer(breakdown)
+            held = await self._store_client.ask("describe", OWNERS_REGISTER)
+        except MeshError as error:
+            return not_now_answer(error)
         claimed = self._claimed()
         clashes = find_clashes(claimed.claimants, claimed.owners)
         services = {}
-        for upstream, sites in read_owners_word(held.value).items():
+        for upstream, sites in read_owners(held.value).items():
             owner = claimed.owners.get(upstream, Owner.read(b""))
             services[upstream] = {
-                "sites": list(sites), "owner": owner.site, "agent": owner.agent,
-                "epoch": owner.epoch, "clash-with": clashes.get(upstream, [])}
+                "sites": list(sites),
+                "owner": owner.site,
+                "agent": owner.agent,
+                "epoch": owner.epoch,
+                "clash-with": clashes.get(upstream, []),
+            }
         return json_answer(200, {"number": held.number, "services": services})
 
     async def _set(self, call: Call) -> Answer:
@@ -59,13 +69,17 @@
             return faults_answer(group)
         value = json.dumps({"services": services}, sort_keys=True).encode()
         try:
-            held = await self._words.ask("spec", OWNERS_REGISTER, number, value)
-        except Breakdown as breakdown:
-            return not_now_answer(breakdown)
+            held = await self._store_client.ask("configuration", OWNERS_REGISTER, number, value)
+        except MeshError as error:
+            return not_now_answer(error)
         if held.value != value or held.number != number:
-            return json_answer(409, {
-                wire_names.REASON: f"number: {number} is not above {held.number}, which holds",
-                "number": held.number})
+            return json_answer(
+                409,
+                {
+                    wire_names.REASON: f"number: {number} is not above {held.number}, which holds",
+                    "number": held.number,
+                },
+            )
         log.info("owners held", number=number, services=sorted(services))
         return json_answer(200, {"number": number})
 
@@ -75,7 +89,7 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise ExceptionGroup("owners", [Breakdown("read", f"body: {error}")]) from error
+        raise ExceptionGroup("owners", [MeshError("read", f"body: {error}")]) from error
     faults = []
     number = document.get("number") if isinstance(document, dict) else None
     if isinstance(number, bool) or not isinstance(number, int) or number < 1:
@@ -85,12 +99,11 @@
         faults.append("services: not an object")
         services = {}
     for upstream, sites in services.items():
-        is_list = isinstance(sites, list) and all(
-            isinstance(site, str) and site for site in sites)
+        is_list = isinstance(sites, list) and all(isinstance(site, str) and site for site in sites)
         if not is_list or not sites:
             faults.append(f"services.{upstream}: not a list of names of sites")
         elif len(set(sites)) != len(sites):
             faults.append(f"services.{upstream}: a site stands twice")
     if faults:
-        raise ExceptionGroup("owners", [Breakdown("check", line) for line in faults])
+        raise ExceptionGroup("owners", [MeshError("check", line) for line in faults])
     return number, services
--- a/marblefold/ownership/claims.py
+++ b/marblefold/ownership/claims.py
@@ -8,7 +8,7 @@
 import json
 from typing import NamedTuple
 
-__all__ = ["Claim", "Owner", "Verdict", "find_clashes", "read_owners_word", "settle"]
+__all__ = ["Claim", "Owner", "Verdict", "find_clashes", "read_owners", "settle"]
 
 
 class Verdict(enum.Enum):
@@ -51,12 +51,15 @@
 
 
 def settle(
-    listed: tuple[str, ...], held: Owner, claim: Claim, is_lapsed: bool,
+    listed: tuple[str, ...],
+    held: Owner,
+    claim: Claim,
+    is_lapsed: bool,
     rivals: frozenset[str] = frozenset(),
 ) -> tuple[Verdict, Owner]:
     """The verdict on a claim, and what the register should hold then.
 
-    is_lapsed: the claimant saw the register unchanged for longer than a term.
+    is_lapsed: the claimant saw the register unchanged for longer than a lease.
     rivals: the other listed sites that claim it just now.
     """
     if claim.site not in listed:
@@ -69,10 +72,14 @@
     # The present owner, as it knows itself: a copy of its disk knows less,
     # and an empty disk knows nothing.
     is_present = (held.site, held.agent, held.epoch, held.renewals) == (
-        claim.site, claim.agent, claim.epoch, claim.renewals)
+        claim.site,
+        claim.agent,
+        claim.epoch,
+        claim.renewals,
+    )
     if is_present:
         return Verdict.OWNER, held._replace(renewals=held.renewals + 1)
-    # Also where the operator's word ends an ownership, its terms must run out.
+    # Also where the operator's word ends an ownership, its leases must run out.
     if not is_lapsed:
         is_same_name = held.site == claim.site
         return (Verdict.REFUSED if is_same_name else Verdict.WAITING), held
@@ -85,24 +92,25 @@
 
 
 def find_clashes(
-    claimed: dict[str, set[tuple[str, str]]], owners: dict[str, Owner],
+    claimed: dict[str, set[tuple[str, str]]],
+    owners: dict[str, Owner],
 ) -> dict[str, list[str]]:
     """The services that more than their owner claims, with the other claimants."""
     clashes = {}
     for upstream, claimants in claimed.items():
         owner = owners.get(upstream)
         others = sorted(
-            f"{site}@{agent}" for site, agent in claimants
-            if owner is None or (site, agent) != (owner.site, owner.agent))
+            f"{site}@{agent}"
+            for site, agent in claimants
+            if owner is None or (site, agent) != (owner.site, owner.agent)
+        )
         if others and (owner is not None or len(claimants) > 1):
             clashes[upstream] = others
     return clashes
 
 
-def read_owners_word(data: bytes) -> dict[str, tuple[str, ...]]:
+def read_owners(data: bytes) -> dict[str, tuple[str, ...]]:
     """The operator's word: which sites may own a service, in order."""
     if not data:
         return {}
-    return {
-        upstream: tuple(sites)
-        for upstream, sites in json.loads(data)["services"].items()}
+    return {upstream: tuple(sites) for upstream, sites in json.loads(data)["services"].items()}
--- a/marblefold/partners/calls.py
+++ b/marblefold/partners/calls.py
@@ -1,19 +1,29 @@
 """The administration calls for partners, and the call that partners make."""
 
 import asyncio
-from typing import Awaitable, Callable
+from collections.abc import Awaitable, Callable
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.answer import Answer
-from marblefold.http_streams.call_router import (
-    Call, CallRouter, faults_answer, json_answer, not_now_answer)
+from marblefold.errors import MeshError
+from marblefold.http_connections.answer import Answer
+from marblefold.http_connections.call_router import (
+    Call,
+    CallRouter,
+    faults_answer,
+    json_answer,
+    not_now_answer,
+)
 from marblefold.logs import log
 from marblefold.partners.document import (
-    Document, Refused, grant_partner, put_exports, withdraw_partner)
-from marblefold.partners.duty import ENFORCED_AFTER, REGISTER, PartnerDuty, Words
+    Document,
+    Refused,
+    grant_partner,
+    put_exports,
+    withdraw_partner,
+)
+from marblefold.partners.duty import ENFORCED_AFTER, REGISTER, PartnerDuty, RegisterClient
 from marblefold.partners.merging import merge
-from marblefold.partners.words import is_credential, read_exports, read_grant
+from marblefold.partners.orders import is_credential, read_exports, read_grant
 
 __all__ = ["PartnerCalls"]
 
@@ -26,10 +36,13 @@
     """Reads, checks and has the stores hold what operators and partners say."""
 
     def __init__(
-        self, words: Words, duty: PartnerDuty, nodes: Callable[[], dict[str, str]],
+        self,
+        store_client: RegisterClient,
+        duty: PartnerDuty,
+        nodes: Callable[[], dict[str, str]],
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
-        self._words = words
+        self._store_client = store_client
         self._duty = duty
         self._nodes = nodes
         self._sleep = sleep
@@ -43,24 +56,30 @@
 
     async def _list(self, _call: Call) -> Answer:
         try:
-            held = await self._words.ask("describe", REGISTER)
-        except Breakdown as breakdown:
-            return not_now_answer(breakdown)
+            held = await self._store_client.ask("describe", REGISTER)
+        except MeshError as error:
+            return not_now_answer(error)
         partners = {
             # Not even its digest is anybody's business.
             name: {key: value for key, value in partner.items() if key != "credential"}
-            for name, partner in Document.read(held.value).partners.items()}
-        return json_answer(200, {
-            "number": held.number, "digest": merge(held.number, held.value).digest,
-            "partners": partners, "nodes": self._nodes()})
+            for name, partner in Document.read(held.value).partners.items()
+        }
+        return json_answer(
+            200,
+            {
+                "number": held.number,
+                "digest": merge(held.number, held.value).digest,
+                "partners": partners,
+                "nodes": self._nodes(),
+            },
+        )
 
     async def _grant(self, call: Call) -> Answer:
         try:
             grant = read_grant(call.body)
         except ExceptionGroup as group:
             return faults_answer(group)
-        return await self._change(
-            lambda document: grant_partner(document, call.subject, grant))
+        return await self._change(lambda document: grant_partner(document, call.subject, grant))
 
     async def _withdraw(self, call: Call) -> Answer:
         return await self._change(lambda document: withdraw_partner(document, call.subject))
@@ -84,26 +103,30 @@
         """Holds the change, and answers once it is enforced everywhere."""
         try:
             for _ in range(_TRIES):
-                held = await self._words.ask("describe", REGISTER)
+                held = await self._store_client.ask("describe", REGISTER)
                 value = change(Document.read(held.value)).pack()
-                answer = await self._words.ask("duty", REGISTER, held.number, value)
+                answer = await self._store_client.ask("duty", REGISTER, held.number, value)
                 if answer.value == value:
                     self._duty.take(answer.number, value)
-                    return await self._wait_enforced(
-                        held.number, held.value, answer.number, value)
+                    return await self._wait_enforced(held.number, held.value, answer.number, value)
         except Refused as refused:
             log.info("partner's word refused", status=refused.status, reason=refused.reason)
             document = {wire_names.REASON: refused.reason}
             if refused.number is not None:
                 document["number"] = refused.number
             return json_answer(refused.status, document)
-        except Breakdown as breakdown:
-            return not_now_answer(breakdown)
+        except MeshError as error:
+            return not_now_answer(error)
         return json_answer(
-            503, {wire_names.REASON: "others change it all the time"}, _RETRY_SECONDS)
+            503, {wire_names.REASON: "others change it all the time"}, _RETRY_SECONDS
+        )
 
     async def _wait_enforced(
-        self, old_number: int, old: bytes, number: int, value: bytes,
+        self,
+        old_number: int,
+        old: bytes,
+        number: int,
+        value: bytes,
     ) -> Answer:
         before, after = merge(old_number, old), merge(number, value)
         # Only what takes something away must be waited for.
@@ -114,10 +137,13 @@
 
 
 def _takes_away(before, after) -> bool:
-    for host, prefixes in before.mappings.items():
-        for prefix, mapping in prefixes.items():
-            now = after.mappings.get(host, {}).get(prefix)
-            if now != mapping:
+    for host, prefixes in before.routes.items():
+        for prefix, route in prefixes.items():
+            now = after.routes.get(host, {}).get(prefix)
+            if now != route:
                 return True
-    return any(after.addresses.get(name) != address
-               for name, address in before.addresses.items() if name in after.addresses)
+    return any(
+        after.addresses.get(name) != address
+        for name, address in before.addresses.items()
+        if name in after.addresses
+    )
--- a/marblefold/partners/document.py
+++ b/marblefold/partners/document.py
@@ -7,10 +7,9 @@
 import json
 from typing import NamedTuple
 
-from marblefold.partners.words import Exports, Grant
+from marblefold.partners.orders import Exports, Grant
 
-__all__ = [
-    "Document", "Refused", "grant_partner", "lapse", "put_exports", "withdraw_partner"]
+__all__ = ["Document", "Refused", "grant_partner", "lapse", "put_exports", "withdraw_partner"]
 
 
 class Refused(Exception):
@@ -48,12 +47,21 @@
     held = document.partners.get(name)
     _check_number(held, "number", grant.number)
     # What it exported before must be read again under the new grant.
-    return document.with_partner(name, {
-        "number": grant.number, "hosts": list(grant.hosts), "address": grant.address,
-        "credential": grant.credential, "lapse-after-s": grant.lapse_after_s,
-        "withdrawn": False, "lapsed": False, "reads": 0,
-        "exports-number": held["exports-number"] if held else 0, "exports": [],
-    })
+    return document.with_partner(
+        name,
+        {
+            "number": grant.number,
+            "hosts": list(grant.hosts),
+            "address": grant.address,
+            "credential": grant.credential,
+            "lapse-after-s": grant.lapse_after_s,
+            "withdrawn": False,
+            "lapsed": False,
+            "reads": 0,
+            "exports-number": held["exports-number"] if held else 0,
+            "exports": [],
+        },
+    )
 
 
 def withdraw_partner(document: Document, name: str) -> Document:
@@ -67,25 +75,40 @@
     held = _find(document, name)
     if held["withdrawn"]:
         raise Refused(403, f"partner {name} is withdrawn")
-    rows = [{
-        "host": export.host, "prefix": export.prefix, "kind": export.kind,
-        "time-limit-ms": export.time_limit_ms, "latency-ms": export.latency_ms,
-    } for export in word.exports]
+    rows = [
+        {
+            "host": export.host,
+            "prefix": export.prefix,
+            "kind": export.kind,
+            "timeout-ms": export.timeout_ms,
+            "latency-ms": export.latency_ms,
+        }
+        for export in word.exports
+    ]
     is_same = word.number == held["exports-number"] and rows == held["exports"]
     if not is_same:
         _check_number(held, "exports-number", word.number)
     faults = [
         f"exports[{index}].host: {row['host']!r} is not granted to {name}"
-        for index, row in enumerate(rows) if row["host"] not in held["hosts"]]
+        for index, row in enumerate(rows)
+        if row["host"] not in held["hosts"]
+    ]
     for index, row in enumerate(rows):
         other = _find_exporter(document, name, row)
         if other:
             faults.append(f"exports[{index}].prefix: {other} exports the same host and prefix")
     if faults:
         raise Refused(409 if "same host" in faults[0] else 400, faults)
-    return document.with_partner(name, {
-        **held, "exports-number": word.number, "exports": rows, "lapsed": False,
-        "reads": held["reads"] + 1})
+    return document.with_partner(
+        name,
+        {
+            **held,
+            "exports-number": word.number,
+            "exports": rows,
+            "lapsed": False,
+            "reads": held["reads"] + 1,
+        },
+    )
 
 
 def lapse(document: Document, name: str, reads: int) -> Document:
@@ -107,7 +130,8 @@
 def _check_number(held: dict | None, field: str, number: int) -> None:
     if held is not None and number <= held[field]:
         raise Refused(
-            409, f"{field}: {number} is not above {held[field]}, which holds", held[field])
+            409, f"{field}: {number} is not above {held[field]}, which holds", held[field]
+        )
 
 
 def _find_exporter(document: Document, name: str, row: dict) -> str:
@@ -115,7 +139,9 @@
         if other == name or partner["withdrawn"]:
             continue
         # A lapsed one may come back with its word: its places stay its own.
-        if any((held["host"], held["prefix"]) == (row["host"], row["prefix"])
-               for held in partner["exports"]):
+        if any(
+            (held["host"], held["prefix"]) == (row["host"], row["prefix"])
+            for held in partner["exports"]
+        ):
             return other
     return ""
--- a/marblefold/partners/duty.py
+++ b/marblefold/partners/duty.py
@@ -1,31 +1,32 @@
-"""What a registry does about partners: verifies, grants terms, judges lapses.
+"""What a registry does about partners: verifies, grants leases, judges lapses.
 
-A registry grants a term only out of a read that met a majority of the stores,
+A registry grants a lease only out of a read that met a majority of the stores,
 and no longer than that read is good for.  So once a change was chosen, every
-term granted without it ends within one term, whatever is cut off or asleep.
+lease granted without it ends within one lease, whatever is cut off or asleep.
 """
 
 import asyncio
 import time
+from collections.abc import Awaitable, Callable
 from datetime import timedelta
-from typing import Awaitable, Callable, Protocol
+from typing import Protocol
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
+from marblefold.leases.held_leases import DRIFT_MARGIN, LEASE_SECONDS
 from marblefold.logs import log
 from marblefold.partners.document import Document, lapse
 from marblefold.partners.merging import PartnerTable, merge
-from marblefold.terms.held_terms import DRIFT_MARGIN, TERM_SECONDS
 
 __all__ = ["PartnerDuty", "REGISTER", "ENFORCED_AFTER"]
 
 REGISTER = "partners"
-# Each read is good for a term; it is made anew well before that is over.
+# Each read is good for a lease; it is made anew well before that is over.
 _VERIFY_EVERY = timedelta(seconds=0.8)
 # From the choice of a word on, so long until no node can act without it.
-ENFORCED_AFTER = timedelta(seconds=TERM_SECONDS * (1.0 + DRIFT_MARGIN))
+ENFORCED_AFTER = timedelta(seconds=LEASE_SECONDS * (1.0 + DRIFT_MARGIN))
 
 
-class Words(Protocol):
+class RegisterClient(Protocol):
     """Where the partners' document is kept."""
 
     async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
@@ -35,14 +36,16 @@
     """The newest document known here, and how long it is known to be the newest."""
 
     def __init__(
-        self, words: Words, is_holder: Callable[[], bool],
+        self,
+        store_client: RegisterClient,
+        is_holder: Callable[[], bool],
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
         self.number = 0
         self.value = b""
         self.table: PartnerTable = PartnerTable(0, "", {}, {})
-        self._words = words
+        self._store_client = store_client
         self._is_holder = is_holder
         self._clock = clock
         self._sleep = sleep
@@ -68,17 +71,17 @@
                 continue
             try:
                 await self.step()
-            except Breakdown as breakdown:
-                log.info("partners not verified", step=breakdown.step, reason=breakdown.reason)
+            except MeshError as error:
+                log.info("partners not verified", step=error.step, reason=error.reason)
 
     async def step(self) -> None:
         """One round: a read that meets a majority, then who fell silent."""
         began = self._clock()
-        held = await self._words.ask("describe", REGISTER)
+        held = await self._store_client.ask("describe", REGISTER)
         self.take(held.number, held.value)
         # Whatever was chosen before the read began was seen by it.
         if held.number == self.number:
-            self._verified_until = began + TERM_SECONDS
+            self._verified_until = began + LEASE_SECONDS
         await self._judge_lapses(self._clock())
 
     async def _judge_lapses(self, now: float) -> None:
@@ -93,8 +96,7 @@
             # A partner that drops out stays out until its word is read again.
             if now - since > partner["lapse-after-s"] and self._is_holder():
                 changed = lapse(document, name, reads)
-                answer = await self._words.ask(
-                    "duty", REGISTER, self.number, changed.pack())
+                answer = await self._store_client.ask("duty", REGISTER, self.number, changed.pack())
                 self.take(answer.number, answer.value)
                 log.warning("partner lapsed", partner=name, silent=round(now - since, 1))
                 return
--- a/marblefold/partners/merging.py
+++ b/marblefold/partners/merging.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from marblefold.operator_spec.rows import Mapping
+from marblefold.configuration.rows import Route
 
 __all__ = ["PartnerTable", "UPSTREAM_PREFIX", "merge", "partner_of"]
 
@@ -21,12 +21,12 @@
 
     number: int
     digest: str
-    mappings: dict[str, dict[str, Mapping]]
+    routes: dict[str, dict[str, Route]]
     addresses: dict[str, str]
 
-    def find(self, host: str, path: str) -> Mapping | None:
-        """The mapping with the longest prefix that a partner exports."""
-        prefixes = self.mappings.get(host.partition(":")[0].lower())
+    def find(self, host: str, path: str) -> Route | None:
+        """The route with the longest prefix that a partner exports."""
+        prefixes = self.routes.get(host.partition(":")[0].lower())
         if prefixes is None:
             return None
         path = path.partition("?")[0]
@@ -40,7 +40,7 @@
     import hashlib
 
     partners = json.loads(value)["partners"] if value else {}
-    mappings: dict[str, dict[str, Mapping]] = {}
+    routes: dict[str, dict[str, Route]] = {}
     addresses: dict[str, str] = {}
     lines = []
     for name in sorted(partners):
@@ -50,16 +50,24 @@
             continue
         addresses[name] = partner["address"]
         for row in sorted(partner["exports"], key=lambda row: (row["host"], row["prefix"])):
-            mappings.setdefault(row["host"], {})[row["prefix"]] = Mapping(
-                f"{UPSTREAM_PREFIX}{name}{row['prefix']}", row["host"], row["prefix"],
-                row["kind"], row["time-limit-ms"] * _MILLISECOND,
-                row["latency-ms"] * _MILLISECOND, 2 if row["kind"] == "read_only" else 1, 1,
-                (UPSTREAM_PREFIX + name,), (1.0,), ())
+            routes.setdefault(row["host"], {})[row["prefix"]] = Route(
+                f"{UPSTREAM_PREFIX}{name}{row['prefix']}",
+                row["host"],
+                row["prefix"],
+                row["kind"],
+                row["timeout-ms"] * _MILLISECOND,
+                row["latency-ms"] * _MILLISECOND,
+                2 if row["kind"] == "read_only" else 1,
+                1,
+                (UPSTREAM_PREFIX + name,),
+                (1.0,),
+                (),
+            )
             lines.append([name, partner["address"], row])
     digest = hashlib.sha256(json.dumps(lines, sort_keys=True).encode()).hexdigest()[:16]
-    return PartnerTable(number, digest, mappings, addresses)
+    return PartnerTable(number, digest, routes, addresses)
 
 
 def partner_of(upstream: str) -> str:
     """The partner that an upstream stands for, or nothing."""
-    return upstream[len(UPSTREAM_PREFIX):] if upstream.startswith(UPSTREAM_PREFIX) else ""
+    return upstream[len(UPSTREAM_PREFIX) :] if upstream.startswith(UPSTREAM_PREFIX) else ""
--- a/marblefold/partners/words.py
+++ b/marblefold/partners/orders.py
@@ -8,7 +8,7 @@
 from cattrs.gen import make_dict_structure_fn, override
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.node_config.reading import Address
 
 __all__ = ["Export", "Exports", "Grant", "is_credential", "read_exports", "read_grant"]
@@ -36,7 +36,7 @@
     host: str
     prefix: str
     kind: str
-    time_limit_ms: float = 10000.0
+    timeout_ms: float = 10000.0
     latency_ms: float = 1000.0
 
 
@@ -56,6 +56,7 @@
         if not isinstance(value, str) and not 0 <= value < 1e15:
             raise ValueError(f"out of range: {value!r}")
         return value
+
     return structure
 
 
@@ -67,9 +68,11 @@
     for kind in (Export, Exports, Grant):
         names = {
             field.name: override(rename=field.name.replace("_", "-"))
-            for field in kind.__attrs_attrs__}
-        converter.register_structure_hook(kind, make_dict_structure_fn(
-            kind, converter, _cattrs_forbid_extra_keys=True, **names))
+            for field in kind.__attrs_attrs__
+        }
+        converter.register_structure_hook(
+            kind, make_dict_structure_fn(kind, converter, _cattrs_forbid_extra_keys=True, **names)
+        )
     return converter
 
 
@@ -92,8 +95,10 @@
         faults.append(f"address: {error}")
     _raise(faults)
     return attrs.evolve(
-        grant, hosts=tuple(sorted({host.lower() for host in grant.hosts})),
-        credential=_digest(grant.credential))
+        grant,
+        hosts=tuple(sorted({host.lower() for host in grant.hosts})),
+        credential=_digest(grant.credential),
+    )
 
 
 def read_exports(body: bytes) -> Exports:
@@ -106,15 +111,17 @@
             faults.append(f"{place}.prefix: does not begin and end with a slash")
         if export.kind not in _KINDS:
             faults.append(f"{place}.kind: none of {', '.join(_KINDS)}")
-        if not 0 < export.time_limit_ms <= _LONGEST_TIME / timedelta(milliseconds=1):
-            faults.append(f"{place}.time-limit-ms: not within ten minutes")
+        if not 0 < export.timeout_ms <= _LONGEST_TIME / timedelta(milliseconds=1):
+            faults.append(f"{place}.timeout-ms: not within ten minutes")
         key = (export.host.lower(), export.prefix)
         if key in places:
             faults.append(f"{place}: the same host and prefix stand twice")
         places.add(key)
     _raise(faults)
-    return attrs.evolve(word, exports=tuple(
-        attrs.evolve(export, host=export.host.lower()) for export in word.exports))
+    return attrs.evolve(
+        word,
+        exports=tuple(attrs.evolve(export, host=export.host.lower()) for export in word.exports),
+    )
 
 
 def is_credential(told: str, held_digest: str) -> bool:
@@ -135,9 +142,9 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise ExceptionGroup("word", [Breakdown("read word", f"body: {error}")]) from error
+        raise ExceptionGroup("word", [MeshError("read word", f"body: {error}")]) from error
     if not isinstance(document, dict):
-        raise ExceptionGroup("word", [Breakdown("read word", "body: not an object")])
+        raise ExceptionGroup("word", [MeshError("read word", "body: not an object")])
     try:
         return _converter.structure(document, kind)
     except cattrs.BaseValidationError as error:
@@ -147,10 +154,9 @@
             # The fault may repeat a value, and a credential is never shown.
             shown = "bad value" if "credential" in place else fault
             lines.append(f"{place.removeprefix('$.').replace('_', '-')}: {shown}")
-        raise ExceptionGroup(
-            "word", [Breakdown("read word", line) for line in lines]) from None
+        raise ExceptionGroup("word", [MeshError("read word", line) for line in lines]) from None
 
 
 def _raise(faults: list[str]) -> None:
     if faults:
-        raise ExceptionGroup("word", [Breakdown("check word", line) for line in faults])
+        raise ExceptionGroup("word", [MeshError("check word", line) for line in faults])
--- a/marblefold/planner/command.py
+++ b/marblefold/planner/command.py
@@ -7,10 +7,10 @@
 from absl import flags
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.operator_spec.reading import InvalidSpec
+from marblefold.configuration.reading import InvalidConfiguration
+from marblefold.errors import MeshError
 from marblefold.planner.comparing import compare
-from marblefold.planner.facts import Facts, read_floors, read_spec_rows, read_state
+from marblefold.planner.facts import Facts, read_configuration_rows, read_floors, read_state
 from marblefold.planner.proposing import Proposal, propose
 from marblefold.planner.reporting import to_json, to_text
 
@@ -18,14 +18,16 @@
 
 FLAGS = flags.FLAGS
 flags.DEFINE_string("from_system", "", "Registry to read the current state from, HOST:PORT.")
-flags.DEFINE_string("current", "", "File with the current spec, if not read from a system.")
+flags.DEFINE_string(
+    "current", "", "File with the current configuration, if not read from a system."
+)
 flags.DEFINE_string("state", "", "File with targets, evacuated zones and members.")
-flags.DEFINE_string("proposed", "", "File with the proposed spec.")
+flags.DEFINE_string("proposed", "", "File with the proposed configuration.")
 flags.DEFINE_multi_string("drain", [], "Id of a target that would be drained.")
 flags.DEFINE_multi_string("evacuate", [], "Zone that would be evacuated.")
 flags.DEFINE_multi_string("swap", [], "Store that would be swapped, OLD=NEW.")
 flags.DEFINE_string("floors", "", "File with the slots that must remain, by upstream.")
-flags.DEFINE_string("traffic", "", "File with requests a second, by mapping.")
+flags.DEFINE_string("traffic", "", "File with requests a second, by route.")
 flags.DEFINE_bool("json", False, "Print JSON instead of text.")
 
 _HARMLESS, _HARMFUL, _USAGE = 0, 1, 2
@@ -38,17 +40,18 @@
         return _complain(["give either --from_system or --current"], _USAGE)
     try:
         before = _gather()
-        rows = read_spec_rows(_read_file(FLAGS.proposed)) if FLAGS.proposed else None
-        after = propose(before, Proposal(
-            rows, tuple(FLAGS.drain), tuple(FLAGS.evacuate), tuple(FLAGS.swap)))
+        rows = read_configuration_rows(_read_file(FLAGS.proposed)) if FLAGS.proposed else None
+        after = propose(
+            before, Proposal(rows, tuple(FLAGS.drain), tuple(FLAGS.evacuate), tuple(FLAGS.swap))
+        )
         floors = read_floors(_read_file(FLAGS.floors)) if FLAGS.floors else {}
         traffic = _read_traffic() if FLAGS.traffic else {}
-    except InvalidSpec as invalid:
+    except InvalidConfiguration as invalid:
         return _complain(invalid.faults, _HARMFUL)
     except ExceptionGroup as group:
         return _complain([str(fault) for fault in group.exceptions], _HARMFUL)
-    except Breakdown as breakdown:
-        return _complain([str(breakdown)], _USAGE)
+    except MeshError as error:
+        return _complain([str(error)], _USAGE)
     moved = compare(before, after, floors, traffic)
     print(to_json(moved) if FLAGS.json else to_text(moved), end="")
     return _HARMFUL if moved.faults else _HARMLESS
@@ -56,11 +59,11 @@
 
 def _gather() -> Facts:
     if FLAGS.from_system:
-        spec, state = asyncio.run(_ask_system(FLAGS.from_system))
+        configuration, state = asyncio.run(_ask_system(FLAGS.from_system))
     else:
-        spec = _read_file(FLAGS.current)
+        configuration = _read_file(FLAGS.current)
         state = _read_file(FLAGS.state) if FLAGS.state else b"{}"
-    return Facts(read_spec_rows(spec), *read_state(state))
+    return Facts(read_configuration_rows(configuration), *read_state(state))
 
 
 async def _ask_system(address: str) -> tuple[bytes, bytes]:
@@ -70,13 +73,13 @@
     answers = []
     try:
         async with aiohttp.ClientSession(timeout=timeout) as session:
-            for path in (wire_names.SPEC_PATH, wire_names.STATE_PATH):
+            for path in (wire_names.CONFIGURATION_PATH, wire_names.STATE_PATH):
                 async with session.get(f"http://{address}{path}") as answer:
                     if answer.status != 200:
-                        raise Breakdown("ask system", f"{path}: status {answer.status}", address)
+                        raise MeshError("ask system", f"{path}: status {answer.status}", address)
                     answers.append(await answer.read())
     except (aiohttp.ClientError, TimeoutError, ValueError) as error:
-        raise Breakdown("ask system", str(error) or "no answer in time", address) from error
+        raise MeshError("ask system", str(error) or "no answer in time", address) from error
     return answers[0], answers[1]
 
 
@@ -85,7 +88,7 @@
         with open(path, "rb") as file:
             return file.read()
     except OSError as error:
-        raise Breakdown("read file", f"{path}: {error.strerror}") from error
+        raise MeshError("read file", f"{path}: {error.strerror}") from error
 
 
 def _read_traffic() -> dict[str, float]:
@@ -93,7 +96,7 @@
         document = json.loads(_read_file(FLAGS.traffic))
         return {str(name): float(rate) for name, rate in document.items()}
     except (ValueError, TypeError, AttributeError) as error:
-        raise Breakdown("traffic", str(error)) from error
+        raise MeshError("traffic", str(error)) from error
 
 
 def _complain(faults: list[str], status: int) -> int:
--- a/marblefold/planner/comparing.py
+++ b/marblefold/planner/comparing.py
@@ -1,20 +1,21 @@
 """What a change would move: a pure comparison of the mesh before and after."""
 
 from collections import defaultdict
-from typing import Collection, NamedTuple
+from collections.abc import Collection
+from typing import NamedTuple
 
-from marblefold.operator_spec.rows import Mapping, Rows
+from marblefold.configuration.rows import Route, Rows
 from marblefold.planner.facts import Facts
 from marblefold.request_path.eligibility import is_eligible, is_last_resort
 from marblefold.request_path.mesh_view import KnownTarget
 
-__all__ = ["Capacity", "MappingChange", "Moved", "Share", "compare"]
+__all__ = ["Capacity", "RouteChange", "Moved", "Share", "compare"]
 
 
-class MappingChange(NamedTuple):
-    """One thing that differs in a mapping that stays."""
+class RouteChange(NamedTuple):
+    """One thing that differs in a route that stays."""
 
-    mapping: str
+    route: str
     field: str
     before: object
     after: object
@@ -47,7 +48,7 @@
 
     added: tuple[str, ...]
     removed: tuple[str, ...]
-    changed: tuple[MappingChange, ...]
+    changed: tuple[RouteChange, ...]
     upstreams: tuple[Share, ...]
     zones: tuple[Share, ...]
     capacity: tuple[Capacity, ...]
@@ -55,52 +56,56 @@
 
 
 def compare(
-    before: Facts, after: Facts, floors: dict[str, int], traffic: dict[str, float],
+    before: Facts,
+    after: Facts,
+    floors: dict[str, int],
+    traffic: dict[str, float],
 ) -> Moved:
-    """Compares two states of the mesh; traffic is by mapping, evenly if empty."""
-    old = {(mapping.host, mapping.prefix): mapping for mapping in before.rows.mappings}
-    new = {(mapping.host, mapping.prefix): mapping for mapping in after.rows.mappings}
+    """Compares two states of the mesh; traffic is by route, evenly if empty."""
+    old = {(route.host, route.prefix): route for route in before.rows.routes}
+    new = {(route.host, route.prefix): route for route in after.rows.routes}
     capacity = _compare_capacity(before, after, floors)
     return Moved(
         added=tuple(new[key].name for key in new if key not in old),
         removed=tuple(old[key].name for key in old if key not in new),
         changed=tuple(
-            change for key in new if key in old for change in _compare_mapping(old[key], new[key])),
+            change for key in new if key in old for change in _compare_route(old[key], new[key])
+        ),
         upstreams=_compare_shares(
-            _share_upstreams(before.rows, traffic), _share_upstreams(after.rows, traffic)),
+            _share_upstreams(before.rows, traffic), _share_upstreams(after.rows, traffic)
+        ),
         zones=_compare_shares(_share_zones(before, traffic), _share_zones(after, traffic)),
         capacity=capacity,
         faults=tuple(_find_faults(after, capacity)),
     )
 
 
-def _compare_mapping(old: Mapping, new: Mapping):
-    for field, before, after in zip(Mapping._fields, old, new):
+def _compare_route(old: Route, new: Route):
+    for field, before, after in zip(Route._fields, old, new, strict=True):
         if before != after:
-            yield MappingChange(new.name, field, before, after)
+            yield RouteChange(new.name, field, before, after)
 
 
 def _compare_shares(before: dict[str, float], after: dict[str, float]) -> tuple[Share, ...]:
     return tuple(
         Share(name, before.get(name, 0.0), after.get(name, 0.0))
-        for name in sorted(before.keys() | after.keys()))
+        for name in sorted(before.keys() | after.keys())
+    )
 
 
 def _flows(rows: Rows, traffic: dict[str, float]):
-    """Each mapping's part of the traffic, split over its upstreams."""
-    rates = {
-        mapping.name: traffic.get(mapping.name, 0.0) if traffic else 1.0
-        for mapping in rows.mappings}
+    """Each route's part of the traffic, split over its upstreams."""
+    rates = {route.name: traffic.get(route.name, 0.0) if traffic else 1.0 for route in rows.routes}
     total = sum(rates.values()) or 1.0
-    for mapping in rows.mappings:
-        weights = sum(mapping.weights)
-        for upstream, weight in zip(mapping.upstreams, mapping.weights):
-            yield mapping, upstream, rates[mapping.name] / total * weight / weights
+    for route in rows.routes:
+        weights = sum(route.weights)
+        for upstream, weight in zip(route.upstreams, route.weights, strict=True):
+            yield route, upstream, rates[route.name] / total * weight / weights
 
 
 def _share_upstreams(rows: Rows, traffic: dict[str, float]) -> dict[str, float]:
     shares: dict[str, float] = defaultdict(float)
-    for _mapping, upstream, part in _flows(rows, traffic):
+    for _route, upstream, part in _flows(rows, traffic):
         shares[upstream] += part
     return shares
 
@@ -108,8 +113,8 @@
 def _share_zones(facts: Facts, traffic: dict[str, float]) -> dict[str, float]:
     """Where the traffic would run, if slots are used evenly."""
     shares: dict[str, float] = defaultdict(float)
-    for mapping, upstream, part in _flows(facts.rows, traffic):
-        targets = _nominable(facts, upstream, mapping.home_regions)
+    for route, upstream, part in _flows(facts.rows, traffic):
+        targets = _nominable(facts, upstream, route.allowed_regions)
         slots = sum(target.slots for target in targets)
         for target in targets:
             shares[target.zone] += part * target.slots / slots
@@ -119,19 +124,25 @@
 
 
 def _nominable(facts: Facts, upstream: str, homes: Collection[str]) -> list[KnownTarget]:
-    """The targets that proxies would nominate, by their own rules."""
+    """The targets that proxies would select, by their own rules."""
     eligible = [
-        target for target in facts.targets
-        if target.upstream == upstream and is_eligible(target, facts.evacuated, homes)]
+        target
+        for target in facts.targets
+        if target.upstream == upstream and is_eligible(target, facts.evacuated, homes)
+    ]
     return [target for target in eligible if not is_last_resort(target)] or eligible
 
 
 def count_slots(facts: Facts, upstream: str) -> int:
     """The slots that count: cold, draining and leaving targets do not."""
     return sum(
-        target.slots for target in facts.targets
-        if target.upstream == upstream and is_eligible(target, facts.evacuated, None)
-        and not is_last_resort(target) and not target.cold_until)
+        target.slots
+        for target in facts.targets
+        if target.upstream == upstream
+        and is_eligible(target, facts.evacuated, None)
+        and not is_last_resort(target)
+        and not target.cold_until
+    )
 
 
 def _compare_capacity(before: Facts, after: Facts, floors: dict[str, int]):
@@ -139,15 +150,16 @@
     names |= {upstream.name for upstream in after.rows.upstreams}
     return tuple(
         Capacity(name, count_slots(before, name), count_slots(after, name), floors.get(name, 0))
-        for name in sorted(names))
+        for name in sorted(names)
+    )
 
 
 def _find_faults(after: Facts, capacity: tuple[Capacity, ...]):
     for row in capacity:
         if row.is_below:
             yield f"{row.upstream}: {row.after} slots left, the floor is {row.floor}"
-    for mapping in after.rows.mappings:
-        for upstream in mapping.upstreams:
+    for route in after.rows.routes:
+        for upstream in route.upstreams:
             # Where no targets are known at all, none can be missed.
-            if after.targets and not _nominable(after, upstream, mapping.home_regions):
-                yield f"mapping {mapping.name}: no target of {upstream} is left"
+            if after.targets and not _nominable(after, upstream, route.allowed_regions):
+                yield f"route {route.name}: no target of {upstream} is left"
--- a/marblefold/planner/facts.py
+++ b/marblefold/planner/facts.py
@@ -1,16 +1,16 @@
-"""What a plan starts from: a spec, the targets there are, and the agreed floors."""
+"""What a plan starts from: a configuration, the targets there are, and the agreed floors."""
 
 import json
 from typing import NamedTuple
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.operator_spec.laying_out import lay_out
-from marblefold.operator_spec.reading import read_spec
-from marblefold.operator_spec.rows import Rows, read_rows
+from marblefold.configuration.laying_out import lay_out
+from marblefold.configuration.reading import read_configuration
+from marblefold.configuration.rows import Rows, read_rows
+from marblefold.errors import MeshError
 from marblefold.request_path.mesh_view import KnownTarget
 
-__all__ = ["Facts", "read_floors", "read_spec_rows", "read_state"]
+__all__ = ["Facts", "read_floors", "read_configuration_rows", "read_state"]
 
 
 class Facts(NamedTuple):
@@ -22,9 +22,9 @@
     members: tuple[str, ...]
 
 
-def read_spec_rows(body: bytes) -> Rows:
-    """The rows of a spec, read and checked as the registries do it."""
-    return read_rows(lay_out(read_spec(body)))
+def read_configuration_rows(body: bytes) -> Rows:
+    """The rows of a configuration, read and checked as the registries do it."""
+    return read_rows(lay_out(read_configuration(body)))
 
 
 def read_state(body: bytes) -> tuple[tuple[KnownTarget, ...], frozenset[str], tuple[str, ...]]:
@@ -33,15 +33,24 @@
     targets = []
     for index, row in enumerate(_list(document, "targets", "state")):
         try:
-            targets.append(KnownTarget(
-                node=str(row.get("node", "")), peer="", zone=row[wire_names.ZONE],
-                region=row.get("region", ""), instance=row["instance"],
-                upstream=row[wire_names.UPSTREAM], slots=int(row[wire_names.CAPACITY_SLOTS]),
-                site=str(row.get("site", "")), site_agent=str(row.get("site-agent", "")),
-                is_draining=row.get(wire_names.STATE) == wire_names.DRAINING,
-                cold_until=float(bool(row.get("cold"))), is_leaving=bool(row.get("leaving"))))
+            targets.append(
+                KnownTarget(
+                    node=str(row.get("node", "")),
+                    peer="",
+                    zone=row[wire_names.ZONE],
+                    region=row.get("region", ""),
+                    instance=row["instance"],
+                    upstream=row[wire_names.UPSTREAM],
+                    slots=int(row[wire_names.CAPACITY_SLOTS]),
+                    site=str(row.get("site", "")),
+                    site_agent=str(row.get("site-agent", "")),
+                    is_draining=row.get(wire_names.STATE) == wire_names.DRAINING,
+                    cold_until=float(bool(row.get("cold"))),
+                    is_leaving=bool(row.get("leaving")),
+                )
+            )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            raise Breakdown("state", f"targets[{index}]: {error}") from error
+            raise MeshError("state", f"targets[{index}]: {error}") from error
     evacuated = frozenset(map(str, _list(document, "evacuated", "state")))
     return tuple(targets), evacuated, tuple(map(str, _list(document, "members", "state")))
 
@@ -52,7 +61,7 @@
     floors = {}
     for upstream, slots in document.items():
         if isinstance(slots, bool) or not isinstance(slots, int) or slots < 0:
-            raise Breakdown("floors", f"{upstream}: not a number of slots: {slots!r}")
+            raise MeshError("floors", f"{upstream}: not a number of slots: {slots!r}")
         floors[upstream] = slots
     return floors
 
@@ -61,14 +70,14 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise Breakdown(step, str(error)) from error
+        raise MeshError(step, str(error)) from error
     if not isinstance(document, dict):
-        raise Breakdown(step, "not an object")
+        raise MeshError(step, "not an object")
     return document
 
 
 def _list(document: dict, name: str, step: str) -> list:
     value = document.get(name, [])
     if not isinstance(value, list):
-        raise Breakdown(step, f"{name}: not a list")
+        raise MeshError(step, f"{name}: not a list")
     return value
--- a/marblefold/planner/proposing.py
+++ b/marblefold/planner/proposing.py
@@ -2,8 +2,8 @@
 
 from typing import NamedTuple
 
-from marblefold.breakdowns import Breakdown
-from marblefold.operator_spec.rows import Rows
+from marblefold.configuration.rows import Rows
+from marblefold.errors import MeshError
 from marblefold.planner.facts import Facts
 
 __all__ = ["Proposal", "propose"]
@@ -20,34 +20,40 @@
 
 def propose(facts: Facts, proposal: Proposal) -> Facts:
     """The mesh after the change; an ExceptionGroup of all that cannot be."""
-    faults: list[Breakdown] = []
+    faults: list[MeshError] = []
     instances = {target.instance for target in facts.targets}
     zones = {target.zone for target in facts.targets}
     for instance in proposal.drains:
         if instance not in instances:
-            faults.append(Breakdown("drain", f"no target {instance!r}"))
+            faults.append(MeshError("drain", f"no target {instance!r}"))
     for zone in proposal.evacuations:
         if zone not in zones:
-            faults.append(Breakdown("evacuate", f"no target stands in zone {zone!r}"))
+            faults.append(MeshError("evacuate", f"no target stands in zone {zone!r}"))
     members = facts.members
     for swap in proposal.swaps:
         gone, sign, newcomer = swap.partition("=")
         if not sign or not newcomer:
-            faults.append(Breakdown("swap", f"{swap!r} is not OLD=NEW"))
+            faults.append(MeshError("swap", f"{swap!r} is not OLD=NEW"))
         elif gone not in members:
-            faults.append(Breakdown("swap", f"{gone!r} is no member"))
+            faults.append(MeshError("swap", f"{gone!r} is no member"))
         elif newcomer in members:
-            faults.append(Breakdown("swap", f"{newcomer!r} is a member already"))
+            faults.append(MeshError("swap", f"{newcomer!r} is a member already"))
         else:
             members = tuple(newcomer if member == gone else member for member in members)
     rows = proposal.rows or facts.rows
     # A number that is not above the one held would be acknowledged and do nothing.
     if proposal.rows is not None and rows.number <= facts.rows.number:
-        faults.append(Breakdown(
-            "spec", f"number {rows.number} is not above the one held, {facts.rows.number}"))
+        faults.append(
+            MeshError(
+                "configuration",
+                f"number {rows.number} is not above the one held, {facts.rows.number}",
+            )
+        )
     if faults:
         raise ExceptionGroup("proposal", faults)
     return Facts(
         rows,
         tuple(target for target in facts.targets if target.instance not in proposal.drains),
-        facts.evacuated | set(proposal.evacuations), members)
+        facts.evacuated | set(proposal.evacuations),
+        members,
+    )
--- a/marblefold/planner/reporting.py
+++ b/marblefold/planner/reporting.py
@@ -1,8 +1,8 @@
 """Shows a plan, as text for people or as JSON for programs."""
 
 import json
+from collections.abc import Iterator
 from datetime import timedelta
-from typing import Iterator
 
 from marblefold.planner.comparing import Moved
 
@@ -13,19 +13,29 @@
 
 def to_json(moved: Moved) -> str:
     """The plan as one JSON object."""
-    return json.dumps({
-        "harmful": bool(moved.faults),
-        "mappings": {
-            "added": moved.added, "removed": moved.removed,
-            "changed": [
-                {"mapping": change.mapping, "field": change.field.replace("_", "-"),
-                 "before": _plain(change.before), "after": _plain(change.after)}
-                for change in moved.changed]},
-        "upstreams": [share._asdict() for share in moved.upstreams],
-        "zones": [share._asdict() for share in moved.zones],
-        "capacity": [row._asdict() for row in moved.capacity],
-        "faults": moved.faults,
-    }, indent=2)
+    return json.dumps(
+        {
+            "harmful": bool(moved.faults),
+            "routes": {
+                "added": moved.added,
+                "removed": moved.removed,
+                "changed": [
+                    {
+                        "route": change.route,
+                        "field": change.field.replace("_", "-"),
+                        "before": _plain(change.before),
+                        "after": _plain(change.after),
+                    }
+                    for change in moved.changed
+                ],
+            },
+            "upstreams": [share._asdict() for share in moved.upstreams],
+            "zones": [share._asdict() for share in moved.zones],
+            "capacity": [row._asdict() for row in moved.capacity],
+            "faults": moved.faults,
+        },
+        indent=2,
+    )
 
 
 def to_text(moved: Moved) -> str:
@@ -35,12 +45,12 @@
 
 def _lines(moved: Moved) -> Iterator[str]:
     for name in moved.added:
-        yield f"mapping {name}: added"
+        yield f"route {name}: added"
     for name in moved.removed:
-        yield f"mapping {name}: removed"
+        yield f"route {name}: removed"
     for change in moved.changed:
         field = change.field.replace("_", "-")
-        yield f"mapping {change.mapping}: {field} {_plain(change.before)} -> {_plain(change.after)}"
+        yield f"route {change.route}: {field} {_plain(change.before)} -> {_plain(change.after)}"
     for title, shares in (("upstream", moved.upstreams), ("zone", moved.zones)):
         for share in shares:
             mark = "" if abs(share.before - share.after) < _LEAST_SHOWN else "  *"
--- a/marblefold/proxy/beats.py
+++ b/marblefold/proxy/beats.py
@@ -4,8 +4,8 @@
 from datetime import timedelta
 
 from marblefold import wire_names
-from marblefold.http_streams.answer import Answer
-from marblefold.http_streams.call_router import Call, CallRouter, json_answer
+from marblefold.http_connections.answer import Answer
+from marblefold.http_connections.call_router import Call, CallRouter, json_answer
 from marblefold.request_path.local_target import Beat, LocalTarget
 
 __all__ = ["BeatCalls", "read_beat"]
@@ -37,7 +37,7 @@
         slots=int(field(wire_names.CAPACITY_SLOTS, (int, float))),
         is_draining=state == wire_names.DRAINING,
         cold=timedelta(milliseconds=field(wire_names.COLD_REMAINING_MS, (int, float), 0)),
-        number=int(field(wire_names.BEAT_NUMBER, (int, float))),
+        number=int(field(wire_names.CALL_SEQUENCE, (int, float))),
     )
 
 
--- a/marblefold/proxy/health_probe.py
+++ b/marblefold/proxy/health_probe.py
@@ -7,9 +7,9 @@
 from aiohttp.http_exceptions import HttpProcessingError
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.heads import find_header
-from marblefold.http_streams.target_streams import TargetStreams
+from marblefold.errors import MeshError
+from marblefold.http_connections.heads import find_header
+from marblefold.http_connections.target_connections import TargetConnections
 from marblefold.node_config.reading import Address
 
 __all__ = ["Health", "ask_health"]
@@ -27,25 +27,25 @@
 
 async def ask_health(address: Address, path: str) -> Health | None:
     """The target's health, or None if it is not well or says nothing."""
-    streams = TargetStreams(address)
-    stream = None
+    connections = TargetConnections(address)
+    connection = None
     try:
         async with asyncio.timeout(_PROBE_SECONDS):
-            stream = await streams.take()
+            connection = await connections.take()
             head = f"GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n"
-            await stream.begin(head.encode(), None)
-            answer = await stream.answer()
+            await connection.begin(head.encode(), None)
+            answer = await connection.answer()
             await answer.payload.read()
-    except (Breakdown, TimeoutError, ConnectionError, HttpProcessingError):
+    except (MeshError, TimeoutError, ConnectionError, HttpProcessingError):
         return None
     finally:
-        if stream is not None:
-            stream.close()
+        if connection is not None:
+            connection.close()
     instance = find_header(answer.headers, wire_names.INSTANCE_ID)
     if answer.status != 200 or not instance:
         return None
-    pressure = (find_header(answer.headers, wire_names.SERVER_LOAD) or b"").split(b",")
-    slots = int(pressure[2]) if len(pressure) == 3 and pressure[2].strip().isdigit() else 0
+    load = (find_header(answer.headers, wire_names.SERVER_LOAD) or b"").split(b",")
+    slots = int(load[2]) if len(load) == 3 and load[2].strip().isdigit() else 0
     cold = find_header(answer.headers, wire_names.COLD_MS) or b"0"
     try:
         left = timedelta(milliseconds=float(cold))
--- a/marblefold/proxy/term_asker.py
+++ b/marblefold/proxy/lease_client.py
@@ -1,15 +1,15 @@
-"""Asks registries for the terms that this node needs, if it needs any."""
+"""Asks registries for the leases that this node needs, if it needs any."""
 
 from marblefold.inner_protocol.messages import kinds
+from marblefold.leases.held_leases import Grant, OwnedLease
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.terms.held_terms import Grant, OwnedTerm
 
-__all__ = ["TermAsker"]
+__all__ = ["LeaseClient"]
 
 _ASK_EVERY = 0.7
 
 
-class TermAsker:
+class LeaseClient:
     """Makes askings and takes the grants in."""
 
     def __init__(self, node: str, view: MeshView, site: str = "", agent: str = "") -> None:
@@ -27,22 +27,29 @@
         self._next = now + _ASK_EVERY
         return True
 
-    def ask(self, peer: str, now: float) -> kinds.RenewTerm:
+    def ask(self, peer: str, now: float) -> kinds.RenewLease:
         """What to ask the registry."""
         partners = self._view.partners
-        return kinds.RenewTerm(
-            node=self._node, number=self._view.terms.ask(now),
+        return kinds.RenewLease(
+            node=self._node,
+            number=self._view.leases.ask(now),
             digest=partners.digest if partners is not None else "",
             # Only the agent of our own site speaks for it, whatever its name.
-            site=self._site if peer == self._agent else "")
+            site=self._site if peer == self._agent else "",
+        )
 
-    def take(self, message: kinds.TermGrant) -> None:
-        """A registry granted terms."""
+    def take(self, message: kinds.LeaseGrant) -> None:
+        """A registry granted leases."""
         partners = self._view.partners
-        self._view.terms.take(
+        self._view.leases.take(
             Grant(
-                message.number, message.partner_left_ms / 1000.0, message.partner_digest,
+                message.number,
+                message.partner_left_ms / 1000.0,
+                message.partner_digest,
                 tuple(
-                    OwnedTerm(owned.upstream, owned.epoch, owned.left_ms / 1000.0)
-                    for owned in message.owned)),
-            partners.digest if partners is not None else "-")
+                    OwnedLease(owned.upstream, owned.epoch, owned.left_ms / 1000.0)
+                    for owned in message.owned
+                ),
+            ),
+            partners.digest if partners is not None else "-",
+        )
--- a/marblefold/proxy/leaving.py
+++ b/marblefold/proxy/leaving.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import Protocol
 
-from marblefold.http_streams.downstream_server import DownstreamServer
+from marblefold.http_connections.http_server import HttpServer
 from marblefold.logs import log
 
 __all__ = ["Leaver", "leave_in_order"]
@@ -22,7 +22,7 @@
 class Leaver(Protocol):
     """What has to be stopped in order."""
 
-    outbound: DownstreamServer
+    outbound: HttpServer
     grace_period: timedelta
     hops_in_progress: int
 
@@ -34,20 +34,21 @@
     began = time.monotonic()
     log.info("leaving", in_progress=program.outbound.in_progress, hops=program.hops_in_progress)
     program.tell_leaving()
-    # Answers from here on end their streams, but requests are still taken:
-    # downstreams come until the platform has missed our readiness twice.
+    # Answers from here on end their connections, but requests are still taken:
+    # clients come until the platform has missed our readiness twice.
     program.outbound.is_leaving = True
     last = began + program.grace_period.total_seconds() * _GRACE_SHARE
     while (now := time.monotonic()) < last:
         if now - began > program.grace_period.total_seconds() * _TAKING_SHARE:
-            # Downstreams may come as long as we listen: what is taken in later
+            # Clients may come as long as we listen: what is taken in later
             # than this could not be brought to its end.
             program.outbound.turns_away = True
             program.outbound.stop()
         is_noticed = now - began > _NOTICED.total_seconds()
         is_quiet = (
             program.outbound.turns_away
-            or now - program.outbound.last_arrival > _QUIET.total_seconds())
+            or now - program.outbound.last_arrival > _QUIET.total_seconds()
+        )
         if is_noticed and is_quiet:
             program.outbound.close_idle()
             if not program.outbound.in_progress and not program.hops_in_progress:
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -6,34 +6,34 @@
 from datetime import timedelta
 
 from marblefold import wire_names
-from marblefold.http_streams.answer import Answer
-from marblefold.http_streams.call_router import Call, CallRouter, json_answer
-from marblefold.http_streams.downstream_server import DownstreamServer
-from marblefold.inner_protocol.peer_book import PeerBook
+from marblefold.configuration.route_table import RouteTable
+from marblefold.http_connections.answer import Answer
+from marblefold.http_connections.call_router import Call, CallRouter, json_answer
+from marblefold.http_connections.http_server import HttpServer
 from marblefold.inner_protocol.exchange import Exchange
-from marblefold.inner_protocol.peer_connection import PEER_KEEP_ALIVE, PeerConnection
 from marblefold.inner_protocol.messages import unpack_message
+from marblefold.inner_protocol.peer_book import PeerBook
+from marblefold.inner_protocol.peer_connection import PEER_KEEP_ALIVE, PeerConnection
 from marblefold.inner_protocol.ports import PROXY, REGISTRY, inner_address
 from marblefold.logs import log
 from marblefold.membership.members import Liveness, Member
 from marblefold.membership.node import NodeMembership
 from marblefold.node_config.reading import NodeConfig
 from marblefold.node_config.watching import ConfigWatch
-from marblefold.operator_spec.mapping_table import MappingTable
 from marblefold.proxy.beats import BeatCalls
 from marblefold.proxy.health_probe import ask_health
+from marblefold.proxy.lease_client import LeaseClient
 from marblefold.proxy.leaving import leave_in_order
 from marblefold.proxy.notices import NoticeMaker
 from marblefold.proxy.registry_follower import RegistryFollower
-from marblefold.proxy.term_asker import TermAsker
 from marblefold.proxy.traffic_teller import TrafficTeller
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.guard import Guard
 from marblefold.request_path.hop_sender import HopSender
 from marblefold.request_path.local_target import LocalTarget, TargetState
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.request_path.nomination import Nominator
 from marblefold.request_path.surroundings import Surroundings
+from marblefold.request_path.target_selection import TargetSelector
 from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.starting import start_tracing
 
@@ -55,38 +55,52 @@
         self._tasks = TaskKeeper()
         self.view = MeshView(config.node_name)
         self.target = LocalTarget(self._on_target_change)
-        self.guard = Guard(
-            self.target, self.view, config.bounds, config.limits.link_mbps * 125_000)
+        self.guard = Guard(self.target, self.view, config.bounds, config.limits.link_mbps * 125_000)
         self._notices = NoticeMaker(config, self.target)
         self.follower = RegistryFollower(
-            config.node_name, self._seed_registries, self.view, self._notices.make,
-            asker=TermAsker(config.node_name, self.view, config.site, config.site_agent))
+            config.node_name,
+            self._seed_registries,
+            self.view,
+            self._notices.make,
+            asker=LeaseClient(config.node_name, self.view, config.site, config.site_agent),
+        )
         self._membership = NodeMembership(watch, "proxy", PROXY, self._on_member)
-        nominator = Nominator(self.view, config.zone)
-        self.surroundings = Surroundings(self.view, nominator, config.bounds, config.limits)
+        selector = TargetSelector(self.view, config.zone)
+        self.surroundings = Surroundings(self.view, selector, config.bounds, config.limits)
         self._peers = PeerBook(self, keep_alive=PEER_KEEP_ALIVE)
         self._hops = HopSender(
-            self._peers, lambda peer: nominator.note_silent(peer, time.monotonic()),
-            config.limits.link_mbps * 125_000)
+            self._peers,
+            lambda peer: selector.note_silent(peer, time.monotonic()),
+            config.limits.link_mbps * 125_000,
+        )
         self.executor = RequestExecutor(
-            self.surroundings, self._hops, self.guard.work, config.upstream)
+            self.surroundings, self._hops, self.guard.work, config.upstream
+        )
         self.view.on_partners = self._open_partner_door
         self._tracing = start_tracing(
-            config, inner_address(config.host, config, PROXY), self.view, self.follower,
-            self._tasks, self._peers)
+            config,
+            inner_address(config.host, config, PROXY),
+            self.view,
+            self.follower,
+            self._tasks,
+            self._peers,
+        )
         if self._tracing is not None:
             self.executor.tracer = self.guard.tracer = self._tracing.tracer
         self._traffic = TrafficTeller(
-            self.surroundings.traffic, self.follower, config,
-            lambda: self.guard.slots.service_seconds)
-        self.outbound = DownstreamServer(self.executor.serve)
+            self.surroundings.traffic,
+            self.follower,
+            config,
+            lambda: self.guard.slots.service_seconds,
+        )
+        self.outbound = HttpServer(self.executor.serve)
         calls, ready = CallRouter(), CallRouter()
         BeatCalls(self.target, config.zone).add_to(calls)
         ready.add(*wire_names.READINESS_CALL, self._readiness)
-        self._control = DownstreamServer(calls.handle)
-        self._readiness_server = DownstreamServer(ready.handle)
+        self._control = HttpServer(calls.handle)
+        self._readiness_server = HttpServer(ready.handle)
         self.view.on_own_notice = self._on_own_notice
-        self.view.on_spec = self._on_spec
+        self.view.on_configuration = self._on_configuration
         self.view.on_evacuation = self._on_evacuation
         self._stop = asyncio.Event()
 
@@ -103,16 +117,24 @@
         inner = inner_address(self._config.host, self._config, PROXY)
         host, _sign, port = inner.rpartition(":")
         await loop.create_server(
-            lambda: PeerConnection(self, keep_alive=PEER_KEEP_ALIVE), host, int(port), backlog=512)
+            lambda: PeerConnection(self, keep_alive=PEER_KEEP_ALIVE), host, int(port), backlog=512
+        )
         await self._control.start(listen["control-plane"])
         await self._readiness_server.start(listen["readiness"])
         await self.outbound.start(listen["outbound"])
         await self._membership.start()
         log.info("serving", node=self._config.node_name, inner=inner)
         for run in (
-            self._watch.run(), self.follower.run(), self._membership.run(), self.outbound.run(),
-            self._control.run(), self._readiness_server.run(),
-            self._hops.run(), self.guard.run(), self._find_target(), self._look_for_overdue(),
+            self._watch.run(),
+            self.follower.run(),
+            self._membership.run(),
+            self.outbound.run(),
+            self._control.run(),
+            self._readiness_server.run(),
+            self._hops.run(),
+            self.guard.run(),
+            self._find_target(),
+            self._look_for_overdue(),
             self._traffic.run(),
         ):
             self._tasks.start(run)
@@ -125,7 +147,7 @@
         self._tasks.cancel()
 
     def tell_leaving(self) -> None:
-        """Downstreams should go elsewhere now, and peers' hops a little later."""
+        """Clients should go elsewhere now, and peers' hops a little later."""
         self.is_leaving = True
         self.guard.begin_leaving(time.monotonic())
         # It takes the platform two seconds to notice; until that is half over
@@ -151,19 +173,19 @@
         """A peer sends a hop for the target beside us."""
         self.guard.on_hop(exchange, payload)
 
-    def on_call(self, stream: PeerConnection, number: int, payload: bytes) -> None:
+    def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
         """Peers call for nothing."""
 
-    def on_tell(self, stream: PeerConnection, payload: bytes) -> None:
+    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
         """A peer tells which trace is to be kept."""
         if self._tracing is not None:
             self._tracing.take(unpack_message(payload))
 
-    def on_lost(self, stream: PeerConnection) -> None:
-        """A peer's stream is gone; its hops were told already."""
+    def on_lost(self, connection: PeerConnection) -> None:
+        """A peer's connection is gone; its hops were told already."""
 
     async def _readiness(self, _call: Call) -> Answer:
-        # Ready means: a downstream that comes now can be served as it should.
+        # Ready means: a client that comes now can be served as it should.
         if self.is_leaving or self.view.table is None:
             return json_answer(503, {"ready": False})
         return json_answer(200, {"ready": True})
@@ -183,7 +205,8 @@
         health = await ask_health(config.app_address, path)
         if health is not None:
             self.target.take_health(
-                health.instance, config.upstream, config.zone, health.slots, health.cold)
+                health.instance, config.upstream, config.zone, health.slots, health.cold
+            )
 
     def _seed_registries(self) -> list[str]:
         config = self._watch.config
@@ -204,7 +227,7 @@
         if self._notices.outbid(life):
             self.follower.tell()
 
-    def _on_spec(self, table: MappingTable) -> None:
+    def _on_configuration(self, table: RouteTable) -> None:
         self.outbound.set_limits(table.limits)
 
     def _open_partner_door(self) -> None:
