--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -3,16 +3,17 @@
 import asyncio
 import time
 import zlib
-from typing import Callable, Protocol
+from collections.abc import Callable
+from typing import Protocol
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
+from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
+from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
 from marblefold.inner_protocol.peer_book import PeerBook
-from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.peer_connection import PeerConnection
-from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
 from marblefold.logs import log
-from marblefold.proxy.term_asker import TermAsker
+from marblefold.proxy.lease_client import LeaseClient
 from marblefold.proxy.wants import Wants
 
 __all__ = ["FeedTaker", "RegistryFollower"]
@@ -39,12 +40,16 @@
 
 
 class RegistryFollower:
-    """Owns the streams to the registries."""
+    """Owns the connections to the registries."""
 
     def __init__(
-        self, node: str, seeds: Callable[[], list[str]], view: FeedTaker,
-        make_notice: Callable[[], kinds.TargetNotice] | None = None, most: int | None = None,
-        asker: TermAsker | None = None,
+        self,
+        node: str,
+        seeds: Callable[[], list[str]],
+        view: FeedTaker,
+        make_notice: Callable[[], kinds.TargetNotice] | None = None,
+        most: int | None = None,
+        asker: LeaseClient | None = None,
     ) -> None:
         self._node = node
         self._seeds = seeds
@@ -81,13 +86,13 @@
 
     def send_to(self, peer: str, message: object) -> bool:
         """Tells one registry something, if it can be reached now."""
-        stream = self._peers.find(peer)
-        if stream is not None:
-            stream.send(FrameKind.TELL, 0, pack_message(message))
-        return stream is not None
+        connection = self._peers.find(peer)
+        if connection is not None:
+            connection.send(FrameKind.TELL, 0, pack_message(message))
+        return connection is not None
 
     async def run(self) -> None:
-        """Keeps a stream to every registry that is to be followed, for ever."""
+        """Keeps a connection to every registry that is to be followed, for ever."""
         was_in_touch = False
         while True:
             if self.is_in_touch != was_in_touch:
@@ -98,11 +103,11 @@
                 for peer in wanted:
                     if self._peers.find(peer) is None:
                         group.create_task(self._follow(peer))
-            self._ask_terms(time.monotonic())
+            self._ask_leases(time.monotonic())
             self._wants.repeat(time.monotonic())
             await asyncio.sleep(_LOOK_EVERY)
 
-    def _ask_terms(self, now: float) -> None:
+    def _ask_leases(self, now: float) -> None:
         if self._asker is None or not self._asker.is_due(now):
             return
         for peer in self._following:
@@ -118,9 +123,11 @@
             is_alone = now - self._touched.get(peer, now) > _SILENT_SECONDS
             if is_silent or is_alone:
                 self._passed_over[peer] = now + _PASS_OVER_SECONDS
-        ranked = sorted(known, key=lambda peer: (
-            self._passed_over.get(peer, 0.0) > now, _rank(self._node, peer)))
-        wanted = ranked[:self._most]
+        ranked = sorted(
+            known,
+            key=lambda peer: (self._passed_over.get(peer, 0.0) > now, _rank(self._node, peer)),
+        )
+        wanted = ranked[: self._most]
         for peer in list(self._following):
             if peer not in wanted:
                 self._peers.drop(peer)
@@ -128,45 +135,48 @@
 
     async def _follow(self, peer: str) -> None:
         try:
-            stream = await self._peers.reach(peer)
-        except Breakdown:
+            connection = await self._peers.reach(peer)
+        except MeshError:
             self._passed_over[peer] = time.monotonic() + _PASS_OVER_SECONDS
             return
         self._following.add(peer)
         self._heard[peer] = self._touched[peer] = time.monotonic()
         if self._make_notice is not None:
-            stream.send(FrameKind.TELL, 0, pack_message(self._make_notice()))
+            connection.send(FrameKind.TELL, 0, pack_message(self._make_notice()))
         life, place = self._places.get(peer, (0, 0))
-        stream.send(FrameKind.TELL, 0, pack_message(
-            kinds.Follow(node=self._node, registry_life=life, place=place)))
+        connection.send(
+            FrameKind.TELL,
+            0,
+            pack_message(kinds.Follow(node=self._node, registry_life=life, place=place)),
+        )
 
-    def on_tell(self, stream: PeerConnection, payload: bytes) -> None:
+    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
         """A part of a feed has come."""
         feed = unpack_message(payload)
-        if isinstance(feed, kinds.TermGrant) and self._asker is not None:
+        if isinstance(feed, kinds.LeaseGrant) and self._asker is not None:
             self._asker.take(feed)
         if isinstance(feed, kinds.Entry):
             self._view.take(feed)
         if not isinstance(feed, kinds.Feed):
             return
-        self._heard[stream.peer] = time.monotonic()
-        life, place = self._places.get(stream.peer, (0, 0))
+        self._heard[connection.peer] = time.monotonic()
+        life, place = self._places.get(connection.peer, (0, 0))
         entries = feed.entries
         if feed.compressed_entries:
             entries = kinds.Feed.FromString(zlib.decompress(feed.compressed_entries)).entries
         # Changes that do not join on to what we have tell of a gap.
-        joins = feed.frame or (feed.registry_life == life and feed.place - len(entries) <= place)
+        joins = feed.snapshot or (feed.registry_life == life and feed.place - len(entries) <= place)
         if not joins:
-            self._places.pop(stream.peer, None)
-            stream.send(FrameKind.TELL, 0, pack_message(kinds.Follow(node=self._node)))
+            self._places.pop(connection.peer, None)
+            connection.send(FrameKind.TELL, 0, pack_message(kinds.Follow(node=self._node)))
             return
-        self._places[stream.peer] = (feed.registry_life, feed.place)
+        self._places[connection.peer] = (feed.registry_life, feed.place)
         if feed.in_touch:
-            self._touched[stream.peer] = time.monotonic()
+            self._touched[connection.peer] = time.monotonic()
         self._take_count(feed.proxies, time.monotonic())
         for entry in entries:
             if entry.deferred:
-                self._wants.hear(stream.peer, entry, time.monotonic())
+                self._wants.hear(connection.peer, entry, time.monotonic())
             else:
                 self._view.take(entry)
 
@@ -178,16 +188,16 @@
         if now - self._counted_since >= _COUNTING_SECONDS:
             self._view.proxies = max(self._view.proxies, proxies)
 
-    def on_lost(self, stream: PeerConnection) -> None:
+    def on_lost(self, connection: PeerConnection) -> None:
         """A registry is out of reach; the rounds will find it again."""
-        self._following.discard(stream.peer)
-        log.info("registry lost", peer=stream.peer)
+        self._following.discard(connection.peer)
+        log.info("registry lost", peer=connection.peer)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
         """Registries send no hops."""
         exchange.close()
 
-    def on_call(self, stream: PeerConnection, number: int, payload: bytes) -> None:
+    def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
         """Registries call for nothing."""
 
 
--- a/marblefold/proxy/traffic_teller.py
+++ b/marblefold/proxy/traffic_teller.py
@@ -2,8 +2,8 @@
 
 import asyncio
 import random
+from collections.abc import Callable
 from datetime import timedelta
-from typing import Callable
 
 from marblefold.node_config.model import NodeConfig
 from marblefold.program_flags import read_traffic_period
@@ -17,8 +17,12 @@
     """Owns the pace of the notices."""
 
     def __init__(
-        self, count: TrafficCount, follower: RegistryFollower, config: NodeConfig,
-        service_seconds: Callable[[], float] = float, period: timedelta | None = None,
+        self,
+        count: TrafficCount,
+        follower: RegistryFollower,
+        config: NodeConfig,
+        service_seconds: Callable[[], float] = float,
+        period: timedelta | None = None,
     ) -> None:
         self._count = count
         self._follower = follower
@@ -39,6 +43,7 @@
         """Tells the counts as they stand, where there is news."""
         config = self._config
         notice = self._count.make_notice(
-            config.node_name, config.zone, config.region, self._service_seconds())
+            config.node_name, config.zone, config.region, self._service_seconds()
+        )
         if notice is not None:
             self._follower.send_to_all(notice)
--- a/marblefold/proxy/wants.py
+++ b/marblefold/proxy/wants.py
@@ -1,6 +1,6 @@
 """Fetches large entries from one registry, where all of them told the news."""
 
-from typing import Callable
+from collections.abc import Callable
 
 from marblefold.inner_protocol.messages import kinds
 
@@ -23,7 +23,9 @@
     """What is wanted, and from whom it can be had."""
 
     def __init__(
-        self, is_news: Callable[[object], bool], send: Callable[[str, kinds.Want], bool],
+        self,
+        is_news: Callable[[object], bool],
+        send: Callable[[str, kinds.Want], bool],
     ) -> None:
         self._is_news = is_news
         self._send = send
--- a/marblefold/spec_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -9,9 +9,8 @@
 from typing import Protocol
 
 from marblefold.inner_protocol.messages import kinds
-from marblefold.spec_store.ballots import (
-    NOTHING, Ballot, Holding, pack_holding, read_holding)
-from marblefold.spec_store.view import View, first_view, read_view
+from marblefold.register_store.ballots import NOTHING, Ballot, Holding, pack_holding, read_holding
+from marblefold.register_store.view import View, first_view, read_view
 
 __all__ = ["Acceptor", "Records", "Standing", "VIEW_REGISTER"]
 
@@ -143,8 +142,7 @@
             # On disk first: an accept that counts on the past life of the
             # reader must be refused from here on, whatever happens to us.
             self._write_meta()
-        return self._agree(
-            [pack_holding(name, holding) for name, holding in self.holdings.items()])
+        return self._agree([pack_holding(name, holding) for name, holding in self.holdings.items()])
 
     def finish_reading(self, answers: list[kinds.StoreAnswer]) -> None:
         """Takes over what enough others hold; from here on this store votes."""
@@ -185,7 +183,8 @@
 
     def _write_register(self, register: str, holding: Holding) -> None:
         self._records.write(
-            _REGISTER_PREFIX + register, pack_holding(register, holding).SerializeToString())
+            _REGISTER_PREFIX + register, pack_holding(register, holding).SerializeToString()
+        )
 
     def _begin_first(self, seeds: list[str]) -> None:
         view = first_view(seeds)
@@ -201,11 +200,18 @@
         self._write_meta()
 
     def _write_meta(self) -> None:
-        self._records.write(_META, json.dumps({
-            "life": self.life, "standing": self.standing.value, "lives": self.lives,
-            "retired": sorted(self._retired),
-            "view": self.view.pack().decode() if self.view else "",
-        }).encode())
+        self._records.write(
+            _META,
+            json.dumps(
+                {
+                    "life": self.life,
+                    "standing": self.standing.value,
+                    "lives": self.lives,
+                    "retired": sorted(self._retired),
+                    "view": self.view.pack().decode() if self.view else "",
+                }
+            ).encode(),
+        )
 
     def _read_meta(self, data: bytes) -> None:
         meta = json.loads(data)
@@ -218,14 +224,14 @@
 
     def _agree(self, accepted: list[kinds.Accepted]) -> kinds.StoreAnswer:
         return kinds.StoreAnswer(
-            agreed=True, life=self.life, view=self.pack_view(), accepted=accepted,
-            lives=self.lives)
+            agreed=True, life=self.life, view=self.pack_view(), accepted=accepted, lives=self.lives
+        )
 
     def _refuse(self, reason: str, register: str) -> kinds.StoreAnswer:
         held = self.holdings.get(register, NOTHING)
         return kinds.StoreAnswer(
-            reason=reason, life=self.life, view=self.pack_view(),
-            promised=held.promised.pack())
+            reason=reason, life=self.life, view=self.pack_view(), promised=held.promised.pack()
+        )
 
     def pack_view(self) -> bytes:
         """The newest chosen view known, or nothing."""
--- a/marblefold/spec_store/ballots.py
+++ b/marblefold/register_store/ballots.py
@@ -41,12 +41,16 @@
 def pack_holding(register: str, holding: Holding) -> kinds.Accepted:
     """The holding as a message."""
     return kinds.Accepted(
-        register=register, ballot=holding.ballot.pack(), number=holding.number,
-        value=holding.value, promised=holding.promised.pack())
+        register=register,
+        ballot=holding.ballot.pack(),
+        number=holding.number,
+        value=holding.value,
+        promised=holding.promised.pack(),
+    )
 
 
 def read_holding(message: kinds.Accepted) -> Holding:
     """The holding in a message."""
     return Holding(
-        Ballot.read(message.promised), Ballot.read(message.ballot),
-        message.number, message.value)
+        Ballot.read(message.promised), Ballot.read(message.ballot), message.number, message.value
+    )
--- a/marblefold/spec_store/changes.py
+++ b/marblefold/register_store/changes.py
@@ -1,12 +1,20 @@
 """What the operator's words do to a register: pure functions of what it holds."""
 
-from typing import Callable, NamedTuple
+from collections.abc import Callable
+from typing import NamedTuple
 
-from marblefold.spec_store.view import View, read_view
+from marblefold.register_store.view import View, read_view
 
 __all__ = [
-    "Change", "Held", "change_view", "empty_for_window", "hold_evacuation", "hold_spec",
-    "keep", "release_from_window", "replace_at",
+    "Change",
+    "Held",
+    "change_view",
+    "empty_for_window",
+    "hold_evacuation",
+    "hold_configuration",
+    "keep",
+    "release_from_window",
+    "replace_at",
 ]
 
 
@@ -26,18 +34,20 @@
     return held
 
 
-def hold_spec(number: int, body: bytes) -> Change:
+def hold_configuration(number: int, body: bytes) -> Change:
     """The highest number holds."""
     return lambda held: Held(number, body) if not held.value or number > held.number else held
 
 
 def hold_evacuation(value: bytes) -> Change:
     """Starts and stops follow each other; a repeat of one changes nothing."""
+
     def change(held: Held) -> Held:
         # What was never evacuated need not be taken back.
         if held.value == value or (not held.value and value == b"off"):
             return held
         return Held(held.number + 1, value)
+
     return change
 
 
@@ -60,7 +70,9 @@
 
 def change_view(base: View, following: View) -> Change:
     """Swaps a member if the view is still the one that the swap was made for."""
+
     def change(held: Held) -> Held:
         now = read_view(held.value) if held.value else base
         return Held(following.number, following.pack()) if now == base else held
+
     return change
--- a/marblefold/spec_store/words.py
+++ b/marblefold/register_store/chosen_registers.py
@@ -1,14 +1,14 @@
 """What is known to hold, and who wants to hear of it."""
 
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.inner_protocol.messages import kinds, pack_message
-from marblefold.spec_store.ballots import Ballot, Holding, pack_holding
+from marblefold.inner_protocol.peer_connection import PeerConnection
+from marblefold.register_store.ballots import Ballot, Holding, pack_holding
 
-__all__ = ["ChosenWords"]
+__all__ = ["ChosenRegisters"]
 
 
-class ChosenWords:
+class ChosenRegisters:
     """The newest chosen holding of every register, and its watchers."""
 
     def __init__(self) -> None:
@@ -22,19 +22,19 @@
             return False
         self.holdings[register] = holding
         payload = pack_message(pack_holding(register, holding))
-        for stream in self._watchers:
-            stream.send(FrameKind.TELL, 0, payload)
+        for connection in self._watchers:
+            connection.send(FrameKind.TELL, 0, payload)
         return True
 
-    def watch(self, stream: PeerConnection) -> None:
-        """The registry behind the stream hears all that holds, from now on."""
-        self._watchers.add(stream)
+    def watch(self, connection: PeerConnection) -> None:
+        """The registry behind the connection hears all that holds, from now on."""
+        self._watchers.add(connection)
         for register, holding in self.holdings.items():
-            stream.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
+            connection.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
 
-    def forget(self, stream: PeerConnection) -> None:
+    def forget(self, connection: PeerConnection) -> None:
         """A watcher is gone."""
-        self._watchers.discard(stream)
+        self._watchers.discard(connection)
 
     def ballots(self) -> list[kinds.Accepted]:
         """The ballots of all that holds, for peers to compare."""
--- a/marblefold/spec_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -2,13 +2,13 @@
 
 import time
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
-from marblefold.spec_store.acceptor import Acceptor
-from marblefold.spec_store.ballots import Holding, pack_holding
-from marblefold.spec_store.view import View, read_view
+from marblefold.inner_protocol.peer_book import PeerBook
+from marblefold.register_store.acceptor import Acceptor
+from marblefold.register_store.ballots import Holding, pack_holding
+from marblefold.register_store.view import View, read_view
 
 __all__ = ["StorePeers", "answer_call"]
 
@@ -54,22 +54,22 @@
         return time.monotonic() - max(self.heard.get(peer, since), since)
 
     def tell_chosen(self, peer: str, register: str, holding: Holding) -> None:
-        """Tells a peer that is in reach what was chosen; mending does the rest."""
-        stream = self._peers.find(peer)
-        if stream is not None:
-            stream.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
+        """Tells a peer that is in reach what was chosen; repair does the rest."""
+        connection = self._peers.find(peer)
+        if connection is not None:
+            connection.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
 
     async def call(self, peer: str, call: kinds.StoreCall) -> kinds.StoreAnswer:
-        """The peer's answer, or a Breakdown."""
+        """The peer's answer, or a MeshError."""
         own = self._acceptor
         if peer == own.address:
             answer = answer_call(own, call)
             if answer is None:
-                raise Breakdown(call.kind, "not for ourselves", peer)
+                raise MeshError(call.kind, "not for ourselves", peer)
             return answer
         call.sender = own.address
         call.sender_life = own.life
-        stream = await self._peers.reach(peer)
-        answer = unpack_message(await stream.call(pack_message(call), _CALL_SECONDS))
+        connection = await self._peers.reach(peer)
+        answer = unpack_message(await connection.call(pack_message(call), _CALL_SECONDS))
         self.note_heard(peer)
         return answer
--- a/marblefold/spec_store/program.py
+++ b/marblefold/register_store/program.py
@@ -4,24 +4,31 @@
 import os
 import signal
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
+from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
+from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
 from marblefold.inner_protocol.peer_book import PeerBook
-from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.peer_connection import PeerConnection
-from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
 from marblefold.inner_protocol.ports import STORE, inner_address
 from marblefold.logs import log
 from marblefold.node_config.watching import ConfigWatch
-from marblefold.spec_store.acceptor import VIEW_REGISTER, Acceptor
-from marblefold.spec_store.ballots import Holding, read_holding
-from marblefold.spec_store.changes import (
-    Change, empty_for_window, hold_evacuation, hold_spec, keep, release_from_window, replace_at)
-from marblefold.spec_store.peer_calls import StorePeers, answer_call
-from marblefold.spec_store.proposer import Proposer
-from marblefold.spec_store.register_files import RegisterFiles
-from marblefold.spec_store.upkeep import Upkeep
-from marblefold.spec_store.words import ChosenWords
+from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor
+from marblefold.register_store.ballots import Holding, read_holding
+from marblefold.register_store.changes import (
+    Change,
+    empty_for_window,
+    hold_configuration,
+    hold_evacuation,
+    keep,
+    release_from_window,
+    replace_at,
+)
+from marblefold.register_store.chosen_registers import ChosenRegisters
+from marblefold.register_store.peer_calls import StorePeers, answer_call
+from marblefold.register_store.proposer import Proposer
+from marblefold.register_store.register_files import RegisterFiles
+from marblefold.register_store.upkeep import Upkeep
 
 __all__ = ["StoreProgram"]
 
@@ -34,19 +41,22 @@
     def __init__(self, watch: ConfigWatch) -> None:
         config = watch.config
         if not config.data_directory:
-            raise Breakdown("config", "field data-directory is missing")
+            raise MeshError("config", "field data-directory is missing")
         self._watch = watch
         self._config = config
         self._address = inner_address(config.host, config, STORE)
         seeds = [inner_address(seed.host, config, STORE) for seed in config.seeds]
         self._acceptor = Acceptor(
-            self._address, RegisterFiles(config.data_directory), seeds, config.is_first_start)
+            self._address, RegisterFiles(config.data_directory), seeds, config.is_first_start
+        )
         self._peers = StorePeers(self._acceptor, PeerBook(self))
         self._proposer = Proposer(
-            self._peers, f"{self._address}/{self._acceptor.life}/{os.urandom(4).hex()}")
-        self._words = ChosenWords()
-        self._upkeep = Upkeep(self._acceptor, self._peers, self._proposer, self._words, seeds,
-            config.machine_losses)
+            self._peers, f"{self._address}/{self._acceptor.life}/{os.urandom(4).hex()}"
+        )
+        self._words = ChosenRegisters()
+        self._upkeep = Upkeep(
+            self._acceptor, self._peers, self._proposer, self._words, seeds, config.machine_losses
+        )
         self._stop = asyncio.Event()
         self._tasks: set[asyncio.Task] = set()
 
@@ -57,8 +67,12 @@
         loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
         host, _sign, port = self._address.rpartition(":")
         await loop.create_server(lambda: PeerConnection(self), host, int(port), backlog=128)
-        log.info("serving", node=self._config.node_name, inner=self._address,
-                 standing=self._acceptor.standing.value)
+        log.info(
+            "serving",
+            node=self._config.node_name,
+            inner=self._address,
+            standing=self._acceptor.standing.value,
+        )
         tasks = [loop.create_task(self._watch.run()), loop.create_task(self._upkeep.run())]
         await self._stop.wait()
         # What is being proposed comes to its end: a word is worth the wait.
@@ -67,27 +81,28 @@
         for task in tasks:
             task.cancel()
 
-    def on_call(self, stream: PeerConnection, number: int, payload: bytes) -> None:
+    def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
         """A store or a registry calls."""
         message = unpack_message(payload)
         if isinstance(message, kinds.StoreCall):
             answer = self._answer_store(message)
-            stream.send(FrameKind.REPLY, number, pack_message(answer))
-        elif isinstance(message, kinds.WordCall):
+            connection.send(FrameKind.REPLY, number, pack_message(answer))
+        elif isinstance(message, kinds.RegisterCall):
             task = asyncio.get_running_loop().create_task(
-                self._answer_registry(stream, number, message))
+                self._answer_registry(connection, number, message)
+            )
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def on_tell(self, stream: PeerConnection, payload: bytes) -> None:
+    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
         """A store tells what was just chosen."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Accepted):
             self._upkeep.take_chosen(message.register, read_holding(message))
 
-    def on_lost(self, stream: PeerConnection) -> None:
-        """A stream is gone; if a registry was behind it, it watches no more."""
-        self._words.forget(stream)
+    def on_lost(self, connection: PeerConnection) -> None:
+        """A connection is gone; if a registry was behind it, it watches no more."""
+        self._words.forget(connection)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
         """Nobody sends hops to a store."""
@@ -101,7 +116,8 @@
         view = self._acceptor.pack_view()
         if call.kind == "compare":
             return kinds.StoreAnswer(
-                agreed=True, view=view, accepted=self._words.newer_than(list(call.chosen)))
+                agreed=True, view=view, accepted=self._words.newer_than(list(call.chosen))
+            )
         if call.kind == "opinion":
             return kinds.StoreAnswer(agreed=self._upkeep.opinion(call.register), view=view)
         if call.kind == "join":
@@ -109,31 +125,36 @@
             return kinds.StoreAnswer(view=view, reason="wait")
         return kinds.StoreAnswer(view=view, reason="no such call")
 
-    async def _answer_registry(self, stream: PeerConnection, number: int, call) -> None:
-        answer = await self._make_answer(stream, call)
-        stream.send(FrameKind.REPLY, number, pack_message(answer))
+    async def _answer_registry(self, connection: PeerConnection, number: int, call) -> None:
+        answer = await self._make_answer(connection, call)
+        connection.send(FrameKind.REPLY, number, pack_message(answer))
 
-    async def _make_answer(self, stream: PeerConnection, call) -> kinds.WordAnswer:
+    async def _make_answer(self, connection: PeerConnection, call) -> kinds.RegisterAnswer:
         if call.kind == "watch":
-            self._words.watch(stream)
-            self._tell_view(stream)
-            return kinds.WordAnswer(outcome="held")
+            self._words.watch(connection)
+            self._tell_view(connection)
+            return kinds.RegisterAnswer(outcome="held")
         change = _find_change(call)
         if change is None:
-            return kinds.WordAnswer(outcome="unknown", reason="no such call")
+            return kinds.RegisterAnswer(outcome="unknown", reason="no such call")
         try:
             holding = await self._proposer.change(call.register, change, _WORD_SECONDS)
-        except Breakdown as breakdown:
-            return kinds.WordAnswer(outcome="unknown", reason=str(breakdown))
+        except MeshError as error:
+            return kinds.RegisterAnswer(outcome="unknown", reason=str(error))
         self._spread(call.register, holding)
-        return kinds.WordAnswer(outcome="held", number=holding.number, value=holding.value)
+        return kinds.RegisterAnswer(outcome="held", number=holding.number, value=holding.value)
 
-    def _tell_view(self, stream: PeerConnection) -> None:
+    def _tell_view(self, connection: PeerConnection) -> None:
         """The first view was never proposed: no register tells it."""
         view = self._acceptor.view
         if view is not None:
-            stream.send(FrameKind.TELL, 0, pack_message(kinds.Accepted(
-                register=VIEW_REGISTER, number=view.number, value=view.pack())))
+            connection.send(
+                FrameKind.TELL,
+                0,
+                pack_message(
+                    kinds.Accepted(register=VIEW_REGISTER, number=view.number, value=view.pack())
+                ),
+            )
 
     def _spread(self, register: str, holding: Holding) -> None:
         self._upkeep.take_chosen(register, holding)
@@ -142,14 +163,15 @@
             self._peers.tell_chosen(peer, register, holding)
 
 
-def _find_change(call: kinds.WordCall) -> Change | None:
-    if call.kind == "spec":
-        return hold_spec(call.number, call.value)
+def _find_change(call: kinds.RegisterCall) -> Change | None:
+    if call.kind == "configuration":
+        return hold_configuration(call.number, call.value)
     if call.kind == "evacuation":
         return hold_evacuation(call.value)
     if call.kind in ("maintenance", "duty"):
         return replace_at(call.number, call.value)
     return {
-        "describe": keep, "window-empty": empty_for_window,
+        "describe": keep,
+        "window-empty": empty_for_window,
         "window-release": release_from_window,
     }.get(call.kind)
--- a/marblefold/spec_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -3,13 +3,14 @@
 import asyncio
 import random
 import time
-from typing import Awaitable, Callable, NamedTuple, Protocol
+from collections.abc import Awaitable, Callable
+from typing import NamedTuple, Protocol
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
-from marblefold.spec_store.ballots import NO_BALLOT, Ballot, Holding, read_holding
-from marblefold.spec_store.changes import Change, Held
-from marblefold.spec_store.view import View, read_view
+from marblefold.register_store.ballots import NO_BALLOT, Ballot, Holding, read_holding
+from marblefold.register_store.changes import Change, Held
+from marblefold.register_store.view import View, read_view
 
 __all__ = ["PeerCaller", "Proposer"]
 
@@ -38,7 +39,9 @@
     """Proposes changes one after the other for each register."""
 
     def __init__(
-        self, peers: PeerCaller, name: str,
+        self,
+        peers: PeerCaller,
+        name: str,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
@@ -50,7 +53,7 @@
         self._turns: dict[str, asyncio.Lock] = {}
 
     async def change(self, register: str, change: Change, seconds: float) -> Holding:
-        """What a majority holds after the change, or a Breakdown if none answers."""
+        """What a majority holds after the change, or a MeshError if none answers."""
         end = self._clock() + seconds
         turn = self._turns.setdefault(register, asyncio.Lock())
         # Two changes of our own would only outbid each other.
@@ -58,13 +61,13 @@
             while True:
                 view = self._peers.current_view()
                 if view is None:
-                    raise Breakdown("propose", "no view known")
+                    raise MeshError("propose", "no view known")
                 held = await self._try(view, register, change)
                 if held is not None:
                     return held
                 pause = random.uniform(*_PAUSE_SECONDS)
                 if self._clock() + pause >= end:
-                    raise Breakdown("propose", f"no majority for {register}")
+                    raise MeshError("propose", f"no majority for {register}")
                 await self._sleep(pause)
 
     async def _try(self, view: View, register: str, change: Change) -> Holding | None:
@@ -81,26 +84,36 @@
         if wanted == held and is_settled:
             return newest
         call = kinds.StoreCall(
-            kind="accept", view=view.pack(), register=register, ballot=ballot.pack(),
-            number=wanted.number, value=wanted.value, lives=promises.lives)
+            kind="accept",
+            view=view.pack(),
+            register=register,
+            ballot=ballot.pack(),
+            number=wanted.number,
+            value=wanted.value,
+            lives=promises.lives,
+        )
         answers = await self._ask(list(promises.lives), call, view.majority)
         if len(answers) < view.majority:
             return None
-        holding = Holding(NO_BALLOT, ballot, wanted.number, wanted.value)
-        return holding
+        return Holding(NO_BALLOT, ballot, wanted.number, wanted.value)
 
     async def _prepare(self, view: View, register: str, ballot: Ballot) -> _Promises | None:
         call = kinds.StoreCall(
-            kind="prepare", view=view.pack(), register=register, ballot=ballot.pack())
+            kind="prepare", view=view.pack(), register=register, ballot=ballot.pack()
+        )
         answers = await self._ask(list(view.members), call, view.majority)
         if len(answers) < view.majority:
             return None
         return _Promises(
             {peer: answer.life for peer, answer in answers.items()},
-            [read_holding(answer.accepted[0]) for answer in answers.values()])
+            [read_holding(answer.accepted[0]) for answer in answers.values()],
+        )
 
     async def _ask(
-        self, peers: list[str], call: kinds.StoreCall, enough: int,
+        self,
+        peers: list[str],
+        call: kinds.StoreCall,
+        enough: int,
     ) -> dict[str, kinds.StoreAnswer]:
         """The agreeing answers, as soon as they are enough or cannot be."""
         loop = asyncio.get_running_loop()
@@ -113,7 +126,8 @@
             if left <= 0:
                 break
             done, pending = await asyncio.wait(
-                pending, timeout=left, return_when=asyncio.FIRST_COMPLETED)
+                pending, timeout=left, return_when=asyncio.FIRST_COMPLETED
+            )
             for task in done:
                 self._sort(tasks[task], task, agreed)
         # The others still get to hold it: theirs is a copy more.
@@ -122,7 +136,10 @@
         return agreed
 
     def _sort(
-        self, peer: str, task: asyncio.Task, agreed: dict[str, kinds.StoreAnswer],
+        self,
+        peer: str,
+        task: asyncio.Task,
+        agreed: dict[str, kinds.StoreAnswer],
     ) -> None:
         if task.exception() is not None:
             return
--- a/marblefold/spec_store/upkeep.py
+++ b/marblefold/register_store/upkeep.py
@@ -1,4 +1,4 @@
-"""What a store does of its own accord: reads, mends, and swaps a lost member."""
+"""What a store does of its own accord: reads, repairs, and swaps a lost member."""
 
 import asyncio
 import os
@@ -6,16 +6,16 @@
 import time
 import zlib
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
-from marblefold.spec_store.acceptor import VIEW_REGISTER, Acceptor, Standing
-from marblefold.spec_store.ballots import read_holding
-from marblefold.spec_store.changes import change_view, keep
-from marblefold.spec_store.peer_calls import StorePeers
-from marblefold.spec_store.proposer import Proposer
-from marblefold.spec_store.view import read_view
-from marblefold.spec_store.words import ChosenWords
+from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, Standing
+from marblefold.register_store.ballots import read_holding
+from marblefold.register_store.changes import change_view, keep
+from marblefold.register_store.chosen_registers import ChosenRegisters
+from marblefold.register_store.peer_calls import StorePeers
+from marblefold.register_store.proposer import Proposer
+from marblefold.register_store.view import read_view
 
 __all__ = ["Upkeep"]
 
@@ -29,8 +29,13 @@
     """The rounds of one store."""
 
     def __init__(
-        self, acceptor: Acceptor, peers: StorePeers, proposer: Proposer, words: ChosenWords,
-        seeds: list[str], machine_losses: int = 1,
+        self,
+        acceptor: Acceptor,
+        peers: StorePeers,
+        proposer: Proposer,
+        words: ChosenRegisters,
+        seeds: list[str],
+        machine_losses: int = 1,
     ) -> None:
         self._acceptor = acceptor
         self._peers = peers
@@ -49,9 +54,8 @@
         while True:
             try:
                 await self._round()
-            except Breakdown as breakdown:
-                log.info("round", step=breakdown.step, peer=breakdown.peer,
-                         reason=breakdown.reason)
+            except MeshError as error:
+                log.info("round", step=error.step, peer=error.peer, reason=error.reason)
             await asyncio.sleep(_ROUND_SECONDS * random.uniform(0.8, 1.2))
 
     def note_waiting(self, newcomer: str) -> None:
@@ -76,8 +80,7 @@
         peers = acceptor.view.members if acceptor.view else self._seeds
         others = [peer for peer in peers if peer != acceptor.address]
         kind = "read" if acceptor.is_member else "join"
-        answers = await self._ask_all(others, kinds.StoreCall(
-            kind=kind, view=acceptor.pack_view()))
+        answers = await self._ask_all(others, kinds.StoreCall(kind=kind, view=acceptor.pack_view()))
         known = acceptor.view
         for answer in answers:
             if answer.view:
@@ -117,7 +120,8 @@
         if acceptor.view is None:
             return
         call = kinds.StoreCall(
-            kind="compare", view=acceptor.pack_view(), chosen=self._words.ballots())
+            kind="compare", view=acceptor.pack_view(), chosen=self._words.ballots()
+        )
         others = [peer for peer in acceptor.view.members if peer != acceptor.address]
         for answer in await self._ask_all(others, call):
             for message in answer.accepted:
@@ -133,9 +137,11 @@
         # One by one, each by the duty of one member; the register is the fence.
         newcomer = waiting[0]
         live = [
-            peer for peer in view.members
+            peer
+            for peer in view.members
             if peer == self._acceptor.address
-            or self._peers.silence(peer, self._began) <= _GONE_SECONDS]
+            or self._peers.silence(peer, self._began) <= _GONE_SECONDS
+        ]
         if max(live, key=lambda peer: _rank(newcomer, peer)) != self._acceptor.address:
             return
         # Only while all the others vote: a newcomer reads from most of them.
@@ -143,14 +149,17 @@
             return
         following = view.add(newcomer, os.urandom(16).hex())
         holding = await self._proposer.change(
-            VIEW_REGISTER, change_view(view, following), _SETTLE_SECONDS)
+            VIEW_REGISTER, change_view(view, following), _SETTLE_SECONDS
+        )
         self.take_chosen(VIEW_REGISTER, holding)
         log.info("view grew", newcomer=newcomer, view=following.number)
 
     def _find_waiting(self, now: float) -> list[str]:
         return sorted(
-            peer for peer, at in self._waiting.items()
-            if now - at < _WAITING_SECONDS and peer not in self._acceptor.view.members)
+            peer
+            for peer, at in self._waiting.items()
+            if now - at < _WAITING_SECONDS and peer not in self._acceptor.view.members
+        )
 
     async def _swap_lost(self) -> None:
         """Swaps a member that is gone for a store that waits, if that is our duty."""
@@ -158,7 +167,8 @@
         view = self._acceptor.view
         waiting = self._find_waiting(now)
         lost = [
-            peer for peer in view.members
+            peer
+            for peer in view.members
             if peer != self._acceptor.address
             and self._peers.silence(peer, self._began) > _GONE_SECONDS
         ]
@@ -174,15 +184,17 @@
             return
         following = view.swap(gone, waiting[0], os.urandom(16).hex())
         holding = await self._proposer.change(
-            VIEW_REGISTER, change_view(view, following), _SETTLE_SECONDS)
+            VIEW_REGISTER, change_view(view, following), _SETTLE_SECONDS
+        )
         self.take_chosen(VIEW_REGISTER, holding)
         log.info("view changed", gone=gone, newcomer=waiting[0], view=following.number)
 
     async def _is_gone_for_others(self, gone: str, live: list[str]) -> bool:
         """A second opinion: whether the others have not heard it either."""
         others = [peer for peer in live if peer != self._acceptor.address]
-        answers = await self._ask_all(others, kinds.StoreCall(
-            kind="opinion", view=self._acceptor.pack_view(), register=gone))
+        answers = await self._ask_all(
+            others, kinds.StoreCall(kind="opinion", view=self._acceptor.pack_view(), register=gone)
+        )
         return bool(answers) and all(answer.agreed for answer in answers)
 
     def opinion(self, peer: str) -> bool:
@@ -191,11 +203,15 @@
 
     async def _ask_all(self, peers: list[str], call: kinds.StoreCall) -> list[kinds.StoreAnswer]:
         results = await asyncio.gather(
-            *(self._peers.call(peer, kinds.StoreCall.FromString(call.SerializeToString()))
-              for peer in peers), return_exceptions=True)
+            *(
+                self._peers.call(peer, kinds.StoreCall.FromString(call.SerializeToString()))
+                for peer in peers
+            ),
+            return_exceptions=True,
+        )
         answers = []
         for result in results:
-            if isinstance(result, Breakdown):
+            if isinstance(result, MeshError):
                 continue
             if isinstance(result, BaseException):
                 raise result
--- a/marblefold/registry/catalogue.py
+++ b/marblefold/registry/catalogue.py
@@ -2,7 +2,7 @@
 
 import itertools
 from collections import deque
-from typing import Callable
+from collections.abc import Callable
 
 from marblefold.inner_protocol.messages import kinds
 
@@ -32,8 +32,7 @@
     def entries(self, kind: str) -> list[kinds.Entry]:
         """All entries of a kind that are not removed."""
         return [
-            entry for (of, _key), entry in self._entries.items()
-            if of == kind and not entry.removed
+            entry for (of, _key), entry in self._entries.items() if of == kind and not entry.removed
         ]
 
     def put(self, entry: kinds.Entry) -> bool:
@@ -60,6 +59,6 @@
         newest = itertools.islice(reversed(self._changes), self.place - place)
         return [entry for _at, entry in newest][::-1]
 
-    def frame(self) -> list[kinds.Entry]:
+    def snapshot(self) -> list[kinds.Entry]:
         """Everything that holds."""
         return list(self._entries.values())
--- a/marblefold/registry/duty_rank.py
+++ b/marblefold/registry/duty_rank.py
@@ -2,8 +2,8 @@
 
 import time
 import zlib
+from collections.abc import Callable
 from datetime import timedelta
-from typing import Callable
 
 from marblefold.membership.members import Liveness
 from marblefold.membership.node import NodeMembership
@@ -15,7 +15,10 @@
     """Answers whether a duty's key falls to this registry."""
 
     def __init__(
-        self, membership: NodeMembership, own: str, registries: Callable[[], set[str]],
+        self,
+        membership: NodeMembership,
+        own: str,
+        registries: Callable[[], set[str]],
         is_in_touch: Callable[[], bool],
     ) -> None:
         self._membership = membership
@@ -28,8 +31,11 @@
         """Whether the key falls to us; right after a start nothing does."""
         if time.monotonic() - self._began < settling.total_seconds() or not self._is_in_touch():
             return False
-        alive = {member.address for member in self._membership.members("registry")
-                 if member.liveness is Liveness.ALIVE}
+        alive = {
+            member.address
+            for member in self._membership.members("registry")
+            if member.liveness is Liveness.ALIVE
+        }
         candidates = (alive | {self._own}) & (self._registries() | {self._own})
         return max(candidates, key=lambda peer: (_rank(key, peer), peer)) == self._own
 
--- a/marblefold/registry/feed.py
+++ b/marblefold/registry/feed.py
@@ -3,12 +3,12 @@
 import asyncio
 import time
 import zlib
+from collections.abc import Callable
 from datetime import timedelta
-from typing import Callable
 
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.inner_protocol.messages import kinds, pack_message
+from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.registry.catalogue import Catalogue
 
 __all__ = ["FeedKeeper"]
@@ -28,7 +28,9 @@
     """The followers of this registry and how far each has come."""
 
     def __init__(
-        self, catalogue: Catalogue, is_in_touch: Callable[[], bool],
+        self,
+        catalogue: Catalogue,
+        is_in_touch: Callable[[], bool],
         count_proxies: Callable[[], int],
         soon: Callable[[float, Callable[[], None]], object] | None = None,
     ) -> None:
@@ -41,30 +43,30 @@
         self._is_pending = False
         catalogue.listen(self._on_change)
 
-    def follow(self, stream: PeerConnection, follow: kinds.Follow) -> None:
+    def follow(self, connection: PeerConnection, follow: kinds.Follow) -> None:
         """Somebody follows from a place on."""
         changes = self._catalogue.changes_since(follow.registry_life, follow.place)
-        self._places[stream] = self._catalogue.place
-        stream.send(FrameKind.TELL, 0, self._pack(changes))
+        self._places[connection] = self._catalogue.place
+        connection.send(FrameKind.TELL, 0, self._pack(changes))
 
     @property
     def followers(self) -> int:
         """How many follow this registry."""
         return len(self._places)
 
-    def forget(self, stream: PeerConnection) -> None:
+    def forget(self, connection: PeerConnection) -> None:
         """A follower is gone."""
-        self._places.pop(stream, None)
+        self._places.pop(connection, None)
 
     async def run(self) -> None:
         """Says regularly that this registry lives and what it reaches."""
         while True:
             await asyncio.sleep(_SIGN_OF_LIFE.total_seconds())
             payload = self._pack([])
-            for stream, place in list(self._places.items()):
+            for connection, place in list(self._places.items()):
                 # Whoever is behind hears with the push that is due.
                 if place == self._catalogue.place:
-                    stream.send(FrameKind.TELL, 0, payload)
+                    connection.send(FrameKind.TELL, 0, payload)
 
     def _on_change(self, _place: int, _entry: kinds.Entry) -> None:
         # Changes that come close together travel together.
@@ -80,31 +82,33 @@
         catalogue = self._catalogue
         # Most followers stand at one place: what they are sent is built once.
         payloads: dict[int, bytes] = {}
-        for stream, place in list(self._places.items()):
+        for connection, place in list(self._places.items()):
             if place == catalogue.place:
                 continue
             payload = payloads.get(place)
             if payload is None:
                 payload = payloads[place] = self._pack(
-                    catalogue.changes_since(catalogue.life, place))
-            self._places[stream] = catalogue.place
-            stream.send(FrameKind.TELL, 0, payload)
+                    catalogue.changes_since(catalogue.life, place)
+                )
+            self._places[connection] = catalogue.place
+            connection.send(FrameKind.TELL, 0, payload)
 
-    def give(self, stream: PeerConnection, want: kinds.Want) -> None:
+    def give(self, connection: PeerConnection, want: kinds.Want) -> None:
         """Somebody wants an entry whole."""
         entry = self._catalogue.find(want.kind, want.key)
         if entry is not None:
-            stream.send(FrameKind.TELL, 0, pack_message(entry))
+            connection.send(FrameKind.TELL, 0, pack_message(entry))
 
     def _pack(self, changes: list[kinds.Entry] | None) -> bytes:
         """The changes, or a snapshot of the catalogue where there are none to be had."""
         is_snapshot = changes is None
-        entries = [_defer(entry) for entry in (
-            self._catalogue.frame() if is_snapshot else changes)]
+        entries = [
+            _defer(entry) for entry in (self._catalogue.snapshot() if is_snapshot else changes)
+        ]
         feed = kinds.Feed(
             registry_life=self._catalogue.life,
             place=self._catalogue.place,
-            frame=is_snapshot,
+            snapshot=is_snapshot,
             in_touch=self._is_in_touch(),
             proxies=self._count_proxies(),
         )
@@ -123,7 +127,8 @@
     if len(entry.value) <= _LARGEST_VALUE:
         return entry
     return kinds.Entry(
-        kind=entry.kind, key=entry.key, life=entry.life, number=entry.number, deferred=True)
+        kind=entry.kind, key=entry.key, life=entry.life, number=entry.number, deferred=True
+    )
 
 
 def _call_later(seconds: float, push: Callable[[], None]) -> None:
--- a/marblefold/registry/list_duty.py
+++ b/marblefold/registry/list_duty.py
@@ -7,11 +7,12 @@
 
 import asyncio
 import random
+from collections.abc import Callable
 from datetime import timedelta
-from typing import Callable, Protocol
+from typing import Protocol
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
 from marblefold.registry.catalogue import Catalogue
@@ -27,7 +28,7 @@
 _MOST_BACK_OFF = 4.0
 
 
-class Words(Protocol):
+class RegisterClient(Protocol):
     """Where the epoch of the duty is kept."""
 
     async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
@@ -37,12 +38,18 @@
     """Reads the list while the duty is ours."""
 
     def __init__(
-        self, listing: PlatformList, catalogue: Catalogue, words: Words, own: str,
-        is_holder: Callable[[], bool], region_of: Callable[[str], str], drain_time: timedelta,
+        self,
+        listing: PlatformList,
+        catalogue: Catalogue,
+        store_client: RegisterClient,
+        own: str,
+        is_holder: Callable[[], bool],
+        region_of: Callable[[str], str],
+        drain_time: timedelta,
     ) -> None:
         self._listing = listing
         self._catalogue = catalogue
-        self._words = words
+        self._store_client = store_client
         self._own = own
         self._is_holder = is_holder
         self._region_of = region_of
@@ -64,13 +71,11 @@
             try:
                 await self.step()
                 back_off = 1.0
-            except Breakdown as breakdown:
+            except MeshError as error:
                 # What is held serves on; many must not ask all at once.
                 back_off = min(_MOST_BACK_OFF, back_off * 1.5)
-                log.warning("no list", step=breakdown.step, peer=breakdown.peer,
-                            reason=breakdown.reason)
-            await asyncio.sleep(
-                self._pause.total_seconds() * back_off * random.uniform(0.85, 1.0))
+                log.warning("no list", step=error.step, peer=error.peer, reason=error.reason)
+            await asyncio.sleep(self._pause.total_seconds() * back_off * random.uniform(0.85, 1.0))
 
     async def step(self) -> None:
         """One round: the duty's epoch, the whole list, then the news in it."""
@@ -79,12 +84,12 @@
         self._tell(await self._listing.read())
 
     async def _take_up(self) -> None:
-        held = await self._words.ask("describe", DUTY_REGISTER)
+        held = await self._store_client.ask("describe", DUTY_REGISTER)
         own = self._own.encode()
-        taken = await self._words.ask("duty", DUTY_REGISTER, held.number, own)
+        taken = await self._store_client.ask("duty", DUTY_REGISTER, held.number, own)
         # Another was faster: its epoch is not ours.
         if taken.value != own or taken.number != held.number + 1:
-            raise Breakdown("duty", "taken by another", taken.value.decode())
+            raise MeshError("duty", "taken by another", taken.value.decode())
         self._epoch, self._number = taken.number, 0
         self._told, self._missing = {}, set()
         log.info("list duty", epoch=self._epoch)
@@ -96,8 +101,10 @@
             if held is None or _mark(held) != _mark(target):
                 self._put(instance, target)
         self._told = listed | {
-            instance: target for instance, target in self._told.items()
-            if instance in self._missing and instance not in listed}
+            instance: target
+            for instance, target in self._told.items()
+            if instance in self._missing and instance not in listed
+        }
         known = {entry.key for entry in self._catalogue.entries("target")}
         for instance in known - set(listed):
             # A page boundary may hide one once; twice missing is gone.
@@ -110,16 +117,28 @@
         value = b""
         if target is not None:
             value = kinds.TargetNotice(
-                node=instance, address=target.address, zone=target.zone,
-                region=self._region_of(target.zone), instance=instance,
-                upstream=target.upstream, slots=target.slots, state=target.state,
+                node=instance,
+                address=target.address,
+                zone=target.zone,
+                region=self._region_of(target.zone),
+                instance=instance,
+                upstream=target.upstream,
+                slots=target.slots,
+                state=target.state,
                 cold_left_ms=int(target.cold / timedelta(milliseconds=1)),
             ).SerializeToString()
         else:
             self._told.pop(instance, None)
-        self._catalogue.put(kinds.Entry(
-            kind="target", key=instance, life=self._epoch, number=self._number,
-            value=value, removed=target is None))
+        self._catalogue.put(
+            kinds.Entry(
+                kind="target",
+                key=instance,
+                life=self._epoch,
+                number=self._number,
+                value=value,
+                removed=target is None,
+            )
+        )
 
 
 def _mark(target: ListedTarget) -> tuple:
--- a/marblefold/registry/live_capacity.py
+++ b/marblefold/registry/live_capacity.py
@@ -1,6 +1,6 @@
 """The slots that can be counted on now, as this registry knows them."""
 
-from datetime import datetime, timedelta, timezone
+from datetime import UTC, datetime, timedelta
 
 from marblefold import wire_names
 from marblefold.inner_protocol.messages import kinds
@@ -21,8 +21,11 @@
     """Answers what the maintenance duty asks of the mesh."""
 
     def __init__(
-        self, catalogue: Catalogue, membership: NodeMembership,
-        duties: DutyRank, has_proxies: bool,
+        self,
+        catalogue: Catalogue,
+        membership: NodeMembership,
+        duties: DutyRank,
+        has_proxies: bool,
     ) -> None:
         self._catalogue = catalogue
         self._membership = membership
@@ -36,15 +39,20 @@
 
     def live_slots(self) -> LiveSlots:
         """Cold, draining, leaving, suspected, lost and evacuated ones left out."""
-        alive = {member.node for member in self._membership.members("proxy")
-                 if member.liveness is Liveness.ALIVE}
+        alive = {
+            member.node
+            for member in self._membership.members("proxy")
+            if member.liveness is Liveness.ALIVE
+        }
         slots: dict[tuple[str, str], int] = {}
         for notice in self._notices():
             counts = (
-                notice.state == wire_names.READY and not notice.leaving
+                notice.state == wire_names.READY
+                and not notice.leaving
                 and not notice.cold_left_ms
                 and (not self._has_proxies or notice.node in alive)
-                and self.evacuation(notice.zone) != b"on")
+                and self.evacuation(notice.zone) != b"on"
+            )
             if counts:
                 key = (notice.upstream, notice.zone)
                 slots[key] = slots.get(key, 0) + notice.slots
@@ -65,12 +73,13 @@
 
     def window_zones(self) -> set[str]:
         """The zones that are evacuated for a window."""
-        return {entry.key for entry in self._catalogue.entries("evacuation")
-                if entry.value == b"window"}
+        return {
+            entry.key for entry in self._catalogue.entries("evacuation") if entry.value == b"window"
+        }
 
     def now(self) -> datetime:
         """The time of day."""
-        return datetime.now(timezone.utc)
+        return datetime.now(UTC)
 
     def _notices(self):
         for entry in self._catalogue.entries("target"):
--- a/marblefold/registry/peer_news.py
+++ b/marblefold/registry/peer_news.py
@@ -1,6 +1,6 @@
 """Takes over from the other registries what only one of them finds out."""
 
-from typing import Callable
+from collections.abc import Callable
 
 from marblefold.registry.catalogue import Catalogue
 
@@ -11,7 +11,10 @@
     """Follows the feeds of the others, for entries of a few kinds only."""
 
     def __init__(
-        self, catalogue: Catalogue, kinds_taken: set[str], others: Callable[[], set[str]],
+        self,
+        catalogue: Catalogue,
+        kinds_taken: set[str],
+        others: Callable[[], set[str]],
     ) -> None:
         self.proxies = 0
         self._catalogue = catalogue
--- a/marblefold/registry/platform_list.py
+++ b/marblefold/registry/platform_list.py
@@ -13,8 +13,8 @@
 from aiohttp.http_exceptions import HttpProcessingError
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.target_streams import TargetStreams
+from marblefold.errors import MeshError
+from marblefold.http_connections.target_connections import TargetConnections
 from marblefold.node_config.reading import Address
 
 __all__ = ["ListedTarget", "PlatformList", "read_page"]
@@ -42,11 +42,11 @@
 
     def __init__(self, address: Address, rate_per_second: float) -> None:
         self._address = address
-        self._streams = TargetStreams(address)
+        self._connections = TargetConnections(address)
         self._pause = 1.0 / max(0.1, rate_per_second * _RATE_SHARE)
 
     async def read(self) -> dict[str, ListedTarget]:
-        """The whole list, or a Breakdown if any of its pages does not come."""
+        """The whole list, or a MeshError if any of its pages does not come."""
         listed: dict[str, ListedTarget] = {}
         token = ""
         for _ in range(_MOST_PAGES):
@@ -55,34 +55,34 @@
             if not token:
                 return listed
             await asyncio.sleep(self._pause)
-        raise Breakdown("list", "no last page", str(self._address))
+        raise MeshError("list", "no last page", str(self._address))
 
     async def _read_page(self, token: str) -> tuple[list[ListedTarget], str]:
         path = wire_names.INSTANCES_CALL[1]
         if token:
             path += f"?{wire_names.PAGE_TOKEN}={quote(token, safe='')}"
         peer = str(self._address)
-        stream = None
+        connection = None
         try:
             async with asyncio.timeout(_CALL_SECONDS):
-                stream = await self._streams.take()
+                connection = await self._connections.take()
                 head = f"GET {path} HTTP/1.1\r\nHost: {peer}\r\n\r\n"
-                await stream.begin(head.encode(), None)
-                answer = await stream.answer()
+                await connection.begin(head.encode(), None)
+                answer = await connection.answer()
                 body = await answer.payload.read()
-            self._streams.give_back(stream)
-            stream = None
+            self._connections.give_back(connection)
+            connection = None
         except (TimeoutError, ConnectionError, HttpProcessingError) as error:
-            raise Breakdown("list", str(error) or "no answer", peer) from error
+            raise MeshError("list", str(error) or "no answer", peer) from error
         finally:
-            if stream is not None:
-                self._streams.discard(stream)
+            if connection is not None:
+                self._connections.discard(connection)
         if answer.status != 200:
-            raise Breakdown("list", f"status {answer.status}", peer)
+            raise MeshError("list", f"status {answer.status}", peer)
         try:
             return read_page(body)
         except (ValueError, TypeError, KeyError, AttributeError) as error:
-            raise Breakdown("list", f"bad page: {error!r}", peer) from error
+            raise MeshError("list", f"bad page: {error!r}", peer) from error
 
 
 def read_page(body: bytes) -> tuple[list[ListedTarget], str]:
@@ -90,9 +90,15 @@
     document = json.loads(body)
     targets = []
     for instance, row in document[wire_names.INSTANCE_LIST].items():
-        targets.append(ListedTarget(
-            instance, row[wire_names.UPSTREAM], str(Address.parse(row[wire_names.ADDRESS])),
-            row[wire_names.ZONE], max(1, int(row[wire_names.CAPACITY_SLOTS])),
-            row[wire_names.STATE],
-            timedelta(milliseconds=float(row.get(wire_names.COLD_REMAINING_MS) or 0))))
+        targets.append(
+            ListedTarget(
+                instance,
+                row[wire_names.UPSTREAM],
+                str(Address.parse(row[wire_names.ADDRESS])),
+                row[wire_names.ZONE],
+                max(1, int(row[wire_names.CAPACITY_SLOTS])),
+                row[wire_names.STATE],
+                timedelta(milliseconds=float(row.get(wire_names.COLD_REMAINING_MS) or 0)),
+            )
+        )
     return targets, document.get(wire_names.NEXT_PAGE_TOKEN) or ""
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -6,13 +6,15 @@
 import time
 from datetime import timedelta
 
-from marblefold.http_streams.call_router import CallRouter
+from marblefold.configuration.laying_out import lay_out
+from marblefold.configuration.reading import read_configuration
 from marblefold.history.keeper import HistoryKeeper
-from marblefold.http_streams.downstream_server import DownstreamServer
+from marblefold.http_connections.call_router import CallRouter
+from marblefold.http_connections.http_server import HttpServer
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
+from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.inner_protocol.ports import GATEWAY_FOLLOWS, REGISTRY, STORE, inner_address
 from marblefold.logs import log
 from marblefold.maintenance.calls import MaintenanceCalls
@@ -21,24 +23,22 @@
 from marblefold.membership.node import NodeMembership
 from marblefold.node_config.reading import NodeConfig
 from marblefold.node_config.watching import ConfigWatch
-from marblefold.operator_spec.laying_out import lay_out
-from marblefold.operator_spec.reading import read_spec
+from marblefold.program_flags import is_history_on, read_collected_spans
+from marblefold.register_store.view import read_view
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.control_calls import ControlCalls
 from marblefold.registry.duty_rank import DutyRank
 from marblefold.registry.feed import FeedKeeper
 from marblefold.registry.live_capacity import LiveCapacity
 from marblefold.registry.site_news import PARTNERS_REGISTER, SiteNews
-from marblefold.registry.state import describe_state
 from marblefold.registry.snapshot_parts import describe_parts
-from marblefold.registry.store_words import HeldWord, StoreWords
+from marblefold.registry.state import describe_state
+from marblefold.registry.store_client import ChosenRecord, StoreClient
 from marblefold.registry.traffic_book import TrafficBook
 from marblefold.rehearsal.calls import RehearsalCalls
-from marblefold.spec_store.view import read_view
 from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.calls import TraceCalls
 from marblefold.tracing.collector import Collector
-from marblefold.program_flags import is_history_on, read_collected_spans
 
 __all__ = ["RegistryProgram"]
 
@@ -53,36 +53,45 @@
         self._watch = watch
         self._config = config
         self.catalogue = Catalogue(int(time.time() * 1000))
-        self.words = StoreWords(
-            inner_address(config.host, config, STORE), self._seed_stores, self._on_word)
+        self.store_client = StoreClient(
+            inner_address(config.host, config, STORE), self._seed_stores, self._on_record
+        )
         self._membership = NodeMembership(watch, "registry", REGISTRY)
         self._registries: set[str] = set()
         self._view_number = 0
         self.feed = FeedKeeper(self.catalogue, self._is_in_touch, self._count_proxies)
-        self._streams: dict[PeerConnection, str] = {}
+        self._connections: dict[PeerConnection, str] = {}
         self._own = inner_address(config.host, config, REGISTRY)
         self._duties = DutyRank(
-            self._membership, self._own, lambda: self._registries, self._is_in_touch)
+            self._membership, self._own, lambda: self._registries, self._is_in_touch
+        )
         capacity = LiveCapacity(
-            self.catalogue, self._membership, self._duties, config.cloud is None)
+            self.catalogue, self._membership, self._duties, config.cloud is None
+        )
         self._extra_runs = self._make_list_duty(config) if config.cloud is not None else []
-        self.maintenance = MaintenanceDuty(self.words, capacity)
+        self.maintenance = MaintenanceDuty(self.store_client, capacity)
         self._sites = SiteNews(
-            config, self._own, self.catalogue, self.words,
-            lambda: self._duties.is_holder(PARTNERS_REGISTER, _LIST_SETTLING))
+            config,
+            self._own,
+            self.catalogue,
+            self.store_client,
+            lambda: self._duties.is_holder(PARTNERS_REGISTER, _LIST_SETTLING),
+        )
         self._collector = Collector(read_collected_spans())
         calls = CallRouter()
         TraceCalls(self._collector, time.time).add_to(calls)
         self._traffic = TrafficBook()
         self._history = HistoryKeeper(config.data_directory if is_history_on() else "")
         self._history.add_to(calls)
-        RehearsalCalls(self.words, self._describe_parts).add_to(calls)
+        RehearsalCalls(self.store_client, self._describe_parts).add_to(calls)
         self._sites.add_to(calls)
-        MaintenanceCalls(self.words, self._zones, capacity.all_slots).add_to(calls)
+        MaintenanceCalls(self.store_client, self._zones, capacity.all_slots).add_to(calls)
         ControlCalls(
-            self.words, self._zones, self._tell_state,
+            self.store_client,
+            self._zones,
+            self._tell_state,
         ).add_to(calls)
-        self._control = DownstreamServer(calls.handle)
+        self._control = HttpServer(calls.handle)
         self._stop = asyncio.Event()
 
     async def run(self) -> None:
@@ -98,8 +107,13 @@
         log.info("serving", node=self._config.node_name, inner=inner)
         tasks = TaskKeeper()
         for run in (
-            self._watch.run(), self.words.run(), self.feed.run(), self._control.run(),
-            self._membership.run(), self.maintenance.run(), *self._extra_runs,
+            self._watch.run(),
+            self.store_client.run(),
+            self.feed.run(),
+            self._control.run(),
+            self._membership.run(),
+            self.maintenance.run(),
+            *self._extra_runs,
             self._history.run(),
             *self._sites.runs(),
         ):
@@ -121,98 +135,127 @@
         from marblefold.registry.peer_news import PeerNews
         from marblefold.registry.platform_list import PlatformList
 
-        news = PeerNews(
-            self.catalogue, {"target"}, lambda: self._registries - {self._own})
-        follower = RegistryFollower(config.node_name, lambda: [], news)
+        news = PeerNews(self.catalogue, {"target"}, lambda: self._registries - {self._own})
+        follower = RegistryFollower(config.node_name, list, news)
         duty = ListDuty(
             PlatformList(config.cloud.address, config.cloud.rate_per_second),
-            self.catalogue, self.words, self._own,
+            self.catalogue,
+            self.store_client,
+            self._own,
             lambda: self._duties.is_holder(DUTY_REGISTER, _LIST_SETTLING),
             lambda zone: self._watch.config.zone_regions.get(zone, ""),
-            config.bounds.drain_time)
+            config.bounds.drain_time,
+        )
         return [follower.run(), duty.run()]
 
-    def on_tell(self, stream: PeerConnection, payload: bytes) -> None:
+    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
         """A proxy tells of itself, or follows the feed."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Follow):
-            self.feed.follow(stream, message)
+            self.feed.follow(connection, message)
         elif isinstance(message, kinds.TargetNotice):
-            self._take_notice(stream, message)
+            self._take_notice(connection, message)
         elif isinstance(message, kinds.TrafficNotice):
             self._traffic.take(message, time.monotonic())
         elif isinstance(message, kinds.SpanBatch):
             self._collector.take(message)
         elif isinstance(message, kinds.Want):
-            self.feed.give(stream, message)
-        elif isinstance(message, kinds.RenewTerm):
-            stream.send(FrameKind.TELL, 0, pack_message(self._sites.granter.grant(message)))
+            self.feed.give(connection, message)
+        elif isinstance(message, kinds.RenewLease):
+            connection.send(FrameKind.TELL, 0, pack_message(self._sites.granter.grant(message)))
 
-    def on_lost(self, stream: PeerConnection) -> None:
-        """A proxy's stream is gone; what it told holds until others know more."""
-        self.feed.forget(stream)
-        self._streams.pop(stream, None)
+    def on_lost(self, connection: PeerConnection) -> None:
+        """A proxy's connection is gone; what it told holds until others know more."""
+        self.feed.forget(connection)
+        self._connections.pop(connection, None)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
         """Nobody sends hops to a registry."""
         exchange.close()
 
-    def on_call(self, stream: PeerConnection, number: int, payload: bytes) -> None:
+    def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
         """Peers call for nothing here."""
 
-    def _take_notice(self, stream: PeerConnection, notice: kinds.TargetNotice) -> None:
-        self._streams[stream] = notice.node
-        self.catalogue.put(kinds.Entry(
-            kind="target", key=notice.node, life=notice.node_life,
-            number=notice.notice_number, value=notice.SerializeToString()))
+    def _take_notice(self, connection: PeerConnection, notice: kinds.TargetNotice) -> None:
+        self._connections[connection] = notice.node
+        self.catalogue.put(
+            kinds.Entry(
+                kind="target",
+                key=notice.node,
+                life=notice.node_life,
+                number=notice.notice_number,
+                value=notice.SerializeToString(),
+            )
+        )
         self._sites.note_claims()
 
-    def _on_word(self, word: HeldWord) -> None:
+    def _on_record(self, record: ChosenRecord) -> None:
         """A word holds: bring it to all followers."""
-        if word.register == "spec":
-            self._history.take(word.number, word.value)
-            self.catalogue.put(kinds.Entry(
-                kind="spec", key="spec", number=word.number,
-                value=lay_out(read_spec(word.value))))
-        elif word.register.startswith("evacuation/"):
-            self.catalogue.put(kinds.Entry(
-                kind="evacuation", key=word.register.partition("/")[2],
-                number=word.number, value=word.value))
-        elif word.register == MAINTENANCE:
-            self.maintenance.take(word.number, word.value)
-        elif word.register == "view":
-            self._take_view(word)
+        if record.register == "configuration":
+            self._history.take(record.number, record.value)
+            self.catalogue.put(
+                kinds.Entry(
+                    kind="configuration",
+                    key="configuration",
+                    number=record.number,
+                    value=lay_out(read_configuration(record.value)),
+                )
+            )
+        elif record.register.startswith("evacuation/"):
+            self.catalogue.put(
+                kinds.Entry(
+                    kind="evacuation",
+                    key=record.register.partition("/")[2],
+                    number=record.number,
+                    value=record.value,
+                )
+            )
+        elif record.register == MAINTENANCE:
+            self.maintenance.take(record.number, record.value)
+        elif record.register == "view":
+            self._take_view(record)
         else:
-            self._sites.take_word(word.register, word.number, word.value)
+            self._sites.take_record(record.register, record.number, record.value)
 
-    def _take_view(self, word: HeldWord) -> None:
-        if word.number < self._view_number:
+    def _take_view(self, record: ChosenRecord) -> None:
+        if record.number < self._view_number:
             return
-        self._view_number = word.number
-        members = set(read_view(word.value).members)
-        self.words.stores = members
+        self._view_number = record.number
+        members = set(read_view(record.value).members)
+        self.store_client.stores = members
         # Registries stand on the machines of the stores.
         registries = sorted(
-            inner_address(member.rpartition(":")[0], self._config, REGISTRY)
-            for member in members
+            inner_address(member.rpartition(":")[0], self._config, REGISTRY) for member in members
         )
         self._registries = set(registries)
-        self.catalogue.put(kinds.Entry(
-            kind="registries", key="registries", number=word.number,
-            value="\n".join(registries).encode()))
+        self.catalogue.put(
+            kinds.Entry(
+                kind="registries",
+                key="registries",
+                number=record.number,
+                value="\n".join(registries).encode(),
+            )
+        )
 
     def _zones(self) -> set[str]:
         return set(self._watch.config.zone_regions)
 
     def _describe_parts(self) -> dict:
         return describe_parts(
-            self._tell_state(), self._traffic, self._config, self.catalogue, self._own,
-            self._membership.members("registry"), time.monotonic())
+            self._tell_state(),
+            self._traffic,
+            self._config,
+            self.catalogue,
+            self._own,
+            self._membership.members("registry"),
+            time.monotonic(),
+        )
 
     def _tell_state(self) -> dict:
-        members = sorted(self.words.stores)
+        members = sorted(self.store_client.stores)
         return describe_state(
-            self.catalogue, members, self._membership.members("proxy"), self._is_in_touch())
+            self.catalogue, members, self._membership.members("proxy"), self._is_in_touch()
+        )
 
     def _is_in_touch(self) -> bool:
         """Whether this registry reaches a majority of the registries."""
--- a/marblefold/registry/site_news.py
+++ b/marblefold/registry/site_news.py
@@ -3,22 +3,22 @@
 Without partners and without owners in the stores nothing of it runs.
 """
 
-from typing import Callable
+from collections.abc import Callable
 
-from marblefold.http_streams.call_router import CallRouter
+from marblefold.http_connections.call_router import CallRouter
 from marblefold.inner_protocol.messages import kinds
+from marblefold.leases.granting import LeaseGranter
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
 from marblefold.ownership.agent import OWNER_PREFIX, OWNERS_REGISTER, SiteAgent
 from marblefold.ownership.calls import Claimed, OwnerCalls
-from marblefold.ownership.claims import Owner, find_clashes, read_owners_word
+from marblefold.ownership.claims import Owner, find_clashes, read_owners
 from marblefold.partners.calls import PartnerCalls
 from marblefold.partners.document import Document
 from marblefold.partners.duty import REGISTER as PARTNERS_REGISTER
-from marblefold.partners.duty import PartnerDuty, Words
+from marblefold.partners.duty import PartnerDuty, RegisterClient
+from marblefold.register_store.register_files import RegisterFiles
 from marblefold.registry.catalogue import Catalogue
-from marblefold.spec_store.register_files import RegisterFiles
-from marblefold.terms.granting import TermGranter
 
 __all__ = ["PARTNERS_REGISTER", "SiteNews"]
 
@@ -27,23 +27,32 @@
     """Owns the duties of partners and owners at this registry."""
 
     def __init__(
-        self, config: NodeConfig, own: str, catalogue: Catalogue, words: Words,
+        self,
+        config: NodeConfig,
+        own: str,
+        catalogue: Catalogue,
+        store_client: RegisterClient,
         is_holder: Callable[[], bool],
     ) -> None:
         self._catalogue = catalogue
         self._listed: dict[str, tuple[str, ...]] = {}
-        self._word_number = 0
+        self._owners_number = 0
         self._clashes: dict[str, list[str]] = {}
-        self.partners = PartnerDuty(words, is_holder)
-        self.granter = TermGranter(self.partners)
+        self.partners = PartnerDuty(store_client, is_holder)
+        self.granter = LeaseGranter(self.partners)
         self.agent: SiteAgent | None = None
         self._calls = (
-            PartnerCalls(words, self.partners, lambda: self.granter.digests),
-            OwnerCalls(words, self._find_claimed))
+            PartnerCalls(store_client, self.partners, lambda: self.granter.digests),
+            OwnerCalls(store_client, self._find_claimed),
+        )
         if config.site:
             self.agent = SiteAgent(
-                config.site, own, words, RegisterFiles(config.data_directory),
-                lambda: self._find_claimed().claimants)
+                config.site,
+                own,
+                store_client,
+                RegisterFiles(config.data_directory),
+                lambda: self._find_claimed().claimants,
+            )
             self.granter.site = config.site
             self.granter.owned = self.agent.grants
 
@@ -59,18 +68,23 @@
             runs.append(self.agent.run())
         return runs
 
-    def take_word(self, register: str, number: int, value: bytes) -> None:
+    def take_record(self, register: str, number: int, value: bytes) -> None:
         """A majority holds a word; those that are for us go into the feed."""
         if register == PARTNERS_REGISTER:
             self.partners.take(number, value)
-            self._catalogue.put(kinds.Entry(
-                kind="partners", key="partners", number=number,
-                value=_without_credentials(value)))
-        elif register == OWNERS_REGISTER and number > self._word_number:
-            self._word_number = number
+            self._catalogue.put(
+                kinds.Entry(
+                    kind="partners",
+                    key="partners",
+                    number=number,
+                    value=_without_credentials(value),
+                )
+            )
+        elif register == OWNERS_REGISTER and number > self._owners_number:
+            self._owners_number = number
             self._take_owners_word(value)
         elif register.startswith(OWNER_PREFIX):
-            self._take_owner(register[len(OWNER_PREFIX):], number, value)
+            self._take_owner(register[len(OWNER_PREFIX) :], number, value)
 
     def note_claims(self) -> None:
         """Targets changed: says once where the claims of sites clash."""
@@ -83,17 +97,23 @@
             log.warning("sites clash" if clashes else "no clash of sites", clashes=clashes)
 
     def _take_owners_word(self, value: bytes) -> None:
-        before, self._listed = self._listed, read_owners_word(value)
+        before, self._listed = self._listed, read_owners(value)
         if self.agent is not None:
-            self.agent.take_word(value)
+            self.agent.take_record(value)
         for upstream in self._listed:
             # Owned from here on: until somebody is its owner nobody serves it.
             self._catalogue.put(kinds.Entry(kind="owner", key=upstream, number=1))
         for upstream in set(before) - set(self._listed):
             held = self._catalogue.find("owner", upstream)
-            self._catalogue.put(kinds.Entry(
-                kind="owner", key=upstream, life=held.life if held else 0,
-                number=(held.number if held else 0) + 1, removed=True))
+            self._catalogue.put(
+                kinds.Entry(
+                    kind="owner",
+                    key=upstream,
+                    life=held.life if held else 0,
+                    number=(held.number if held else 0) + 1,
+                    removed=True,
+                )
+            )
         self.note_claims()
 
     def _take_owner(self, upstream: str, number: int, value: bytes) -> None:
@@ -102,8 +122,9 @@
         # Renewals are no news to those that only route by the epoch.
         if held is not None and held.value and Owner.read(held.value).epoch == owner.epoch:
             return
-        self._catalogue.put(kinds.Entry(
-            kind="owner", key=upstream, life=owner.epoch, number=number, value=value))
+        self._catalogue.put(
+            kinds.Entry(kind="owner", key=upstream, life=owner.epoch, number=number, value=value)
+        )
         self.note_claims()
 
     def _find_claimed(self) -> Claimed:
@@ -111,16 +132,20 @@
         for entry in self._catalogue.entries("target"):
             notice = kinds.TargetNotice.FromString(entry.value)
             if notice.site and notice.upstream in self._listed:
-                claimants.setdefault(notice.upstream, set()).add(
-                    (notice.site, notice.site_agent))
+                claimants.setdefault(notice.upstream, set()).add((notice.site, notice.site_agent))
         owners = {
-            entry.key: Owner.read(entry.value) for entry in self._catalogue.entries("owner")
-            if entry.value}
+            entry.key: Owner.read(entry.value)
+            for entry in self._catalogue.entries("owner")
+            if entry.value
+        }
         return Claimed(claimants, owners)
 
 
 def _without_credentials(value: bytes) -> bytes:
     """Nodes need no credentials, so they get none."""
-    return Document({
-        name: {key: field for key, field in partner.items() if key != "credential"}
-        for name, partner in Document.read(value).partners.items()}).pack()
+    return Document(
+        {
+            name: {key: field for key, field in partner.items() if key != "credential"}
+            for name, partner in Document.read(value).partners.items()
+        }
+    ).pack()
--- a/marblefold/registry/snapshot_parts.py
+++ b/marblefold/registry/snapshot_parts.py
@@ -12,10 +12,15 @@
 
 
 def describe_parts(
-    state: dict, traffic: TrafficBook, config: NodeConfig, catalogue: Catalogue, own: str,
-    registries: list[Member], now: float,
+    state: dict,
+    traffic: TrafficBook,
+    config: NodeConfig,
+    catalogue: Catalogue,
+    own: str,
+    registries: list[Member],
+    now: float,
 ) -> dict:
-    """Everything but the spec, as plain objects; nothing is asked of anybody."""
+    """Everything but the configuration, as plain objects; nothing is asked of anybody."""
     origins = {row["node"]: row[ZONE] for row in state["targets"] if row["node"]}
     origins.update({node: zone for node, zone in traffic.zones().items() if node not in origins})
     owners = {}
@@ -27,24 +32,39 @@
     upstream_of = {row["node"]: row[UPSTREAM] for row in state["targets"]}
     bounds = config.bounds
     return {
-        "state": state, "zones": dict(config.zone_regions), "origins": origins,
+        "state": state,
+        "zones": dict(config.zone_regions),
+        "origins": origins,
         "traffic": describe_flows(traffic, now),
         "service-seconds": {
             name: round(seconds, 6)
-            for name, seconds in traffic.service_seconds(upstream_of).items()},
-        "nodes": len(origins), "nodes-heard": len(traffic.nodes(now)),
+            for name, seconds in traffic.service_seconds(upstream_of).items()
+        },
+        "nodes": len(origins),
+        "nodes-heard": len(traffic.nodes(now)),
         "registries": {own: config.zone, **{member.address: member.zone for member in registries}},
-        "owners": owners, "partners": catalogue.find("partners", "partners") is not None,
+        "owners": owners,
+        "partners": catalogue.find("partners", "partners") is not None,
         "retry-budget": {
-            "ratio": bounds.retry_ratio, "window-s": bounds.retry_window.total_seconds(),
-            "slack": bounds.retry_slack}}
+            "ratio": bounds.retry_ratio,
+            "window-s": bounds.retry_window.total_seconds(),
+            "slack": bounds.retry_slack,
+        },
+    }
 
 
 def describe_flows(traffic: TrafficBook, now: float) -> list[dict]:
     """The rows of traffic, as a snapshot has them."""
     return [
-        {"mapping": flow.mapping, "zone": flow.zone, "per-second": round(flow.per_second, 4),
-         "seconds": round(flow.seconds, 4), "kilobytes": round(flow.kilobytes, 2),
-         "refused-share": round(flow.refused_share, 4),
-         "unknown-share": round(flow.unknown_share, 4), "age-s": round(flow.age_seconds, 1)}
-        for flow in traffic.flows(now)]
+        {
+            "route": flow.route,
+            "zone": flow.zone,
+            "per-second": round(flow.per_second, 4),
+            "seconds": round(flow.seconds, 4),
+            "kilobytes": round(flow.kilobytes, 2),
+            "refused-share": round(flow.refused_share, 4),
+            "unknown-share": round(flow.unknown_share, 4),
+            "age-s": round(flow.age_seconds, 1),
+        }
+        for flow in traffic.flows(now)
+    ]
--- a/marblefold/registry/state.py
+++ b/marblefold/registry/state.py
@@ -9,30 +9,42 @@
 
 
 def describe_state(
-    catalogue: Catalogue, members: list[str], proxies: list[Member], is_in_touch: bool,
+    catalogue: Catalogue,
+    members: list[str],
+    proxies: list[Member],
+    is_in_touch: bool,
 ) -> dict:
     """Targets, evacuations, members and proxies as this registry sees them."""
-    spec = catalogue.find("spec", "spec")
+    configuration = catalogue.find("configuration", "configuration")
     targets = []
     for entry in catalogue.entries("target"):
         notice = kinds.TargetNotice.FromString(entry.value)
         # A proxy that has no target yet, or none any more, offers no slots.
         if notice.state not in (wire_names.READY, wire_names.DRAINING):
             continue
-        targets.append({
-            "instance": notice.instance, "node": notice.node,
-            wire_names.UPSTREAM: notice.upstream, wire_names.ZONE: notice.zone,
-            "region": notice.region, wire_names.CAPACITY_SLOTS: notice.slots,
-            wire_names.STATE: notice.state, "cold": notice.cold_left_ms > 0,
-            "leaving": notice.leaving, "site": notice.site, "site-agent": notice.site_agent,
-        })
+        targets.append(
+            {
+                "instance": notice.instance,
+                "node": notice.node,
+                wire_names.UPSTREAM: notice.upstream,
+                wire_names.ZONE: notice.zone,
+                "region": notice.region,
+                wire_names.CAPACITY_SLOTS: notice.slots,
+                wire_names.STATE: notice.state,
+                "cold": notice.cold_left_ms > 0,
+                "leaving": notice.leaving,
+                "site": notice.site,
+                "site-agent": notice.site_agent,
+            }
+        )
     return {
-        wire_names.SPEC_NUMBER: spec.number if spec is not None else None,
+        wire_names.CONFIG_VERSION: configuration.number if configuration is not None else None,
         "in-touch": is_in_touch,
         "place": catalogue.place,
         "members": members,
         "evacuated": sorted(
-            entry.key for entry in catalogue.entries("evacuation") if entry.value != b"off"),
+            entry.key for entry in catalogue.entries("evacuation") if entry.value != b"off"
+        ),
         "proxies": sorted(member.node for member in proxies),
         "targets": sorted(targets, key=lambda row: row["instance"]),
     }
--- a/marblefold/registry/traffic_book.py
+++ b/marblefold/registry/traffic_book.py
@@ -1,4 +1,4 @@
-"""What the nodes have counted, as one registry heard it: rates by mapping and zone."""
+"""What the nodes have counted, as one registry heard it: rates by route and zone."""
 
 from typing import NamedTuple
 
@@ -11,9 +11,9 @@
 
 
 class Flow(NamedTuple):
-    """The requests of one mapping that begin in one zone."""
+    """The requests of one route that begin in one zone."""
 
-    mapping: str
+    route: str
     zone: str
     per_second: float
     # How long one takes in the mean.
@@ -55,37 +55,62 @@
 
     def nodes(self, now: float) -> set[str]:
         """The nodes whose rates are known."""
-        return {node for node, heard in self._last.items()
-                if node in self._before and now - heard.at <= _OLDEST_SECONDS}
+        return {
+            node
+            for node, heard in self._last.items()
+            if node in self._before and now - heard.at <= _OLDEST_SECONDS
+        }
 
     def zones(self) -> dict[str, str]:
         """Where each node that ever told is."""
         return {node: heard.notice.zone for node, heard in self._last.items()}
 
     def flows(self, now: float) -> list[Flow]:
-        """The rates by mapping and zone, summed over the nodes."""
+        """The rates by route and zone, summed over the nodes."""
         sums: dict[tuple[str, str], list[float]] = {}
         for node in self.nodes(now):
             last, before = self._last[node], self._before[node]
             window = max(1e-3, last.at - before.at)
-            earlier = {row.mapping: row for row in before.notice.mappings}
-            for row in last.notice.mappings:
-                old = earlier.get(row.mapping, kinds.MappingCount())
+            earlier = {row.route: row for row in before.notice.routes}
+            for row in last.notice.routes:
+                old = earlier.get(row.route, kinds.RouteCount())
                 requests = row.requests - old.requests
                 if requests <= 0:
                     continue
-                found = sums.setdefault((row.mapping, last.notice.zone), [0.0] * 7)
-                for place, value in enumerate((
-                        requests / window, requests, row.milliseconds - old.milliseconds,
-                        row.refused - old.refused, row.unknown - old.unknown,
-                        row.kilobytes - old.kilobytes)):
+                found = sums.setdefault((row.route, last.notice.zone), [0.0] * 7)
+                for place, value in enumerate(
+                    (
+                        requests / window,
+                        requests,
+                        row.milliseconds - old.milliseconds,
+                        row.refused - old.refused,
+                        row.unknown - old.unknown,
+                        row.kilobytes - old.kilobytes,
+                    )
+                ):
                     found[place] += value
                 found[6] = max(found[6], now - last.at)
         return [
-            Flow(mapping, zone, rate, milliseconds / 1000.0 / count, refused / count,
-                 unknown / count, age, kilobytes / count)
-            for (mapping, zone), (rate, count, milliseconds, refused, unknown, kilobytes, age)
-            in sorted(sums.items())]
+            Flow(
+                route,
+                zone,
+                rate,
+                milliseconds / 1000.0 / count,
+                refused / count,
+                unknown / count,
+                age,
+                kilobytes / count,
+            )
+            for (route, zone), (
+                rate,
+                count,
+                milliseconds,
+                refused,
+                unknown,
+                kilobytes,
+                age,
+            ) in sorted(sums.items())
+        ]
 
     def service_seconds(self, upstream_of: dict[str, str]) -> dict[str, float]:
         """What the targets of each service take in the mean, by the nodes beside them."""
--- a/marblefold/rehearsal/calls.py
+++ b/marblefold/rehearsal/calls.py
@@ -6,15 +6,20 @@
 
 import asyncio
 import json
-from datetime import datetime, timezone
-from typing import Callable
+from collections.abc import Callable
+from datetime import UTC, datetime
 from urllib.parse import parse_qs
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.answer import Answer
-from marblefold.http_streams.call_router import (
-    Call, CallRouter, faults_answer, json_answer, not_now_answer)
+from marblefold.errors import MeshError
+from marblefold.http_connections.answer import Answer
+from marblefold.http_connections.call_router import (
+    Call,
+    CallRouter,
+    faults_answer,
+    json_answer,
+    not_now_answer,
+)
 
 __all__ = ["RehearsalCalls"]
 
@@ -50,11 +55,12 @@
         try:
             async with asyncio.timeout(_LONGEST_SECONDS):
                 return await self._play(
-                    asked.get("region", []), asked.get("zone", []), asked.get("clients", ["move"]))
+                    asked.get("region", []), asked.get("zone", []), asked.get("clients", ["move"])
+                )
         except TimeoutError:
             return json_answer(
-                503, {wire_names.REASON: "too much for this registry: use the command"},
-                _BUSY_RETRY)
+                503, {wire_names.REASON: "too much for this registry: use the command"}, _BUSY_RETRY
+            )
         finally:
             self._is_busy = False
 
@@ -76,8 +82,12 @@
         except ExceptionGroup as group:
             return faults_answer(group)
         config = PlayConfig(
-            warm_seconds=1.5, after_seconds=5.0, most_requests=_MOST_REQUESTS, plays=2,
-            clients_move=clients == ["move"])
+            warm_seconds=1.5,
+            after_seconds=5.0,
+            most_requests=_MOST_REQUESTS,
+            plays=2,
+            clients_move=clients == ["move"],
+        )
         steps = rehearse_slowly(snapshot, lost, config)
         while True:
             try:
@@ -88,12 +98,15 @@
 
     async def _take(self) -> dict | Answer:
         try:
-            word = await self._words.ask("describe", "spec")
-        except Breakdown as breakdown:
-            return not_now_answer(breakdown)
+            word = await self._words.ask("describe", "configuration")
+        except MeshError as error:
+            return not_now_answer(error)
         if not word.value:
-            return json_answer(404, {wire_names.REASON: "no spec yet"})
+            return json_answer(404, {wire_names.REASON: "no configuration yet"})
         return {
-            "format": "marblefold-snapshot", "version": 1,
-            "taken-at": datetime.now(timezone.utc).isoformat(),
-            "spec": json.loads(word.value), **self._make_parts()}
+            "format": "marblefold-snapshot",
+            "version": 1,
+            "taken-at": datetime.now(UTC).isoformat(),
+            "configuration": json.loads(word.value),
+            **self._make_parts(),
+        }
--- a/marblefold/rehearsal/command.py
+++ b/marblefold/rehearsal/command.py
@@ -3,12 +3,12 @@
 import asyncio
 import json
 import sys
-from datetime import datetime, timezone
+from datetime import UTC, datetime
 
 from absl import flags
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.registry_client import ask_one
 from marblefold.rehearsal.forecast import find_lost, rehearse
 from marblefold.rehearsal.playing import PlayConfig
@@ -24,21 +24,32 @@
 flags.DEFINE_string("save", "", "File to keep the snapshot in.")
 flags.DEFINE_multi_string("lose_region", [], "Region that would be lost.")
 flags.DEFINE_multi_string("lose_zone", [], "Zone that would be lost.")
-flags.DEFINE_enum("clients", "move", ["move", "gone"], "What becomes of clients of the lost "
-                  "place: the platform moves them elsewhere, or they are lost with it.")
+flags.DEFINE_enum(
+    "clients",
+    "move",
+    ["move", "gone"],
+    "What becomes of clients of the lost "
+    "place: the platform moves them elsewhere, or they are lost with it.",
+)
 flags.DEFINE_integer("seed", 1, "Another seed plays other traffic of the same rates.")
 flags.DEFINE_bool("as_json", False, "Print JSON instead of text.")
 
 _CARRIED, _HARMED, _USAGE = 0, 1, 2
 
 
-def run_rehearsal(words: list[str]) -> int:
+def run_rehearsal(arguments: list[str]) -> int:
     """rehearse, as the flags say; the exit status of the process."""
     loses = bool(FLAGS.lose_region or FLAGS.lose_zone)
-    if words or bool(FLAGS.registry) == bool(FLAGS.snapshot) or not (loses or FLAGS.save):
-        return _complain([
-            "usage: python3 -m marblefold rehearse (--registry=HOST:PORT | --snapshot=FILE) "
-            "--lose_region=REGION|--lose_zone=ZONE ... [--save=FILE] [--as_json]"])
+    if arguments or bool(FLAGS.registry) == bool(FLAGS.snapshot) or not (loses or FLAGS.save):
+        return _complain(
+            [
+                (
+                    "usage: python3 -m marblefold rehearse "
+                    "(--registry=HOST:PORT | --snapshot=FILE) "
+                    "--lose_region=REGION|--lose_zone=ZONE ... [--save=FILE] [--as_json]"
+                )
+            ]
+        )
     try:
         body = _gather()
         snapshot = read_snapshot(body)
@@ -47,13 +58,14 @@
         if not loses:
             return _CARRIED
         lost = find_lost(snapshot, FLAGS.lose_region, FLAGS.lose_zone)
-        forecast = rehearse(snapshot, lost, PlayConfig(
-            seed=FLAGS.seed, clients_move=FLAGS.clients == "move"))
-    except Breakdown as breakdown:
-        return _complain([str(breakdown)])
+        forecast = rehearse(
+            snapshot, lost, PlayConfig(seed=FLAGS.seed, clients_move=FLAGS.clients == "move")
+        )
+    except MeshError as error:
+        return _complain([str(error)])
     except ExceptionGroup as group:
         return _complain([str(fault) for fault in group.exceptions])
-    now = datetime.now(timezone.utc)
+    now = datetime.now(UTC)
     if is_old(snapshot, now):
         print(f"the snapshot is {snapshot.age(now)} old", file=sys.stderr)
     text = json.dumps(to_plain(forecast), indent=2) + "\n" if FLAGS.as_json else to_text(forecast)
@@ -67,11 +79,12 @@
             with open(FLAGS.snapshot, "rb") as file:
                 return file.read()
         except OSError as error:
-            raise Breakdown("read file", f"{FLAGS.snapshot}: {error.strerror}") from error
+            raise MeshError("read file", f"{FLAGS.snapshot}: {error.strerror}") from error
     status, document = asyncio.run(ask_one(FLAGS.registry, wire_names.SNAPSHOT_PATH))
     if status != 200:
-        raise Breakdown(
-            "snapshot", f"status {status}: {document.get(wire_names.REASON, '')}", FLAGS.registry)
+        raise MeshError(
+            "snapshot", f"status {status}: {document.get(wire_names.REASON, '')}", FLAGS.registry
+        )
     return json.dumps(document, indent=1).encode()
 
 
@@ -80,7 +93,7 @@
         with open(path, "wb") as file:
             file.write(body)
     except OSError as error:
-        raise Breakdown("write file", f"{path}: {error.strerror}") from error
+        raise MeshError("write file", f"{path}: {error.strerror}") from error
 
 
 def _complain(faults: list[str]) -> int:
--- a/marblefold/rehearsal/flight.py
+++ b/marblefold/rehearsal/flight.py
@@ -3,8 +3,8 @@
 from typing import TYPE_CHECKING
 
 from marblefold import wire_names
-from marblefold.http_streams.answer import Answer
-from marblefold.operator_spec.rows import Mapping
+from marblefold.configuration.rows import Route
+from marblefold.http_connections.answer import Answer
 from marblefold.rehearsal.guards import RehearsedGuard
 from marblefold.rehearsal.origins import Origin
 from marblefold.rehearsal.tally import Ending
@@ -26,19 +26,31 @@
     """Asks the real decision, and obeys it in the time of the play."""
 
     def __init__(
-        self, play: "Play", origin: Origin, mapping: Mapping, upstream: str,
+        self,
+        play: "Play",
+        origin: Origin,
+        route: Route,
+        upstream: str,
         kilobytes: float,
     ) -> None:
         self._play = play
         self._origin = origin
-        self._mapping = mapping
+        self._route = route
         self._upstream = upstream
-        self._is_repeatable = mapping.kind == wire_names.READ_ONLY
+        self._is_repeatable = route.kind == wire_names.READ_ONLY
         self._arrived = play.now
-        deadline = play.now + mapping.time_limit.total_seconds()
+        deadline = play.now + route.time_limit.total_seconds()
         self._decision = RequestDecision(
-            mapping, upstream, "rehearsed", play.now, deadline, True, kilobytes, False,
-            origin.surroundings)
+            route,
+            upstream,
+            "rehearsed",
+            play.now,
+            deadline,
+            True,
+            kilobytes,
+            False,
+            origin.surroundings,
+        )
         self._deadline = deadline
         self._hop = 0
         self._offer: Offer | None = None
@@ -90,8 +102,8 @@
         if self._upstream in play.lapsed:
             self._refuse("another owner", _REFUSED_RETRY)
             return
-        end = self._arrived + self._mapping.target_latency.total_seconds()
-        turn = Turn(1 + max(0, self._mapping.priority), end)
+        end = self._arrived + self._route.target_latency.total_seconds()
+        turn = Turn(1 + max(0, self._route.priority), end)
         number = guard.take(turn, offer.queue_seconds, lambda: self._start(hop))
         if number is None:
             self._refuse(NO_SLOT, max(_REFUSED_RETRY, guard.expected_wait(turn)))
@@ -115,7 +127,7 @@
             return
         self._is_slot_held = True
         spread = play.config.spread
-        seconds = play.work_seconds(self._mapping.name, self._upstream)
+        seconds = play.work_seconds(self._route.name, self._upstream)
         seconds *= play.random.uniform(1 - spread, 1 + spread)
         play.after(seconds, lambda: self._finish(hop, guard, seconds))
 
@@ -126,15 +138,17 @@
             return
         play, target = self._play, guard.target
         self._is_slot_held = False
-        result = HopResult(
-            HopOutcome.ANSWERED, _DONE, pressure=guard.pressure, service_seconds=seconds)
+        result = HopResult(HopOutcome.ANSWERED, _DONE, load=guard.load, service_seconds=seconds)
         play.after(play.delay(self._origin.zone, target), lambda: self._take(hop, result))
 
     def _refuse(self, step: str, retry_after: float) -> None:
         hop, play, target = self._hop, self._play, self._offer.target
         result = HopResult(
-            HopOutcome.NEVER_OFFERED, retry_after=retry_after, step=step,
-            pressure=play.guards[target.node].pressure)
+            HopOutcome.NEVER_OFFERED,
+            retry_after=retry_after,
+            step=step,
+            load=play.guards[target.node].load,
+        )
         play.after(play.delay(self._origin.zone, target), lambda: self._take(hop, result))
 
     def _go_dark(self) -> None:
@@ -153,10 +167,10 @@
             play.after(play.config.connect_seconds, lambda: self._take(hop, result))
             return
         silent = play.config.silent_seconds
-        play.after(silent, lambda: surroundings.nominator.note_silent(target.peer, play.now))
+        play.after(silent, lambda: surroundings.selector.note_silent(target.peer, play.now))
         wait = silent if self._is_repeatable else play.config.unheard_seconds
         left = max(0.0, self._deadline - play.now)
-        step = "silent" if self._is_repeatable else "stream"
+        step = "silent" if self._is_repeatable else "connection"
         if left < wait:
             wait, step = left, "deadline"
         result = HopResult(HopOutcome.UNKNOWN, step=step)
@@ -167,7 +181,8 @@
         if hop != self._hop or self._play.is_lost(self._origin.zone):
             return
         self._origin.surroundings.end(
-            self._offer.target, self._ticket, result, self._decision.weight)
+            self._offer.target, self._ticket, result, self._decision.weight
+        )
         self._decision.note(self._offer.target, result)
         self._step()
 
@@ -188,8 +203,18 @@
         phase = play.phase(self._arrived)
         if phase is None:
             return
-        late = play.now - self._arrived > self._mapping.target_latency.total_seconds()
-        play.tally.add(Ending(
-            self._mapping.name, self._upstream, zone, what, step,
-            late and what == "carried", self._offers > 1, self._was_dark),
-            phase, self._is_repeatable)
+        late = play.now - self._arrived > self._route.target_latency.total_seconds()
+        play.tally.add(
+            Ending(
+                self._route.name,
+                self._upstream,
+                zone,
+                what,
+                step,
+                late and what == "carried",
+                self._offers > 1,
+                self._was_dark,
+            ),
+            phase,
+            self._is_repeatable,
+        )
--- a/marblefold/rehearsal/guards.py
+++ b/marblefold/rehearsal/guards.py
@@ -2,11 +2,11 @@
 
 import heapq
 import itertools
-from typing import Callable
+from collections.abc import Callable
 
 from marblefold.request_path.cold_limit import ColdLimit
 from marblefold.request_path.mesh_view import KnownTarget
-from marblefold.request_path.outcome import Pressure
+from marblefold.request_path.outcome import TargetLoad
 from marblefold.request_path.slot_queue import Turn
 
 __all__ = ["RehearsedGuard"]
@@ -26,9 +26,9 @@
         self._left: set[int] = set()
 
     @property
-    def pressure(self) -> Pressure:
+    def load(self) -> TargetLoad:
         """What it tells with every answer."""
-        return Pressure(self.running, self.waiting, self.target.slots)
+        return TargetLoad(self.running, self.waiting, self.target.slots)
 
     @property
     def waiting(self) -> int:
@@ -39,8 +39,11 @@
         """How long a request of that turn would likely wait."""
         if self.running < self.target.slots:
             return 0.0
-        ahead = sum(1 for other, number, _start in self._waiting
-                    if other <= turn and number not in self._left)
+        ahead = sum(
+            1
+            for other, number, _start in self._waiting
+            if other <= turn and number not in self._left
+        )
         return (ahead + 1) * self.service_seconds / self.target.slots
 
     def take(self, turn: Turn, longest: float, start: Callable[[], None]) -> int | None:
@@ -58,7 +61,8 @@
     def leave(self, number: int) -> bool:
         """It waited for too long; tells whether it was still in the queue."""
         if any(number == other for _turn, other, _start in self._waiting) and (
-                number not in self._left):
+            number not in self._left
+        ):
             self._left.add(number)
             return True
         return False
--- a/marblefold/rehearsal/origins.py
+++ b/marblefold/rehearsal/origins.py
@@ -1,14 +1,14 @@
 """The nodes of a rehearsal: each with the surroundings that a proxy has."""
 
-from typing import Callable
+from collections.abc import Callable
 
+from marblefold.configuration.route_table import RouteTable
 from marblefold.inner_protocol.messages import kinds
 from marblefold.node_config.model import Bounds, Limits
-from marblefold.operator_spec.mapping_table import MappingTable
 from marblefold.rehearsal.snapshot import Snapshot
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.request_path.nomination import Nominator
 from marblefold.request_path.surroundings import Surroundings
+from marblefold.request_path.target_selection import TargetSelector
 from marblefold.wire_names import DRAINING, READY
 
 __all__ = ["Origin", "make_origins", "make_view"]
@@ -29,24 +29,39 @@
 def make_view(snapshot: Snapshot) -> MeshView:
     """The view that all nodes share when the rehearsal begins, by the real entries."""
     view = MeshView("rehearsal")
-    view.table = MappingTable(snapshot.facts.rows)
+    view.table = RouteTable(snapshot.facts.rows)
     for target in snapshot.facts.targets:
         notice = kinds.TargetNotice(
-            node=target.node, node_life=1, notice_number=1, address=target.node,
-            zone=target.zone, region=target.region or snapshot.zone_regions.get(target.zone, ""),
-            instance=target.instance, upstream=target.upstream, slots=target.slots,
-            state=DRAINING if target.is_draining else READY, leaving=target.is_leaving,
+            node=target.node,
+            node_life=1,
+            notice_number=1,
+            address=target.node,
+            zone=target.zone,
+            region=target.region or snapshot.zone_regions.get(target.zone, ""),
+            instance=target.instance,
+            upstream=target.upstream,
+            slots=target.slots,
+            state=DRAINING if target.is_draining else READY,
+            leaving=target.is_leaving,
             cold_left_ms=int(_COLD_SECONDS * 1000) if target.cold_until else 0,
-            site=target.site, site_agent=target.site_agent)
-        view.take(kinds.Entry(
-            kind="target", key=target.node, life=1, number=1, value=notice.SerializeToString()))
+            site=target.site,
+            site_agent=target.site_agent,
+        )
+        view.take(
+            kinds.Entry(
+                kind="target", key=target.node, life=1, number=1, value=notice.SerializeToString()
+            )
+        )
     view.evacuated = set(snapshot.facts.evacuated)
     view.owners = dict(snapshot.owners)
     return view
 
 
 def make_origins(
-    snapshot: Snapshot, view: MeshView, clock: Callable[[], float], seed: int,
+    snapshot: Snapshot,
+    view: MeshView,
+    clock: Callable[[], float],
+    seed: int,
 ) -> dict[str, list[Origin]]:
     """The nodes of each zone; a zone whose nodes are not known has one."""
     view.proxies = max(1, len(snapshot.origins))
@@ -56,9 +71,10 @@
     known = {zone for _node, zone in nodes}
     nodes.extend((zone, zone) for zone in snapshot.zone_regions if zone not in known)
     for number, (_node, zone) in enumerate(sorted(nodes)):
-        nominator = Nominator(view, zone, seed=seed + number)
-        origins.setdefault(zone, []).append(Origin(zone, Surroundings(
-            view, nominator, bounds, _LIMITS, clock, _tell_nobody)))
+        selector = TargetSelector(view, zone, seed=seed + number)
+        origins.setdefault(zone, []).append(
+            Origin(zone, Surroundings(view, selector, bounds, _LIMITS, clock, _tell_nobody))
+        )
     return origins
 
 
@@ -70,5 +86,18 @@
     retry = snapshot.retry
     none = retry.window * 0
     return Bounds(
-        none, none, none, none, none, none, none, retry.ratio, retry.window, retry.slack,
-        1.5, 5.0, none, none)
+        none,
+        none,
+        none,
+        none,
+        none,
+        none,
+        none,
+        retry.ratio,
+        retry.window,
+        retry.slack,
+        1.5,
+        5.0,
+        none,
+        none,
+    )
--- a/marblefold/rehearsal/playing.py
+++ b/marblefold/rehearsal/playing.py
@@ -1,6 +1,6 @@
 """Plays traffic through a mesh that loses a place, without a mesh.
 
-Every node decides with the real decision, nomination, breaker and budget; only
+Every node decides with the real decision, target_selection, breaker and budget; only
 time, links and targets are stood in for.  It touches nothing: no clock is
 waited for, no byte is sent.
 """
@@ -10,18 +10,19 @@
 import math
 import random
 import time
-from typing import Callable, Iterator, NamedTuple
+from collections.abc import Callable, Iterator
+from typing import NamedTuple
 
+from marblefold.configuration.rows import Route
+from marblefold.leases.held_leases import LEASE_SECONDS
 from marblefold.membership.prober import ProberConfig
-from marblefold.operator_spec.rows import Mapping
+from marblefold.registry.traffic_book import Flow
 from marblefold.rehearsal.flight import Flight
 from marblefold.rehearsal.guards import RehearsedGuard
 from marblefold.rehearsal.origins import make_origins, make_view
 from marblefold.rehearsal.snapshot import ASSUMED_KILOBYTES, Snapshot
 from marblefold.rehearsal.tally import Phase, Tally
-from marblefold.registry.traffic_book import Flow
 from marblefold.request_path.mesh_view import KnownTarget
-from marblefold.terms.held_terms import TERM_SECONDS
 
 __all__ = ["Play", "PlayConfig"]
 
@@ -56,7 +57,10 @@
     """One rehearsal; run() gives the processor back after each slice."""
 
     def __init__(
-        self, snapshot: Snapshot, lost: frozenset[str], config: PlayConfig = PlayConfig(),
+        self,
+        snapshot: Snapshot,
+        lost: frozenset[str],
+        config: PlayConfig = PlayConfig(),
         tally: Tally | None = None,
     ) -> None:
         self.config = config
@@ -69,18 +73,19 @@
         self._began = self.now
         self.loss_at = self.now + config.warm_seconds
         self.is_dark = False
-        # Services whose owner's agent is lost: their terms run out.
+        # Services whose owner's agent is lost: their leases run out.
         self.lapsed: set[str] = set()
         self.settled_at = self.loss_at + detection_seconds(len(snapshot.origins))
         self._origins = make_origins(snapshot, self.view, lambda: self.now, config.seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self._mappings = {mapping.name: mapping for mapping in snapshot.facts.rows.mappings}
+        self._routes = {route.name: route for route in snapshot.facts.rows.routes}
         self._works = self._find_works()
         self.guards = {
             target.node: RehearsedGuard(target, self._service_seconds(target.upstream))
             for name in {target.upstream for target in snapshot.facts.targets}
-            for target in self.view.targets(name)}
+            for target in self.view.targets(name)
+        }
         # In the order in which they began: a play is the same again.
         self.flights: dict[Flight, None] = {}
 
@@ -93,9 +98,9 @@
     def run(self, slice_events: int = 100) -> Iterator[None]:
         """Plays to the end; yields after each slice of events."""
         for flow in self._snapshot.flows:
-            mapping = self._mappings.get(flow.mapping)
-            if mapping is not None and flow.per_second > 0:
-                self.after(self._pause(flow), lambda f=flow, m=mapping: self._arrive(f, m))
+            route = self._routes.get(flow.route)
+            if route is not None and flow.per_second > 0:
+                self.after(self._pause(flow), lambda f=flow, m=route: self._arrive(f, m))
         self.at(self.loss_at, self._lose)
         end = self.loss_at + self.config.after_seconds
         played = 0
@@ -149,26 +154,29 @@
         if known is not None:
             return known
         # Without the targets' own figure the whole time stands in for it.
-        mappings = {mapping.name for mapping in self._snapshot.facts.rows.mappings
-                    if upstream in mapping.upstreams}
-        flows = [flow for flow in self._snapshot.flows if flow.mapping in mappings]
+        routes = {
+            route.name for route in self._snapshot.facts.rows.routes if upstream in route.upstreams
+        }
+        flows = [flow for flow in self._snapshot.flows if flow.route in routes]
         rate = sum(flow.per_second for flow in flows)
         if not rate:
             return 0.05
         return max(1e-4, sum(flow.per_second * flow.seconds for flow in flows) / rate)
 
-    def work_seconds(self, mapping: str, upstream: str) -> float:
-        """How long a target of the service works on a request of the mapping."""
-        return self._works.get((mapping, upstream)) or self._service_seconds(upstream)
+    def work_seconds(self, route: str, upstream: str) -> float:
+        """How long a target of the service works on a request of the route."""
+        return self._works.get((route, upstream)) or self._service_seconds(upstream)
 
     def _find_works(self) -> dict[tuple[str, str], float]:
-        """Service times by mapping: the services' own, divided as whole times are."""
+        """Service times by route: the services' own, divided as whole times are."""
         sums: dict[tuple[str, str], list[float]] = {}
         for flow in self._snapshot.flows:
-            mapping = self._mappings.get(flow.mapping)
-            for upstream, weight in zip(mapping.upstreams, mapping.weights) if mapping else ():
-                row = sums.setdefault((flow.mapping, upstream), [0.0, 0.0])
-                rate = flow.per_second * weight / sum(mapping.weights)
+            route = self._routes.get(flow.route)
+            if route is None:
+                continue
+            for upstream, weight in zip(route.upstreams, route.weights, strict=True):
+                row = sums.setdefault((flow.route, upstream), [0.0, 0.0])
+                rate = flow.per_second * weight / sum(route.weights)
                 row[0] += rate
                 row[1] += rate * flow.seconds
         works = {}
@@ -177,15 +185,16 @@
             mean = sum(row[1] for row in whole) / max(1e-9, sum(row[0] for row in whole))
             if rate and mean:
                 works[name, upstream] = max(
-                    1e-4, self._service_seconds(upstream) * time_taken / rate / mean)
+                    1e-4, self._service_seconds(upstream) * time_taken / rate / mean
+                )
         return works
 
     def _pause(self, flow: Flow) -> float:
         # Clients come at random, and near the edge of capacity that is what counts.
         return self.random.expovariate(flow.per_second)
 
-    def _arrive(self, flow: Flow, mapping: Mapping) -> None:
-        self.after(self._pause(flow), lambda: self._arrive(flow, mapping))
+    def _arrive(self, flow: Flow, route: Route) -> None:
+        self.after(self._pause(flow), lambda: self._arrive(flow, route))
         zone = flow.zone
         if self.is_lost(zone):
             # Clients of a dark place are dark too, until somebody moves them.
@@ -193,15 +202,18 @@
             if not self.config.clients_move or since < self.config.clients_move_seconds:
                 return
             zone = self._move(flow)
-        upstream = self.random.choices(mapping.upstreams, mapping.weights)[0]
+        upstream = self.random.choices(route.upstreams, route.weights)[0]
         origin = self.random.choice(self._origins[zone])
         kilobytes = ASSUMED_KILOBYTES if flow.kilobytes is None else flow.kilobytes
-        Flight(self, origin, mapping, upstream, kilobytes).begin()
+        Flight(self, origin, route, upstream, kilobytes).begin()
 
     def _move(self, flow: Flow) -> str:
-        """Where a client of a lost zone comes in: as the others of its mapping do."""
-        left = [other for other in self._snapshot.flows
-                if other.mapping == flow.mapping and other.zone not in self._lost]
+        """Where a client of a lost zone comes in: as the others of its route do."""
+        left = [
+            other
+            for other in self._snapshot.flows
+            if other.route == flow.route and other.zone not in self._lost
+        ]
         if not left or not sum(other.per_second for other in left):
             return self.random.choice(sorted(set(self._origins) - self._lost))
         return self.random.choices(left, [other.per_second for other in left])[0].zone
@@ -215,13 +227,13 @@
         for upstream, owner in self._snapshot.owners.items():
             zone = self._snapshot.registries.get(owner.agent)
             if zone in self._lost:
-                self.after(TERM_SECONDS, lambda name=upstream: self.lapsed.add(name))
+                self.after(LEASE_SECONDS, lambda name=upstream: self.lapsed.add(name))
 
     def _learn_of_loss(self) -> None:
         # By now the probes of others have told every node.
         self.view.suspects.update(
-            guard.target.node for guard in self.guards.values()
-            if self.is_lost(guard.target.zone))
+            guard.target.node for guard in self.guards.values() if self.is_lost(guard.target.zone)
+        )
 
 
 def detection_seconds(nodes: int) -> float:
--- a/marblefold/rehearsal/snapshot.py
+++ b/marblefold/rehearsal/snapshot.py
@@ -5,12 +5,12 @@
 """
 
 import json
-from datetime import datetime, timedelta, timezone
+from datetime import UTC, datetime, timedelta
 from typing import NamedTuple
 
-from marblefold.breakdowns import Breakdown
-from marblefold.operator_spec.reading import InvalidSpec
-from marblefold.planner.facts import Facts, read_spec_rows, read_state
+from marblefold.configuration.reading import InvalidConfiguration
+from marblefold.errors import MeshError
+from marblefold.planner.facts import Facts, read_configuration_rows, read_state
 from marblefold.registry.traffic_book import Flow
 from marblefold.request_path.mesh_view import KnownOwner
 
@@ -57,7 +57,7 @@
 
     def __init__(self, document: dict) -> None:
         self.document = document
-        self.faults: list[Breakdown] = []
+        self.faults: list[MeshError] = []
 
     def get(self, name: str, kind: type | tuple, default=None):
         value = self.document.get(name, default)
@@ -67,7 +67,7 @@
         return value
 
     def fault(self, place: str, reason: str) -> None:
-        self.faults.append(Breakdown("snapshot", f"{place}: {reason}"))
+        self.faults.append(MeshError("snapshot", f"{place}: {reason}"))
 
     def words(self, name: str) -> dict[str, str]:
         found = self.get(name, dict, {}) or {}
@@ -79,12 +79,13 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise _refuse([Breakdown("snapshot", f"cannot be read: {error}")]) from error
+        raise _refuse([MeshError("snapshot", f"cannot be read: {error}")]) from error
     if not isinstance(document, dict) or document.get("format") != FORMAT:
-        raise _refuse([Breakdown("snapshot", f"format: not a {FORMAT}")])
+        raise _refuse([MeshError("snapshot", f"format: not a {FORMAT}")])
     if document.get("version") != VERSION:
-        raise _refuse([Breakdown(
-            "snapshot", f"version: {document.get('version')!r}, this reads {VERSION}")])
+        raise _refuse(
+            [MeshError("snapshot", f"version: {document.get('version')!r}, this reads {VERSION}")]
+        )
     fields = _Fields(document)
     facts = _read_facts(fields)
     taken_at = _read_time(fields)
@@ -93,8 +94,11 @@
     retry = _read_retry(fields)
     service = {}
     for name, seconds in (fields.get("service-seconds", dict, {}) or {}).items():
-        if not isinstance(seconds, (int, float)) or isinstance(seconds, bool) or not (
-                0 < seconds < 1e6):
+        if (
+            not isinstance(seconds, (int, float))
+            or isinstance(seconds, bool)
+            or not (0 < seconds < 1e6)
+        ):
             fields.fault(f"service-seconds.{name}", "not a time above 0")
         else:
             service[str(name)] = float(seconds)
@@ -111,27 +115,38 @@
     if fields.faults:
         raise _refuse(fields.faults)
     return Snapshot(
-        taken_at, facts, zone_regions, fields.words("origins"), flows, service,
-        fields.words("registries"), owners, bool(document.get("partners")), retry,
-        tuple(_find_gaps(document, facts, flows, service)))
-
-
-def _refuse(faults: list[Breakdown]) -> ExceptionGroup:
+        taken_at,
+        facts,
+        zone_regions,
+        fields.words("origins"),
+        flows,
+        service,
+        fields.words("registries"),
+        owners,
+        bool(document.get("partners")),
+        retry,
+        tuple(_find_gaps(document, facts, flows, service)),
+    )
+
+
+def _refuse(faults: list[MeshError]) -> ExceptionGroup:
     return ExceptionGroup("snapshot", faults)
 
 
 def _read_facts(fields: _Fields) -> Facts | None:
-    spec, state = fields.get("spec", dict), fields.get("state", dict)
-    if spec is None or state is None:
+    configuration, state = fields.get("configuration", dict), fields.get("state", dict)
+    if configuration is None or state is None:
         return None
     try:
-        return Facts(read_spec_rows(json.dumps(spec).encode()),
-                     *read_state(json.dumps(state).encode()))
-    except InvalidSpec as invalid:
+        return Facts(
+            read_configuration_rows(json.dumps(configuration).encode()),
+            *read_state(json.dumps(state).encode()),
+        )
+    except InvalidConfiguration as invalid:
         for fault in invalid.faults:
-            fields.fault("spec", str(fault))
-    except Breakdown as breakdown:
-        fields.faults.append(breakdown)
+            fields.fault("configuration", str(fault))
+    except MeshError as error:
+        fields.faults.append(error)
     return None
 
 
@@ -141,7 +156,7 @@
         taken_at = datetime.fromisoformat(text)
     except ValueError:
         fields.fault("taken-at", "not a time")
-        return datetime.now(timezone.utc)
+        return datetime.now(UTC)
     if taken_at.tzinfo is None:
         fields.fault("taken-at", "without a time zone")
     return taken_at
@@ -152,10 +167,15 @@
     for index, row in enumerate(fields.get("traffic", list, []) or []):
         try:
             flow = Flow(
-                str(row["mapping"]), str(row["zone"]), float(row["per-second"]),
-                float(row["seconds"]), float(row.get("refused-share", 0)),
-                float(row.get("unknown-share", 0)), float(row.get("age-s", 0)),
-                float(row["kilobytes"]) if "kilobytes" in row else None)
+                str(row["route"]),
+                str(row["zone"]),
+                float(row["per-second"]),
+                float(row["seconds"]),
+                float(row.get("refused-share", 0)),
+                float(row.get("unknown-share", 0)),
+                float(row.get("age-s", 0)),
+                float(row["kilobytes"]) if "kilobytes" in row else None,
+            )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             fields.fault(f"traffic[{index}]", f"{type(error).__name__} {error}")
             continue
@@ -174,8 +194,10 @@
     row = fields.get("retry-budget", dict, {}) or {}
     try:
         return RetryBounds(
-            float(row.get("ratio", 0.2)), timedelta(seconds=float(row.get("window-s", 10))),
-            float(row.get("slack", 0)))
+            float(row.get("ratio", 0.2)),
+            timedelta(seconds=float(row.get("window-s", 10))),
+            float(row.get("slack", 0)),
+        )
     except (TypeError, ValueError, OverflowError) as error:
         fields.fault("retry-budget", str(error))
         return RetryBounds(0.0, timedelta(seconds=10), 0.0)
@@ -190,15 +212,17 @@
     old = sum(1 for flow in flows if flow.age_seconds > _OLD_FLOW_SECONDS)
     if old:
         yield f"{old} of {len(flows)} rates are older than {_OLD_FLOW_SECONDS:g} s"
-    unweighed = sorted({flow.mapping for flow in flows if flow.kilobytes is None})
+    unweighed = sorted({flow.route for flow in flows if flow.kilobytes is None})
     for name in unweighed:
-        yield (f"{name}: how much its requests move is not known; {ASSUMED_KILOBYTES:g} kB is "
-               "assumed, so what stays in its zone may be off")
+        yield (
+            f"{name}: how much its requests move is not known; {ASSUMED_KILOBYTES:g} kB is "
+            "assumed, so what stays in its zone may be off"
+        )
     for upstream in sorted({target.upstream for target in facts.targets} - set(service)):
         yield f"{upstream}: how long its targets take is not known, and taken from the whole time"
-    known = {mapping.name for mapping in facts.rows.mappings}
-    for name in sorted({flow.mapping for flow in flows} - known):
-        yield f"traffic of {name or 'mappings told as one'} belongs to no mapping of the spec"
+    known = {route.name for route in facts.rows.routes}
+    for name in sorted({flow.route for flow in flows} - known):
+        yield f"traffic of {name or 'routes told as one'} belongs to no route of the configuration"
 
 
 def is_old(snapshot: Snapshot, now: datetime) -> bool:
--- a/marblefold/rehearsal/tally.py
+++ b/marblefold/rehearsal/tally.py
@@ -18,7 +18,7 @@
 class Ending(NamedTuple):
     """How one request ended."""
 
-    mapping: str
+    route: str
     upstream: str
     # Where it was answered, if it was.
     zone: str
@@ -32,7 +32,7 @@
 
 
 class Row:
-    """The requests of one mapping to one service in one phase."""
+    """The requests of one route to one service in one phase."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -65,7 +65,7 @@
 
     def add(self, ending: Ending, phase: Phase, is_repeatable: bool) -> None:
         """Takes in how a request ended."""
-        key = (ending.mapping, ending.upstream)
+        key = (ending.route, ending.upstream)
         self.rows.setdefault((*key, phase), Row()).add(ending)
         if not is_repeatable and ending.was_dark and ending.what in ("unknown", "gone"):
             self.may_double[key] = self.may_double.get(key, 0) + 1
--- a/marblefold/request_path/decision.py
+++ b/marblefold/request_path/decision.py
@@ -3,22 +3,23 @@
 The decision is asked and the executor obeys: nothing here waits or sends.
 """
 
-from typing import Collection, NamedTuple, Protocol
+from collections.abc import Collection
+from typing import NamedTuple, Protocol
 
 from marblefold import wire_names
 from marblefold.circuit_breaker.breaker import Passage
-from marblefold.http_streams.answer import Answer, own_answer
-from marblefold.operator_spec.rows import Mapping
+from marblefold.configuration.rows import Route
+from marblefold.http_connections.answer import Answer, own_answer
 from marblefold.request_path.mesh_view import KnownTarget
-from marblefold.request_path.nomination import Nominee
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult
+from marblefold.request_path.target_selection import Nominee
 
 __all__ = ["Conclude", "Facts", "Offer", "RequestDecision"]
 
 # Less time than this is not worth a hop.
 _LEAST_SECONDS = 0.004
 # What is not offered within a quarter of its aim had better be told so, for
-# the downstream to come back while that helps; the rest is for the way.
+# the client to come back while that helps; the rest is for the way.
 _QUEUE_AIM_SHARE = 0.2
 # A call in the midst of a run fails that run with it, and nobody comes back
 # for it: it may wait for this part of the time it has.
@@ -55,9 +56,13 @@
 class Facts(Protocol):
     """What a decision may ask of its surroundings."""
 
-    def nominate(
-        self, upstream: str, tried: Collection[str], homes: Collection[str] | None,
-        kilobytes: float, now: float,
+    def select(
+        self,
+        upstream: str,
+        tried: Collection[str],
+        homes: Collection[str] | None,
+        kilobytes: float,
+        now: float,
     ) -> Nominee | None: ...
 
     def ask_breaker(self, upstream: str, now: float) -> Passage: ...
@@ -69,20 +74,29 @@
     """The state of one request between its hops."""
 
     def __init__(
-        self, mapping: Mapping, upstream: str, attempt_id: str, arrived: float,
-        deadline: float, is_replayable: bool, kilobytes: float, is_call: bool, facts: Facts,
+        self,
+        route: Route,
+        upstream: str,
+        attempt_id: str,
+        arrived: float,
+        deadline: float,
+        is_replayable: bool,
+        kilobytes: float,
+        is_call: bool,
+        facts: Facts,
     ) -> None:
         self.upstream = upstream
         self.deadline = deadline
-        self._mapping = mapping
+        self._route = route
         self._attempt_id = attempt_id
         self._facts = facts
         self._arrived = arrived
-        self._aim = max(0.02, mapping.target_latency.total_seconds())
+        self._aim = max(0.02, route.target_latency.total_seconds())
         self._queue_end = arrived + (
-            _QUEUE_CALL_SHARE * (deadline - arrived) if is_call else _QUEUE_AIM_SHARE * self._aim)
+            _QUEUE_CALL_SHARE * (deadline - arrived) if is_call else _QUEUE_AIM_SHARE * self._aim
+        )
         self._is_call = is_call
-        self._is_repeatable = mapping.kind == wire_names.READ_ONLY
+        self._is_repeatable = route.kind == wire_names.READ_ONLY
         self._is_replayable = is_replayable
         self._kilobytes = kilobytes
         self._offered = 0
@@ -125,7 +139,7 @@
         left = self.deadline - now
         if left < _LEAST_SECONDS:
             return self._give_up("deadline", now)
-        if self._offered >= self._mapping.attempt_limit:
+        if self._offered >= self._route.max_attempts:
             return self._give_up("attempt limit", now)
         # A repeat after an offer counts against the shared budget.
         if self._offered and not self._facts.may_repeat(self.upstream, now):
@@ -133,26 +147,32 @@
         passage = self._facts.ask_breaker(self.upstream, now)
         if not passage.allowed:
             return self._give_up("breaker", now, passage.retry_after)
-        nominee = self._nominate(now)
+        nominee = self._select(now)
         if nominee is None:
-            return self._give_up("nominate", now)
+            return self._give_up("select", now)
         queue = max(0.0, min(self._queue_end - now, left))
         return Offer(
-            nominee.target, left, 0.0 if self._is_asking else queue,
-            self._arrived + self._aim - now, self._offered + 1, nominee.is_last_resort,
+            nominee.target,
+            left,
+            0.0 if self._is_asking else queue,
+            self._arrived + self._aim - now,
+            self._offered + 1,
+            nominee.is_last_resort,
         )
 
-    def _nominate(self, now: float) -> Nominee | None:
+    def _select(self, now: float) -> Nominee | None:
         """The next target, and whether it is asked for a free slot or queued at."""
         self._is_asking = self._is_call and self._refused_hops < _HOPS_WITHOUT_QUEUE
         tried = self._tried | self._asked if self._is_asking else self._tried
-        nominee = self._facts.nominate(
-            self.upstream, tried, self._mapping.home_regions, self._kilobytes, now)
+        nominee = self._facts.select(
+            self.upstream, tried, self._route.allowed_regions, self._kilobytes, now
+        )
         if nominee is None and self._is_asking and self._asked:
             # All that there are were asked: wait at one of them.
             self._is_asking = False
-            nominee = self._facts.nominate(
-                self.upstream, self._tried, self._mapping.home_regions, self._kilobytes, now)
+            nominee = self._facts.select(
+                self.upstream, self._tried, self._route.allowed_regions, self._kilobytes, now
+            )
         return nominee
 
     def _judge_last(self, now: float) -> Conclude | None:
@@ -177,8 +197,7 @@
 
     def _may_go_on(self) -> bool:
         return (
-            self._is_repeatable and self._is_replayable
-            and self._offered < self._mapping.attempt_limit
+            self._is_repeatable and self._is_replayable and self._offered < self._route.max_attempts
         )
 
     def _give_up(self, step: str, now: float, retry_after: float = 0.0) -> Conclude:
@@ -191,8 +210,7 @@
             return Conclude(own_answer(status, f"gave up: {step}", self._attempt_id), step)
         if last is not None:
             retry_after = max(retry_after, last.retry_after)
-        if step == "nominate":
+        if step == "select":
             retry_after = max(retry_after, _RETRY_WHEN_NO_TARGET)
         retry_after = max(retry_after, _RETRY_AT_LEAST)
-        return Conclude(
-            own_answer(503, f"not run: {step}", self._attempt_id, retry_after), step)
+        return Conclude(own_answer(503, f"not run: {step}", self._attempt_id, retry_after), step)
--- a/marblefold/request_path/eligibility.py
+++ b/marblefold/request_path/eligibility.py
@@ -1,6 +1,6 @@
-"""Which targets may be nominated at all; shared by proxies and the planner."""
+"""Which targets may be selected at all; shared by proxies and the planner."""
 
-from typing import Collection
+from collections.abc import Collection
 
 from marblefold.request_path.mesh_view import KnownOwner, KnownTarget
 
@@ -8,7 +8,9 @@
 
 
 def is_eligible(
-    target: KnownTarget, evacuated: Collection[str], homes: Collection[str] | None,
+    target: KnownTarget,
+    evacuated: Collection[str],
+    homes: Collection[str] | None,
     owner: KnownOwner | None = None,
 ) -> bool:
     """Whether a hop may go to the target."""
@@ -17,10 +19,10 @@
     # A service that a site owns is served nowhere else.
     if owner is not None and (target.site, target.site_agent) != (owner.site, owner.agent):
         return False
-    # The homes of a mapping bind: elsewhere it must not run.
+    # The homes of a route bind: elsewhere it must not run.
     return not homes or target.region in homes
 
 
 def is_last_resort(target: KnownTarget) -> bool:
-    """Whether the target itself says that it had better not be nominated."""
+    """Whether the target itself says that it had better not be selected."""
     return target.is_draining or target.is_leaving
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -1,14 +1,13 @@
-"""Takes a downstream's request through the mesh, as its decision says."""
+"""Takes a client's request through the mesh, as its decision says."""
 
 import random
 import time
 
-from marblefold.http_streams.answer import Answer, own_answer
-from marblefold.http_streams.downstream_request import (
-    BodyTooLarge, DownstreamRequest, HeldRequest)
+from marblefold.configuration.rows import Route
+from marblefold.http_connections.answer import Answer, own_answer
+from marblefold.http_connections.client_request import BodyTooLarge, ClientRequest, HeldRequest
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
-from marblefold.operator_spec.rows import Mapping
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
 from marblefold.request_path.hop_sender import Hops
 from marblefold.request_path.outcome import HopOutcome, HopResult
@@ -28,10 +27,14 @@
 
 
 class RequestExecutor:
-    """Serves the requests that downstreams send to this proxy."""
+    """Serves the requests that clients send to this proxy."""
 
     def __init__(
-        self, surroundings: Surroundings, hops: Hops, work: RunningWork, caller: str,
+        self,
+        surroundings: Surroundings,
+        hops: Hops,
+        work: RunningWork,
+        caller: str,
     ) -> None:
         self.caller = caller
         # Told of every step, where this node traces.
@@ -41,48 +44,61 @@
         self.hops = hops
         self._random = random.Random()
 
-    async def serve(self, request: DownstreamRequest) -> Answer:
+    async def serve(self, request: ClientRequest) -> Answer:
         """The answer to the request."""
-        refusal, mapping = self._find_mapping(request)
+        refusal, route = self._find_route(request)
         if refusal is not None:
             return refusal
         # Decided on the head alone, before anything is spent on the request.
-        crowd = self._surroundings.crowd
-        passage = crowd.ask(mapping.name, mapping.priority, request.arrived)
+        concurrency_limiter = self._surroundings.concurrency
+        passage = concurrency_limiter.ask(route.name, route.priority, request.arrived)
         if not passage.allowed:
-            log.warning("too many alike", mapping=mapping.name, attempt=request.attempt_id)
-            return own_answer(
-                429, "too many alike", request.attempt_id, passage.retry_after)
-        ticket = crowd.begin(mapping.name, request.arrived, request.attempt_id)
+            log.warning("too many alike", route=route.name, attempt=request.attempt_id)
+            return own_answer(429, "too many alike", request.attempt_id, passage.retry_after)
+        ticket = concurrency_limiter.begin(route.name, request.arrived, request.attempt_id)
         try:
-            return await self._serve_mapped(request, mapping)
+            return await self._serve_mapped(request, route)
         finally:
-            crowd.end(mapping.name, ticket)
+            concurrency_limiter.end(route.name, ticket)
 
-    async def _serve_mapped(self, request: DownstreamRequest, mapping: Mapping) -> Answer:
+    async def _serve_mapped(self, request: ClientRequest, route: Route) -> Answer:
         body_limit = self._surroundings.view.table.limits.body_bytes
-        deadline = self._find_deadline(request, mapping)
+        deadline = self._find_deadline(request, route)
         try:
             body, is_whole = await request.gather(_HELD_BODY, body_limit)
-            return await self._run(request, mapping, deadline, body, is_whole, body_limit)
+            return await self._run(request, route, deadline, body, is_whole, body_limit)
         except BodyTooLarge:
             return own_answer(413, "the body is too large", request.attempt_id, closes=True)
 
     async def _run(
-        self, request: DownstreamRequest, mapping: Mapping, deadline: float, body: bytes,
-        is_whole: bool, body_limit: int,
+        self,
+        request: ClientRequest,
+        route: Route,
+        deadline: float,
+        body: bytes,
+        is_whole: bool,
+        body_limit: int,
     ) -> Answer:
         surroundings = self._surroundings
-        upstream = self._pick_upstream(mapping)
+        upstream = self._pick_upstream(route)
         parent = self._work.find_parent(request.attempt_id)
-        kilobytes = (max(len(body), request.body_length) / 1024
-                     + surroundings.answer_kilobytes(mapping.name))
+        kilobytes = max(len(body), request.body_length) / 1024 + surroundings.answer_kilobytes(
+            route.name
+        )
         decision = RequestDecision(
-            mapping, upstream, request.attempt_id, request.arrived, deadline, is_whole,
-            kilobytes, parent is not None, surroundings)
+            route,
+            upstream,
+            request.attempt_id,
+            request.arrived,
+            deadline,
+            is_whole,
+            kilobytes,
+            parent is not None,
+            surroundings,
+        )
         now = time.monotonic()
         surroundings.note_request(upstream, now)
-        head = self._make_head(request, mapping, upstream, body, is_whole)
+        head = self._make_head(request, route, upstream, body, is_whole)
         if parent is not None:
             # Work was put into the run already: its calls go first.
             head.priority = 0
@@ -92,8 +108,14 @@
         span = None
         if self.tracer is not None:
             span = self.tracer.begin_request(
-                request, mapping, upstream, parent.span if parent is not None else None,
-                self.caller, body, is_whole)
+                request,
+                route,
+                upstream,
+                parent.span if parent is not None else None,
+                self.caller,
+                body,
+                is_whole,
+            )
         end = _CANCELLED
         try:
             while not isinstance(step := decision.next_step(time.monotonic()), Conclude):
@@ -104,21 +126,30 @@
             end = step
         finally:
             surroundings.traffic.note(
-                mapping.name, end.answer.status, time.monotonic() - request.arrived,
-                kilobytes)
+                route.name, end.answer.status, time.monotonic() - request.arrived, kilobytes
+            )
             if span is not None:
-                self.tracer.finish_request(
-                    span, end.answer.status, end.step, decision.may_have_run)
+                self.tracer.finish_request(span, end.answer.status, end.step, decision.may_have_run)
         if end.answer.status >= 500 and end.step != "answered":
-            log.info("gave up", attempt=request.attempt_id, step=end.step,
-                     status=end.answer.status, upstream=upstream)
+            log.info(
+                "gave up",
+                attempt=request.attempt_id,
+                step=end.step,
+                status=end.answer.status,
+                upstream=upstream,
+            )
         if end.answer.status < 300:
-            surroundings.note_answer(mapping.name, len(end.answer.body) / 1024)
+            surroundings.note_answer(route.name, len(end.answer.body) / 1024)
         return end.answer
 
     async def _hop(
-        self, offer: Offer, head, request: DownstreamRequest | HeldRequest,
-        decision: RequestDecision, body_limit: int, span,
+        self,
+        offer: Offer,
+        head,
+        request: ClientRequest | HeldRequest,
+        decision: RequestDecision,
+        body_limit: int,
+        span,
     ) -> HopResult:
         target = offer.target
         head.expected_instance = target.instance
@@ -136,46 +167,51 @@
         hop = None
         if span is not None:
             peer = target.peer if self.hops.has_guard(target.upstream) else ""
-            hop = self.tracer.begin_hop(
-                span, head, target.instance, peer, offer.attempt_number)
+            hop = self.tracer.begin_hop(span, head, target.instance, peer, offer.attempt_number)
         try:
             result = await self.hops.send(
-                target.peer, head, request, body_limit, offer.seconds_left)
+                target.peer, head, request, body_limit, offer.seconds_left
+            )
             return result
         finally:
             surroundings.end(target, ticket, result, decision.weight)
             if hop is not None:
                 self.tracer.finish_hop(hop, result)
 
-    def _find_mapping(self, request: DownstreamRequest) -> tuple[Answer | None, Mapping | None]:
-        """The mapping of the request, or the answer that refuses it."""
+    def _find_route(self, request: ClientRequest) -> tuple[Answer | None, Route | None]:
+        """The route of the request, or the answer that refuses it."""
         table = self._surroundings.view.table
         if table is None:
-            return own_answer(503, "no spec yet", request.attempt_id, 0.5), None
+            return own_answer(503, "no configuration yet", request.attempt_id, 0.5), None
         if request.is_upgrade or request.method == "CONNECT":
-            return own_answer(400, "no such use of the stream", closes=True), None
+            return own_answer(400, "no such use of the connection", closes=True), None
         if not request.attempt_id or len(request.attempt_id) > 200:
             return own_answer(400, "no Attempt-Id"), None
-        mapping = table.find(request.host, request.path)
-        if mapping is None:
-            mapping = self._surroundings.view.find_partner_mapping(
-                request.host, request.path, time.monotonic())
-        if mapping is None:
-            return own_answer(404, "no mapping", request.attempt_id), None
-        return None, mapping
-
-    def _find_deadline(self, request: DownstreamRequest, mapping: Mapping) -> float:
+        route = table.find(request.host, request.path)
+        if route is None:
+            route = self._surroundings.view.find_partner_route(
+                request.host, request.path, time.monotonic()
+            )
+        if route is None:
+            return own_answer(404, "no route", request.attempt_id), None
+        return None, route
+
+    def _find_deadline(self, request: ClientRequest, route: Route) -> float:
         told = request.deadline_ms
         seconds = told / 1000.0 if told is not None else _NO_DEADLINE_SECONDS
-        return request.arrived + min(seconds, mapping.time_limit.total_seconds())
+        return request.arrived + min(seconds, route.time_limit.total_seconds())
 
-    def _pick_upstream(self, mapping: Mapping) -> str:
-        if len(mapping.upstreams) == 1:
-            return mapping.upstreams[0]
-        return self._random.choices(mapping.upstreams, mapping.weights)[0]
+    def _pick_upstream(self, route: Route) -> str:
+        if len(route.upstreams) == 1:
+            return route.upstreams[0]
+        return self._random.choices(route.upstreams, route.weights)[0]
 
     def _make_head(
-        self, request: DownstreamRequest, mapping: Mapping, upstream: str, body: bytes,
+        self,
+        request: ClientRequest,
+        route: Route,
+        upstream: str,
+        body: bytes,
         is_whole: bool,
     ):
         owner = self._surroundings.view.owners.get(upstream)
@@ -191,12 +227,11 @@
             header_block=request.header_block(),
             upstream=upstream,
             caller_service=self.caller,
-            mapping_kind=mapping.kind,
-            spec_number=self._surroundings.view.table.number,
+            route_type=route.kind,
+            config_version=self._surroundings.view.table.number,
             owner_epoch=owner.epoch if owner is not None else 0,
-            priority=1 + max(0, mapping.priority),
+            priority=1 + max(0, route.priority),
             body=body if not is_whole or len(body) <= _INLINE_BODY else b"",
             body_follows=not is_whole or len(body) > _INLINE_BODY,
             body_length=length,
         )
-
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -8,9 +8,9 @@
 import time
 
 from marblefold import wire_names
-from marblefold.http_streams.target_streams import TargetStreams
-from marblefold.inner_protocol.frames import FrameKind
+from marblefold.http_connections.target_connections import TargetConnections
 from marblefold.inner_protocol.exchange import Exchange
+from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
 from marblefold.node_config.model import Address, Bounds
 from marblefold.request_path.cold_limit import ColdLimit
@@ -48,8 +48,13 @@
 
 class Guard:
     """Asks nobody else whether a hop may go to the target."""
+
     def __init__(
-        self, target: LocalTarget, view: MeshView, bounds: Bounds, link_bytes_per_second=1e9,
+        self,
+        target: LocalTarget,
+        view: MeshView,
+        bounds: Bounds,
+        link_bytes_per_second=1e9,
     ) -> None:
         self.cold = ColdLimit()
         self.slots = SlotQueue(1)
@@ -58,7 +63,7 @@
         self._view = view
         self._bounds = bounds
         self._intake = Intake(link_bytes_per_second)
-        self._streams: TargetStreams | None = None
+        self._connections: TargetConnections | None = None
         self._caller: TargetCaller | None = None
         self._tasks: set[asyncio.Task] = set()
         self._offered = OfferedHops()
@@ -78,10 +83,10 @@
 
     def set_address(self, address: Address) -> None:
         """The target's own address, known from the config."""
-        if self._streams is not None:
-            self._streams.close()
-        self._streams = TargetStreams(address)
-        self._caller = TargetCaller(self._streams)
+        if self._connections is not None:
+            self._connections.close()
+        self._connections = TargetConnections(address)
+        self._caller = TargetCaller(self._connections)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
         """A hop has come from a peer."""
@@ -98,9 +103,9 @@
             now = time.monotonic()
             # One long request is no sign; several and not a byte are.
             waiting = self._offered.count_older(now, _QUIET_SECONDS)
-            if waiting < 2 or now - self._streams.heard_at < _QUIET_SECONDS:
+            if waiting < 2 or now - self._connections.heard_at < _QUIET_SECONDS:
                 continue
-            if not await self._streams.is_reachable():
+            if not await self._connections.is_reachable():
                 self._give_up_on_target(now)
 
     def _give_up_on_target(self, now: float) -> None:
@@ -167,7 +172,7 @@
             head.deadline_left_ms = max(1, int(left * 1000))
             self._offered.begin(exchange, started)
             self.work.begin(run)
-            exchange.is_repeatable = head.mapping_kind == wire_names.READ_ONLY
+            exchange.is_repeatable = head.route_type == wire_names.READ_ONLY
             is_owner = (lambda: self._is_owner(head)) if head.owner_epoch else None
             answer = await self._caller.offer(exchange, head, left, is_owner)
         finally:
@@ -217,7 +222,7 @@
         """Whether our site owns the service now, under the sender's epoch."""
         if not head.owner_epoch and head.upstream not in self._view.owners:
             return True
-        epoch = self._view.terms.epoch(head.upstream, time.monotonic())
+        epoch = self._view.leases.epoch(head.upstream, time.monotonic())
         return epoch != 0 and epoch == head.owner_epoch
 
     def _is_too_late(self, head) -> bool:
@@ -234,4 +239,5 @@
 
 def _refuse(step: str, retry_after: float):
     return kinds.AnswerHead(
-        outcome=HopOutcome.NEVER_OFFERED, step=step, retry_after_ms=int(retry_after * 1000))
+        outcome=HopOutcome.NEVER_OFFERED, step=step, retry_after_ms=int(retry_after * 1000)
+    )
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -2,18 +2,19 @@
 
 import asyncio
 import time
-from typing import Callable, Protocol
+from collections.abc import Callable
+from typing import Protocol
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.answer import Answer
-from marblefold.http_streams.downstream_request import BodyTooLarge, DownstreamRequest
-from marblefold.inner_protocol.frames import FrameKind
+from marblefold.errors import MeshError
+from marblefold.http_connections.answer import Answer
+from marblefold.http_connections.client_request import BodyTooLarge, ClientRequest
 from marblefold.inner_protocol.body_pipe import BodyPipe
-from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.exchange import Exchange
+from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
-from marblefold.request_path.outcome import HopOutcome, HopResult, Pressure
+from marblefold.inner_protocol.peer_book import PeerBook
+from marblefold.request_path.outcome import HopOutcome, HopResult, TargetLoad
 
 __all__ = ["HopSender", "Hops", "make_result"]
 
@@ -32,17 +33,24 @@
     """Where a hop ends: at a peer's guard, or at a target itself."""
 
     async def send(
-        self, peer: str, head, request: DownstreamRequest, body_bound: int, seconds: float,
+        self,
+        peer: str,
+        head,
+        request: ClientRequest,
+        body_bound: int,
+        seconds: float,
     ) -> HopResult: ...
 
     def has_guard(self, upstream: str) -> bool: ...
 
 
 class HopSender:
-    """Carries hops over the streams to peers."""
+    """Carries hops over the connections to peers."""
 
     def __init__(
-        self, peers: PeerBook, on_silent: Callable[[str], None],
+        self,
+        peers: PeerBook,
+        on_silent: Callable[[str], None],
         link_bytes_per_second: float = 1e9,
     ) -> None:
         self._peers = peers
@@ -58,46 +66,53 @@
         while True:
             await asyncio.sleep(_LOOK_SECONDS)
             now = time.monotonic()
-            for stream in self._peers.streams():
-                if stream.is_silent(now, _QUIET_SECONDS, self._patience):
-                    self._on_silent(stream.peer)
-                    stream.break_off_repeatable(Breakdown("silent", "no sign of life", stream.peer))
+            for connection in self._peers.connections():
+                if connection.is_silent(now, _QUIET_SECONDS, self._patience):
+                    self._on_silent(connection.peer)
+                    connection.break_off_repeatable(
+                        MeshError("silent", "no sign of life", connection.peer)
+                    )
 
     def has_guard(self, upstream: str) -> bool:
         """Hops end at a guard, whatever the upstream."""
         return True
 
     async def send(
-        self, peer: str, head, request: DownstreamRequest, body_bound: int, seconds: float,
+        self,
+        peer: str,
+        head,
+        request: ClientRequest,
+        body_bound: int,
+        seconds: float,
     ) -> HopResult:
-        """The hop's end; it raises only BodyTooLarge and a lost downstream."""
+        """The hop's end; it raises only BodyTooLarge and a lost client."""
         try:
-            stream = await self._peers.reach(peer)
-        except Breakdown as breakdown:
-            # No stream, nothing sent: certain.
-            return HopResult(HopOutcome.NEVER_OFFERED, step=breakdown.step)
-        exchange = stream.open_exchange()
-        exchange.is_repeatable = head.mapping_kind == wire_names.READ_ONLY
+            connection = await self._peers.reach(peer)
+        except MeshError as error:
+            # No connection, nothing sent: certain.
+            return HopResult(HopOutcome.NEVER_OFFERED, step=error.step)
+        exchange = connection.open_exchange()
+        exchange.is_repeatable = head.route_type == wire_names.READ_ONLY
         sender: asyncio.Task | None = None
         is_over = False
         try:
             exchange.send(FrameKind.HEAD, head.SerializeToString())
             if head.body_follows:
                 sender = asyncio.get_running_loop().create_task(
-                    _send_rest(exchange, request, body_bound))
+                    _send_rest(exchange, request, body_bound)
+                )
             async with asyncio.timeout(seconds + _GUARD_WORD_SECONDS):
                 payload = await exchange.answer
             answer_head = kinds.AnswerHead.FromString(payload)
             is_over = not answer_head.body_follows
-            return make_result(
-                answer_head, exchange.incoming, exchange.close, request.method)
+            return make_result(answer_head, exchange.incoming, exchange.close, request.method)
         except TimeoutError:
             return HopResult(HopOutcome.UNKNOWN, step="deadline")
-        except Breakdown as breakdown:
+        except MeshError as error:
             too_large = sender is not None and sender.done() and not sender.cancelled()
             if too_large and isinstance(sender.exception(), BodyTooLarge):
-                raise sender.exception() from breakdown
-            return HopResult(HopOutcome.UNKNOWN, step=breakdown.step)
+                raise sender.exception() from error
+            return HopResult(HopOutcome.UNKNOWN, step=error.step)
         except asyncio.CancelledError:
             exchange.send(FrameKind.CANCEL)
             raise
@@ -111,7 +126,7 @@
                 exchange.close()
 
 
-async def _send_rest(exchange: Exchange, request: DownstreamRequest, bound: int) -> None:
+async def _send_rest(exchange: Exchange, request: ClientRequest, bound: int) -> None:
     try:
         while chunk := await request.read_chunk(bound):
             await exchange.send_body(chunk)
@@ -119,27 +134,37 @@
     except (ConnectionError, BodyTooLarge) as error:
         # The target must not take a part for the whole.
         exchange.send(FrameKind.CANCEL)
-        exchange.break_off(Breakdown("body", str(error) or "too large"))
+        exchange.break_off(MeshError("body", str(error) or "too large"))
         raise
-    except Breakdown:
+    except MeshError:
         return
 
 
 def make_result(
-    head, pipe: BodyPipe, release: Callable[[], object], method: str,
+    head,
+    pipe: BodyPipe,
+    release: Callable[[], object],
+    method: str,
 ) -> HopResult:
     """The result of a hop from the word on it; a large body follows in the pipe."""
-    pressure = Pressure(head.running, head.waiting, head.slots) if head.slots else None
+    load = TargetLoad(head.running, head.waiting, head.slots) if head.slots else None
     outcome = HopOutcome(head.outcome)
     answer = None
     if outcome is HopOutcome.ANSWERED:
         answer = Answer(
-            head.status, head.reason, head.header_block, head.body,
+            head.status,
+            head.reason,
+            head.header_block,
+            head.body,
             pipe if head.body_follows else None,
             is_bodiless=method == "HEAD",
             release=release if head.body_follows else None,
         )
     return HopResult(
-        outcome, answer, head.retry_after_ms / 1000.0, head.step, pressure,
+        outcome,
+        answer,
+        head.retry_after_ms / 1000.0,
+        head.step,
+        load,
         head.service_us / 1e6,
     )
--- a/marblefold/request_path/intake.py
+++ b/marblefold/request_path/intake.py
@@ -8,7 +8,7 @@
 
 import asyncio
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.inner_protocol.exchange import Exchange
 
 __all__ = ["Intake"]
@@ -33,14 +33,19 @@
 
     def __init__(self, link_bytes_per_second: float) -> None:
         self._link_bytes_per_second = max(1.0, link_bytes_per_second)
-        self._window = int(max(_LEAST_WINDOW, min(
-            _MOST_WINDOW, link_bytes_per_second * _WINDOW_SECONDS)))
+        self._window = int(
+            max(_LEAST_WINDOW, min(_MOST_WINDOW, link_bytes_per_second * _WINDOW_SECONDS))
+        )
         places = int(link_bytes_per_second * _LINK_SECONDS / self._window)
         self._places = asyncio.Semaphore(max(_FEWEST, min(_MOST, places)))
         self.waiting = 0
 
     async def take(
-        self, exchange: Exchange, head, seconds: float, patience: float = 1e9,
+        self,
+        exchange: Exchange,
+        head,
+        seconds: float,
+        patience: float = 1e9,
     ) -> str:
         """Takes the body into the head; the step that broke down, or nothing."""
         # Nothing was offered yet: better told so soon than held to the end.
@@ -60,8 +65,8 @@
                     parts.append(chunk)
         except TimeoutError:
             return "body too slow"
-        except Breakdown as breakdown:
-            return breakdown.step
+        except MeshError as error:
+            return error.step
         finally:
             self.waiting -= 1
             if has_place:
--- a/marblefold/request_path/local_target.py
+++ b/marblefold/request_path/local_target.py
@@ -2,8 +2,9 @@
 
 import enum
 import time
+from collections.abc import Callable
 from datetime import timedelta
-from typing import Callable, NamedTuple
+from typing import NamedTuple
 
 from marblefold.logs import log
 
@@ -67,7 +68,12 @@
             self._on_change()
 
     def take_health(
-        self, instance: str, upstream: str, zone: str, slots: int, cold: timedelta,
+        self,
+        instance: str,
+        upstream: str,
+        zone: str,
+        slots: int,
+        cold: timedelta,
     ) -> None:
         """A healthy answer to a probe of ours stands in for a missing beat."""
         if instance in self._past_lives:
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -1,4 +1,4 @@
-"""What this proxy knows of the mesh: targets, spec and evacuations.
+"""What this proxy knows of the mesh: targets, configuration and evacuations.
 
 It is fed by the registries' feeds and never goes back: of two entries under
 one key the one with the higher life and number holds.
@@ -6,14 +6,15 @@
 
 import json
 import time
-from typing import Callable, NamedTuple
+from collections.abc import Callable
+from typing import NamedTuple
 
+from marblefold.configuration.route_table import RouteTable
+from marblefold.configuration.rows import Route, read_rows
 from marblefold.inner_protocol.messages import kinds
+from marblefold.leases.held_leases import HeldLeases
 from marblefold.logs import log
-from marblefold.operator_spec.mapping_table import MappingTable
-from marblefold.operator_spec.rows import Mapping, read_rows
 from marblefold.partners.merging import UPSTREAM_PREFIX, PartnerTable, merge, partner_of
-from marblefold.terms.held_terms import HeldTerms
 
 __all__ = ["KnownOwner", "KnownTarget", "MeshView"]
 
@@ -48,7 +49,7 @@
     """The newest known entry of every key, laid out for the request path."""
 
     def __init__(self, node: str) -> None:
-        self.table: MappingTable | None = None
+        self.table: RouteTable | None = None
         self.proxies = 0
         self.evacuated: set[str] = set()
         self.suspects: set[str] = set()
@@ -57,10 +58,10 @@
         self.on_own_notice: Callable[[int], None] | None = None
         self.on_evacuation: Callable[[str, bool], None] | None = None
         self.on_partners: Callable[[], None] | None = None
-        self.on_spec: Callable[[MappingTable], None] | None = None
+        self.on_configuration: Callable[[RouteTable], None] | None = None
         # Routes that partners export; None as long as there is no partner.
         self.partners: PartnerTable | None = None
-        self.terms = HeldTerms()
+        self.leases = HeldLeases()
         # Services that one site owns; the present owner of each, or nobody.
         self.owners: dict[str, KnownOwner] = {}
         self._node = node
@@ -76,8 +77,7 @@
 
     def peers(self) -> set[str]:
         """Where hops to the known targets go."""
-        return {
-            target.peer for targets in self._targets.values() for target in targets.values()}
+        return {target.peer for targets in self._targets.values() for target in targets.values()}
 
     def is_news(self, entry) -> bool:
         """Whether the entry outranks what is held under its key."""
@@ -88,8 +88,8 @@
         if not self.is_news(entry):
             return False
         self._versions[entry.kind, entry.key] = (entry.life, entry.number)
-        if entry.kind == "spec":
-            self._take_spec(entry)
+        if entry.kind == "configuration":
+            self._take_configuration(entry)
         if entry.kind == "target":
             self._take_target(entry)
         elif entry.kind == "evacuation":
@@ -106,9 +106,9 @@
             self._take_owner(entry)
         return True
 
-    def find_partner_mapping(self, host: str, path: str, now: float) -> Mapping | None:
+    def find_partner_route(self, host: str, path: str, now: float) -> Route | None:
         """The partner route of a request, while the routes here surely hold."""
-        if self.partners is None or not self.terms.may_use_partners(now):
+        if self.partners is None or not self.leases.may_use_partners(now):
             return None
         return self.partners.find(host, path)
 
@@ -116,8 +116,7 @@
         address = self.partners.addresses.get(partner_of(upstream))
         if address is None:
             return []
-        return [KnownTarget(
-            upstream, address, "", "", upstream, upstream, 64, False, 0.0, False)]
+        return [KnownTarget(upstream, address, "", "", upstream, upstream, 64, False, 0.0, False)]
 
     def _take_owner(self, entry) -> None:
         if entry.removed:
@@ -127,12 +126,12 @@
         self.owners[entry.key] = KnownOwner(site, agent, epoch)
         log.info("owner", upstream=entry.key, site=site, epoch=epoch)
 
-    def _take_spec(self, entry) -> None:
-        # Laid out whole first: a request sees the old spec or the new one.
-        self.table = MappingTable(read_rows(entry.value))
-        log.info("spec in force", number=entry.number, mappings=self.table.count)
-        if self.on_spec is not None:
-            self.on_spec(self.table)
+    def _take_configuration(self, entry) -> None:
+        # Laid out whole first: a request sees the old configuration or the new one.
+        self.table = RouteTable(read_rows(entry.value))
+        log.info("configuration in force", number=entry.number, routes=self.table.count)
+        if self.on_configuration is not None:
+            self.on_configuration(self.table)
 
     def _take_target(self, entry) -> None:
         node = entry.key
--- a/marblefold/request_path/offered_hops.py
+++ b/marblefold/request_path/offered_hops.py
@@ -1,6 +1,6 @@
 """The hops that the target beside a guard holds now."""
 
-from typing import Iterator
+from collections.abc import Iterator
 
 from marblefold.inner_protocol.exchange import Exchange
 
--- a/marblefold/request_path/outcome.py
+++ b/marblefold/request_path/outcome.py
@@ -3,9 +3,9 @@
 import enum
 from typing import NamedTuple
 
-from marblefold.http_streams.answer import Answer
+from marblefold.http_connections.answer import Answer
 
-__all__ = ["HopOutcome", "HopResult", "NO_SLOT", "Pressure"]
+__all__ = ["HopOutcome", "HopResult", "NO_SLOT", "TargetLoad"]
 
 # The step of a hop that was turned away for want of a slot, and of nothing else.
 NO_SLOT = "no slot in time"
@@ -24,7 +24,7 @@
     UNKNOWN = 4
 
 
-class Pressure(NamedTuple):
+class TargetLoad(NamedTuple):
     """How much the proxy beside a target has on its hands."""
 
     running: int
@@ -39,5 +39,5 @@
     answer: Answer | None = None
     retry_after: float = 0.0
     step: str = ""
-    pressure: Pressure | None = None
+    load: TargetLoad | None = None
     service_seconds: float = 0.0
--- a/marblefold/request_path/slot_queue.py
+++ b/marblefold/request_path/slot_queue.py
@@ -43,8 +43,8 @@
             return 0.0
         # Only who goes first stands in the way.
         ahead = sum(
-            1 for other, _order, future in self._waiting
-            if other <= turn and not future.done())
+            1 for other, _order, future in self._waiting if other <= turn and not future.done()
+        )
         return (ahead + 1) * self._service_seconds / max(1, self.limit)
 
     def note_service(self, seconds: float) -> None:
--- a/marblefold/request_path/surroundings.py
+++ b/marblefold/request_path/surroundings.py
@@ -1,18 +1,18 @@
-"""What surrounds every request of a proxy: view, breakers, budgets, nominator."""
+"""What surrounds every request of a proxy: view, breakers, budgets, selector."""
 
 import time
+from collections.abc import Callable, Collection
 from datetime import timedelta
-from typing import Callable, Collection
 
 from marblefold.circuit_breaker.breaker import Breaker, Passage
-from marblefold.circuit_breaker.crowd_control import CrowdConfig, CrowdControl
+from marblefold.circuit_breaker.concurrency_limit import ConcurrencyLimiter, ConcurrencyLimits
 from marblefold.circuit_breaker.work_tracker import Ticket
 from marblefold.logs import log
 from marblefold.node_config.reading import Bounds, Limits
 from marblefold.request_path.mesh_view import KnownTarget, MeshView
-from marblefold.request_path.nomination import Nominator, Nominee
 from marblefold.request_path.outcome import HopOutcome, HopResult
 from marblefold.request_path.retry_budget import RetryBudget
+from marblefold.request_path.target_selection import Nominee, TargetSelector
 from marblefold.request_path.traffic_count import TrafficCount
 
 __all__ = ["Surroundings"]
@@ -31,29 +31,38 @@
     """Answers a decision's questions and learns from the ends of hops."""
 
     def __init__(
-        self, view: MeshView, nominator: Nominator, bounds: Bounds, limits: Limits,
-        clock: Callable[[], float] | None = None, tell: Callable = log.warning,
+        self,
+        view: MeshView,
+        selector: TargetSelector,
+        bounds: Bounds,
+        limits: Limits,
+        clock: Callable[[], float] | None = None,
+        tell: Callable = log.warning,
     ) -> None:
         # A rehearsal has a clock of its own, and nothing of it belongs in the log.
         # Looked up now and not at import: whoever stands in for the clock later
-        # would else have nomination learn by one clock and be asked by another.
+        # would else have target_selection learn by one clock and be asked by another.
         self._clock = clock or time.monotonic
         self._tell = tell
         self.traffic = TrafficCount()
         self.view = view
-        self.nominator = nominator
-        self.crowd = CrowdControl(CrowdConfig(_count_resources(limits)))
+        self.selector = selector
+        self.concurrency = ConcurrencyLimiter(ConcurrencyLimits(_count_resources(limits)))
         self.bounds = bounds
         self._breakers: dict[str, Breaker] = {}
         self._budgets: dict[str, RetryBudget] = {}
         self._answer_kilobytes: dict[str, float] = {}
 
-    def nominate(
-        self, upstream: str, tried: Collection[str], homes: Collection[str] | None,
-        kilobytes: float, now: float,
+    def select(
+        self,
+        upstream: str,
+        tried: Collection[str],
+        homes: Collection[str] | None,
+        kilobytes: float,
+        now: float,
     ) -> Nominee | None:
         """The target for the next hop."""
-        return self.nominator.nominate(upstream, tried, homes, kilobytes, now)
+        return self.selector.select(upstream, tried, homes, kilobytes, now)
 
     def ask_breaker(self, upstream: str, now: float) -> Passage:
         """The breaker's word on one more call to the upstream."""
@@ -61,8 +70,13 @@
         state = breaker.state
         passage = breaker.ask(now)
         if breaker.state is not state:
-            self._tell("breaker", upstream=upstream, state=breaker.state.value,
-                       outstanding=breaker.outstanding, threshold=breaker.threshold)
+            self._tell(
+                "breaker",
+                upstream=upstream,
+                state=breaker.state.value,
+                outstanding=breaker.outstanding,
+                threshold=breaker.threshold,
+            )
         return passage
 
     def may_repeat(self, upstream: str, now: float) -> bool:
@@ -81,50 +95,57 @@
 
     def begin(self, target: KnownTarget, weight: float, what: str) -> Ticket:
         """A hop leaves."""
-        self.nominator.begin(target)
+        self.selector.begin(target)
         return self.breaker(target.upstream).begin(self._clock(), weight, what)
 
     def end(self, target: KnownTarget, ticket: Ticket, result: HopResult, weight: float) -> None:
         """A hop is over."""
         now = self._clock()
-        nominator = self.nominator
-        nominator.end(target)
+        selector = self.selector
+        selector.end(target)
         answered = result.outcome is HopOutcome.ANSWERED
         success = answered and result.answer.status < 400
         # Errors and refusals teach the breaker nothing of what is normal.
         self.breaker(target.upstream).end(ticket, now, success)
-        if result.pressure is not None:
-            nominator.note_pressure(target, result.pressure, now)
+        if result.load is not None:
+            selector.note_load(target, result.load, now)
         if success:
-            nominator.note_latency(target, result.service_seconds / weight, now)
-        elif result.outcome is HopOutcome.NEVER_OFFERED and result.pressure is None:
-            nominator.note_breakdown(target, now)
-        elif result.outcome is HopOutcome.UNKNOWN and result.step in ("stream", "deadline"):
-            nominator.note_breakdown(target, now)
+            selector.note_latency(target, result.service_seconds / weight, now)
+        elif (
+            result.outcome is HopOutcome.NEVER_OFFERED
+            and result.load is None
+            or result.outcome is HopOutcome.UNKNOWN
+            and result.step in ("connection", "deadline")
+        ):
+            selector.note_error(target, now)
         elif result.outcome is HopOutcome.NEVER_OFFERED:
             # A guard that turns hops away does so for a while.
             pause = min(_SHUN_SECONDS, result.retry_after or _SHUN_SECONDS)
-            nominator.note_refusal(target, now + pause)
+            selector.note_refusal(target, now + pause)
         elif not answered or result.answer.status >= 500:
             # Whatever its health says, it does not serve as it should.
-            nominator.note_failure(target, now)
+            selector.note_failure(target, now)
 
     def log_overdue(self, longest: timedelta) -> None:
         """Keeps calls visible that go on for longer than is sane."""
         now = time.monotonic()
         for upstream, breaker in self._breakers.items():
             for ticket in breaker.overdue(now, longest.total_seconds()):
-                log.warning("overdue", upstream=upstream, attempt=ticket.what,
-                            seconds=round(now - ticket.started, 1))
-
-    def answer_kilobytes(self, mapping: str) -> float:
-        """How large the answers of the mapping have been of late."""
-        return self._answer_kilobytes.get(mapping, 1.0)
-
-    def note_answer(self, mapping: str, kilobytes: float) -> None:
-        """An answer of the mapping was so large."""
-        known = self._answer_kilobytes.get(mapping, kilobytes)
-        self._answer_kilobytes[mapping] = known + 0.05 * (kilobytes - known)
+                log.warning(
+                    "overdue",
+                    upstream=upstream,
+                    attempt=ticket.what,
+                    seconds=round(now - ticket.started, 1),
+                )
+
+    def answer_kilobytes(self, route: str) -> float:
+        """How large the answers of the route have been of late."""
+        return self._answer_kilobytes.get(route, 1.0)
+
+    def note_answer(self, route: str, kilobytes: float) -> None:
+        """An answer of the route was so large."""
+        known = self._answer_kilobytes.get(route, kilobytes)
+        self._answer_kilobytes[route] = known + 0.05 * (kilobytes - known)
 
     def breaker(self, upstream: str) -> Breaker:
         """The breaker that watches the upstream."""
@@ -137,7 +158,8 @@
         budget = self._budgets.get(upstream)
         if budget is None:
             budget = self._budgets[upstream] = RetryBudget(
-                self.bounds.retry_ratio, self.bounds.retry_window, self.bounds.retry_slack)
+                self.bounds.retry_ratio, self.bounds.retry_window, self.bounds.retry_slack
+            )
         return budget
 
 
--- a/marblefold/request_path/target_caller.py
+++ b/marblefold/request_path/target_caller.py
@@ -2,17 +2,17 @@
 
 import asyncio
 import time
-from typing import Callable
+from collections.abc import Callable
 
 from aiohttp.http_exceptions import HttpProcessingError
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.heads import ANSWER_ONLY_HERE, find_header, make_header_block
-from marblefold.http_streams.target_stream import TargetAnswer, TargetStream
-from marblefold.http_streams.target_streams import TargetStreams
-from marblefold.inner_protocol.frames import FrameKind
+from marblefold.errors import MeshError
+from marblefold.http_connections.heads import ANSWER_ONLY_HERE, find_header, make_header_block
+from marblefold.http_connections.target_connection import TargetAnswer, TargetConnection
+from marblefold.http_connections.target_connections import TargetConnections
 from marblefold.inner_protocol.exchange import Exchange
+from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
 from marblefold.request_path.outcome import HopOutcome
 
@@ -21,7 +21,7 @@
 # An answer up to this is read whole before its first byte goes out, so that
 # a broken one can still become a repeat or an honest 502.
 _HELD_ANSWER = 512 * 1024
-# A stream that rested for longer may be forgotten; it takes only what may run
+# A connection that rested for longer may be forgotten; it takes only what may run
 # twice.
 _LONGEST_REST = 0.2
 _PROMISES = (408, 421, 429, 503)
@@ -30,58 +30,63 @@
 class TargetCaller:
     """Talks HTTP to the target beside this proxy."""
 
-    def __init__(self, streams: TargetStreams) -> None:
-        self._streams = streams
+    def __init__(self, connections: TargetConnections) -> None:
+        self._connections = connections
 
     async def offer(
-        self, exchange: Exchange, head, seconds: float,
+        self,
+        exchange: Exchange,
+        head,
+        seconds: float,
         may_send: Callable[[], bool] | None = None,
     ):
         """The AnswerHead of the hop; the body may follow on the exchange."""
         started = time.monotonic()
         try:
-            # Whatever goes out on a stream that the target forgot may have run.
-            rest = None if head.mapping_kind == wire_names.READ_ONLY else _LONGEST_REST
-            stream = await self._streams.take(rest)
-        except Breakdown as breakdown:
-            return _never_offered(breakdown.step)
+            # Whatever goes out on a connection that the target forgot may have run.
+            rest = None if head.route_type == wire_names.READ_ONLY else _LONGEST_REST
+            connection = await self._connections.take(rest)
+        except MeshError as error:
+            return _never_offered(error.step)
         is_kept = False
-        # Asked with the stream in hand: nothing is waited for from here on.
+        # Asked with the connection in hand: nothing is waited for from here on.
         if may_send is not None and not may_send():
-            self._streams.discard(stream)
+            self._connections.discard(connection)
             return _never_offered("not allowed any more")
         try:
             async with asyncio.timeout(max(0.001, seconds - (time.monotonic() - started))):
-                answer = await self._exchange(stream, exchange, head)
-                result, is_kept = await self._relay(
-                    answer, exchange, head.expected_instance != "")
+                answer = await self._exchange(connection, exchange, head)
+                result, is_kept = await self._relay(answer, exchange, head.expected_instance != "")
                 return result
         except TimeoutError:
             return _unknown("deadline")
-        except Breakdown as breakdown:
-            return _unknown(breakdown.step)
+        except MeshError as error:
+            return _unknown(error.step)
         except (ConnectionError, HttpProcessingError) as error:
             return _unknown(f"answer: {type(error).__name__}")
         finally:
             if is_kept:
-                self._streams.give_back(stream)
+                self._connections.give_back(connection)
             else:
                 # Also when we were cancelled: the target then drops its work.
-                self._streams.discard(stream)
+                self._connections.discard(connection)
 
-    async def _exchange(self, stream: TargetStream, exchange: Exchange, head) -> TargetAnswer:
-        await stream.begin(pack_request(head), head.attempt_id.encode("latin-1", "replace"))
+    async def _exchange(
+        self, connection: TargetConnection, exchange: Exchange, head
+    ) -> TargetAnswer:
+        await connection.begin(pack_request(head), head.attempt_id.encode("latin-1", "replace"))
         if head.body_follows:
-            await _send_rest(stream, exchange, head.body_length < 0)
-        return await stream.answer()
+            await _send_rest(connection, exchange, head.body_length < 0)
+        return await connection.answer()
 
     async def _relay(self, answer: TargetAnswer, exchange: Exchange, is_sealed: bool):
-        """The word on the answer, and whether the stream may be kept."""
+        """The word on the answer, and whether the connection may be kept."""
         if answer.is_not_executed:
             await answer.payload.read()
             result = kinds.AnswerHead(
-                outcome=HopOutcome.NOT_EXECUTED, step=f"target said {answer.status}")
-            _read_pressure(answer, result)
+                outcome=HopOutcome.NOT_EXECUTED, step=f"target said {answer.status}"
+            )
+            _read_load(answer, result)
             return result, True
         if answer.status in _PROMISES:
             # Such a status would promise what the target did not say.
@@ -95,7 +100,7 @@
             reason=answer.reason.encode("latin-1", "replace"),
             header_block=make_header_block(answer.headers, ANSWER_ONLY_HERE),
         )
-        _read_pressure(answer, result)
+        _read_load(answer, result)
         parts: list[bytes] = []
         size = 0
         while size <= _HELD_ANSWER:
@@ -129,31 +134,40 @@
     if head.body_follows and head.body_length < 0 and first:
         first = b"%x\r\n" % len(first) + first + b"\r\n"
     caller = b""
-    # Where no target stands beside a downstream, nobody calls.
+    # Where no target stands beside a client, nobody calls.
     if head.caller_service:
         caller = wire_names.CALLER_SERVICE + b": " + head.caller_service.encode() + b"\r\n"
     expected = b""
     if head.expected_instance:
-        expected = (
-            wire_names.EXPECTED_INSTANCE + b": " + head.expected_instance.encode() + b"\r\n")
-    return b"".join((
-        head.method.encode(), b" ", head.path, b" HTTP/1.1\r\n", head.header_block, length,
-        wire_names.DEADLINE_MS, b": %d\r\n" % head.deadline_left_ms,
-        expected, caller, b"\r\n",
-        first,
-    ))
+        expected = wire_names.EXPECTED_INSTANCE + b": " + head.expected_instance.encode() + b"\r\n"
+    return b"".join(
+        (
+            head.method.encode(),
+            b" ",
+            head.path,
+            b" HTTP/1.1\r\n",
+            head.header_block,
+            length,
+            wire_names.DEADLINE_MS,
+            b": %d\r\n" % head.deadline_left_ms,
+            expected,
+            caller,
+            b"\r\n",
+            first,
+        )
+    )
 
 
-async def _send_rest(stream: TargetStream, exchange: Exchange, is_chunked: bool) -> None:
+async def _send_rest(connection: TargetConnection, exchange: Exchange, is_chunked: bool) -> None:
     while chunk := await exchange.incoming.read():
         if is_chunked:
             chunk = b"%x\r\n" % len(chunk) + chunk + b"\r\n"
-        await stream.send(chunk)
+        await connection.send(chunk)
     if is_chunked:
-        await stream.send(b"0\r\n\r\n")
+        await connection.send(b"0\r\n\r\n")
 
 
-def _read_pressure(answer: TargetAnswer, result) -> None:
+def _read_load(answer: TargetAnswer, result) -> None:
     """Some targets tell how much they have on their hands."""
     told = find_header(answer.headers, wire_names.SERVER_LOAD)
     parts = told.split(b",") if told is not None else ()
--- a/marblefold/request_path/target_record.py
+++ b/marblefold/request_path/target_record.py
@@ -7,7 +7,7 @@
 
 import math
 
-from marblefold.request_path.outcome import Pressure
+from marblefold.request_path.outcome import TargetLoad
 
 __all__ = ["TargetRecord"]
 
@@ -20,7 +20,7 @@
 _FIRST_WAIT = 1.0
 _LONGEST_WAIT = 8.0
 _FLAP_SECONDS = 10.0
-# Told pressure is news for so long; then our own calls are all we know.
+# Told load is news for so long; then our own calls are all we know.
 _TOLD_SECONDS = 1.0
 
 
@@ -28,15 +28,26 @@
     """The figures of one target."""
 
     __slots__ = (
-        "in_flight", "rank", "refused_until", "broken_until", "_told", "_told_at", "_latency",
-        "_latency_at", "_failing", "_failing_at", "_wait", "_broken_at")
+        "in_flight",
+        "rank",
+        "refused_until",
+        "broken_until",
+        "_told",
+        "_told_at",
+        "_latency",
+        "_latency_at",
+        "_failing",
+        "_failing_at",
+        "_wait",
+        "_broken_at",
+    )
 
     def __init__(self, rank: int = 0) -> None:
         self.in_flight = 0
         self.rank = rank
         self.refused_until = 0.0
         self.broken_until = 0.0
-        self._told: Pressure | None = None
+        self._told: TargetLoad | None = None
         self._told_at = 0.0
         self._latency = 0.0
         self._latency_at = 0.0
@@ -45,9 +56,9 @@
         self._wait = _FIRST_WAIT
         self._broken_at = -1e9
 
-    def note_pressure(self, pressure: Pressure, now: float) -> None:
+    def note_load(self, load: TargetLoad, now: float) -> None:
         """It was told how much the target has on its hands."""
-        self._told = pressure
+        self._told = load
         self._told_at = now
 
     def note_success(self, weighted: float, now: float) -> None:
@@ -64,7 +75,7 @@
         self._failing = known + _LEARN_FAILURE * (1.0 - known)
         self._failing_at = now
 
-    def note_breakdown(self, now: float) -> None:
+    def note_error(self, now: float) -> None:
         """It could not be talked to."""
         is_still_known = now < self.broken_until
         # One that goes up and down comes back later each time.
@@ -90,12 +101,12 @@
 
     def use(self, slots: int, now: float) -> float:
         """The part of its slots that one more request would leave in use."""
-        pressure = float(self.in_flight)
+        load = float(self.in_flight)
         if self._told is not None:
-            # The told pressure fades: without news the target drains.
+            # The told load fades: without news the target drains.
             age = now - self._told_at
             if age < _TOLD_SECONDS:
                 told = self._told.running + self._told.waiting
-                pressure = max(pressure, told * (1.0 - age / _TOLD_SECONDS))
+                load = max(load, told * (1.0 - age / _TOLD_SECONDS))
             slots = self._told.slots or slots
-        return (pressure + 1.0) / max(1, slots)
+        return (load + 1.0) / max(1, slots)
--- a/marblefold/request_path/nomination.py
+++ b/marblefold/request_path/target_selection.py
@@ -1,15 +1,16 @@
-"""Nominates the target that the next hop goes to."""
+"""Selects the target that the next hop goes to."""
 
 import random
 import zlib
-from typing import Collection, NamedTuple
+from collections.abc import Collection
+from typing import NamedTuple
 
 from marblefold.request_path.eligibility import is_eligible, is_last_resort
 from marblefold.request_path.mesh_view import KnownTarget, MeshView
-from marblefold.request_path.outcome import Pressure
+from marblefold.request_path.outcome import TargetLoad
 from marblefold.request_path.target_record import TargetRecord
 
-__all__ = ["Nominee", "Nominator"]
+__all__ = ["Nominee", "TargetSelector"]
 
 # A peer that says nothing is passed over for so long where others can serve.
 _SHUN_SECONDS = 1.0
@@ -27,22 +28,26 @@
 _NEAR_CANDIDATES = 4
 _FAR_CANDIDATES = 2
 # Of many targets only so many in its own zone are used by one process, so
-# that it finds its streams to them still open.
+# that it finds its connections to them still open.
 _SUBSET = 6
 
 
 class Nominee(NamedTuple):
-    """The nominated target; the last resort if nothing better is known."""
+    """The selected target; the last resort if nothing better is known."""
 
     target: KnownTarget
     is_last_resort: bool
 
 
-class Nominator:
+class TargetSelector:
     """Learns how targets fare and picks the one likely to answer first."""
 
     def __init__(
-        self, view: MeshView, zone: str, seed: int | None = None, subset_of: str = "",
+        self,
+        view: MeshView,
+        zone: str,
+        seed: int | None = None,
+        subset_of: str = "",
         has_guards: bool = True,
     ) -> None:
         self._view = view
@@ -56,9 +61,13 @@
         self._random = random.Random(seed)
         self._subset_of = subset_of
 
-    def nominate(
-        self, upstream: str, tried: Collection[str], homes: Collection[str] | None,
-        kilobytes: float, now: float,
+    def select(
+        self,
+        upstream: str,
+        tried: Collection[str],
+        homes: Collection[str] | None,
+        kilobytes: float,
+        now: float,
     ) -> Nominee | None:
         """The target for the next hop, or None if there is none to be had."""
         preferred: list[KnownTarget] = []
@@ -95,8 +104,10 @@
         surcharge = min(_MOST_ZONE_SURCHARGE, kilobytes * _ZONE_SURCHARGE_PER_KILOBYTE)
         best = min(
             self._draw(candidates),
-            key=lambda target: self._expected(target, now)
-            + (surcharge if target.zone != self._zone else 0.0))
+            key=lambda target: (
+                self._expected(target, now) + (surcharge if target.zone != self._zone else 0.0)
+            ),
+        )
         return Nominee(best, not preferred)
 
     def begin(self, target: KnownTarget) -> None:
@@ -107,9 +118,9 @@
         """A hop to the target is over."""
         self._record(target.node).in_flight -= 1
 
-    def note_pressure(self, target: KnownTarget, pressure: Pressure, now: float) -> None:
-        """The proxy beside the target, or the target, told its pressure."""
-        self._record(target.node).note_pressure(pressure, now)
+    def note_load(self, target: KnownTarget, load: TargetLoad, now: float) -> None:
+        """The proxy beside the target, or the target, told its load."""
+        self._record(target.node).note_load(load, now)
 
     def note_latency(self, target: KnownTarget, weighted: float, now: float) -> None:
         """The target answered; how long it took over the aim."""
@@ -121,9 +132,9 @@
         """The target failed a request, or turned it away."""
         self._record(target.node).note_failure(now)
 
-    def note_breakdown(self, target: KnownTarget, now: float) -> None:
+    def note_error(self, target: KnownTarget, now: float) -> None:
         """The peer or its target could not be talked to."""
-        self._record(target.node).note_breakdown(now)
+        self._record(target.node).note_error(now)
 
     def note_silent(self, peer: str, now: float) -> None:
         """The peer gives no sign of life just now."""
@@ -151,9 +162,9 @@
             # Ranked by key: it changes little when others come or go.
             near.sort(key=lambda target: self._record(target.node).rank)
             del near[_SUBSET:]
-        return (
-            self._random.sample(near, min(len(near), _NEAR_CANDIDATES))
-            + self._random.sample(far, min(len(far), _FAR_CANDIDATES)))
+        return self._random.sample(near, min(len(near), _NEAR_CANDIDATES)) + self._random.sample(
+            far, min(len(far), _FAR_CANDIDATES)
+        )
 
     def _record(self, node: str) -> TargetRecord:
         record = self._records.get(node)
--- a/marblefold/request_path/tracers.py
+++ b/marblefold/request_path/tracers.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from marblefold.operator_spec.rows import Mapping
+from marblefold.configuration.rows import Route
 from marblefold.request_path.outcome import HopResult
 
 __all__ = ["GuardTracer", "RequestTracer"]
@@ -12,7 +12,13 @@
     """What is told of the steps of a request."""
 
     def begin_request(
-        self, request, mapping: Mapping, upstream: str, run_span, caller: str, body: bytes,
+        self,
+        request,
+        route: Route,
+        upstream: str,
+        run_span,
+        caller: str,
+        body: bytes,
         is_whole: bool,
     ): ...
 
