--- a/marblefold/request_path/traffic_count.py
+++ b/marblefold/request_path/traffic_count.py
@@ -1,4 +1,4 @@
-"""Counts the requests that begin at this node, by mapping.
+"""Counts the requests that begin at this node, by route.
 
 Cumulative and small: whoever hears two counts knows the rate between them,
 and a count that is lost costs nothing.
@@ -10,13 +10,13 @@
 
 __all__ = ["TrafficCount"]
 
-# A notice names so many mappings; the least used ones are told as one.
-_MOST_MAPPINGS = 48
+# A notice names so many routes; the least used ones are told as one.
+_MOST_ROUTES = 48
 OTHERS = ""
 
 
 class _Counts:
-    """The requests of one mapping since the start."""
+    """The requests of one route since the start."""
 
     __slots__ = ("requests", "answered", "refused", "unknown", "seconds", "kilobytes")
 
@@ -34,11 +34,11 @@
         self._number = 0
         self._told = -1
 
-    def note(self, mapping: str, status: int, seconds: float, kilobytes: float) -> None:
+    def note(self, route: str, status: int, seconds: float, kilobytes: float) -> None:
         """A request is over; what it moved counts where zones are weighed."""
-        counts = self._counts.get(mapping)
+        counts = self._counts.get(route)
         if counts is None:
-            counts = self._counts[mapping] = _Counts()
+            counts = self._counts[route] = _Counts()
         counts.requests += 1
         counts.seconds += seconds
         counts.kilobytes += kilobytes
@@ -50,7 +50,11 @@
             counts.answered += 1
 
     def make_notice(
-        self, node: str, zone: str, region: str, service_seconds: float,
+        self,
+        node: str,
+        zone: str,
+        region: str,
+        service_seconds: float,
     ) -> kinds.TrafficNotice | None:
         """The counts as they stand; None where nothing came since the last one."""
         total = sum(counts.requests for counts in self._counts.values())
@@ -59,14 +63,19 @@
         self._told = total
         self._number += 1
         notice = kinds.TrafficNotice(
-            node=node, node_life=self._life, number=self._number, zone=zone, region=region,
-            service_us=int(service_seconds * 1e6))
+            node=node,
+            node_life=self._life,
+            number=self._number,
+            zone=zone,
+            region=region,
+            service_us=int(service_seconds * 1e6),
+        )
         ranked = sorted(self._counts.items(), key=lambda item: -item[1].requests)
-        for name, counts in ranked[:_MOST_MAPPINGS]:
-            _add(notice.mappings.add(mapping=name), counts)
-        if ranked[_MOST_MAPPINGS:]:
-            rest = notice.mappings.add(mapping=OTHERS)
-            for _name, counts in ranked[_MOST_MAPPINGS:]:
+        for name, counts in ranked[:_MOST_ROUTES]:
+            _add(notice.routes.add(route=name), counts)
+        if ranked[_MOST_ROUTES:]:
+            rest = notice.routes.add(route=OTHERS)
+            for _name, counts in ranked[_MOST_ROUTES:]:
                 _add(rest, counts)
         return notice
 
--- a/marblefold/request_path/upstream_limits.py
+++ b/marblefold/request_path/upstream_limits.py
@@ -1,4 +1,4 @@
-"""What the operator's spec bounds at the targets of an upstream."""
+"""What the operator's configuration bounds at the targets of an upstream."""
 
 from marblefold.node_config.model import Bounds
 from marblefold.request_path.local_target import LocalTarget
@@ -10,7 +10,7 @@
 def find_slots(view: MeshView, target: LocalTarget) -> int:
     """How many at once: each takes a slot, and a connection to the target."""
     known = view.table.upstreams.get(target.upstream) if view.table is not None else None
-    return target.slots if known is None else max(1, min(target.slots, known.stream_limit))
+    return target.slots if known is None else max(1, min(target.slots, known.max_connections))
 
 
 def find_cold_most(view: MeshView, bounds: Bounds, upstream: str) -> float:
--- a/marblefold/site_command.py
+++ b/marblefold/site_command.py
@@ -22,28 +22,40 @@
 _CREDENTIAL_VARIABLE = "MARBLEFOLD_PARTNER_CREDENTIAL"
 
 
-def run_partners(words: list[str]) -> int:
+def run_partners(arguments: list[str]) -> int:
     """partners list | grant NAME | withdraw NAME | export NAME."""
-    return _run(words, "partners list | grant NAME | withdraw NAME | export NAME", {
-        ("list",): ("GET", wire_names.PARTNERS_PATH, False),
-        ("grant", "NAME"): ("PUT", wire_names.PARTNER_PATH, True),
-        ("withdraw", "NAME"): ("DELETE", wire_names.PARTNER_PATH, False),
-        ("export", "NAME"): ("PUT", wire_names.EXPORTS_PATH, True)})
+    return _run(
+        arguments,
+        "partners list | grant NAME | withdraw NAME | export NAME",
+        {
+            ("list",): ("GET", wire_names.PARTNERS_PATH, False),
+            ("grant", "NAME"): ("PUT", wire_names.PARTNER_PATH, True),
+            ("withdraw", "NAME"): ("DELETE", wire_names.PARTNER_PATH, False),
+            ("export", "NAME"): ("PUT", wire_names.EXPORTS_PATH, True),
+        },
+    )
 
 
-def run_owners(words: list[str]) -> int:
+def run_owners(arguments: list[str]) -> int:
     """owners list | set."""
-    return _run(words, "owners list | set", {
-        ("list",): ("GET", wire_names.OWNERS_PATH, False),
-        ("set",): ("PUT", wire_names.OWNERS_PATH, True)})
+    return _run(
+        arguments,
+        "owners list | set",
+        {
+            ("list",): ("GET", wire_names.OWNERS_PATH, False),
+            ("set",): ("PUT", wire_names.OWNERS_PATH, True),
+        },
+    )
 
 
-def _run(words: list[str], usage: str, calls: dict) -> int:
-    key = tuple(words[:1]) + tuple("NAME" for _ in words[1:])
+def _run(arguments: list[str], usage: str, calls: dict) -> int:
+    key = tuple(arguments[:1]) + tuple("NAME" for _ in arguments[1:])
     call = calls.get(key)
     if call is None or not FLAGS.registry or (call[2] and not FLAGS.file):
-        print(f"usage: python3 -m marblefold {usage} --registry=HOST:PORT [--file=FILE]",
-              file=sys.stderr)
+        print(
+            f"usage: python3 -m marblefold {usage} --registry=HOST:PORT [--file=FILE]",
+            file=sys.stderr,
+        )
         return _USAGE
     method, path, has_body = call
     body = None
@@ -54,7 +66,7 @@
         except OSError as error:
             print(f"{FLAGS.file}: {error.strerror}", file=sys.stderr)
             return _USAGE
-    subject = quote(words[1], safe="") if len(words) > 1 else ""
+    subject = quote(arguments[1], safe="") if len(arguments) > 1 else ""
     return asyncio.run(_call(method, path.format(subject), body))
 
 
@@ -67,12 +79,14 @@
         headers["Authorization"] = f"Bearer {os.environ[_CREDENTIAL_VARIABLE]}"
     timeout = aiohttp.ClientTimeout(total=_CALL_SECONDS)
     try:
-        async with aiohttp.ClientSession(timeout=timeout) as session:
-            async with session.request(
-                    method, f"http://{FLAGS.registry}{path}", data=body,
-                    headers=headers) as answer:
-                document = json.loads(await answer.read())
-                status = answer.status
+        async with (
+            aiohttp.ClientSession(timeout=timeout) as session,
+            session.request(
+                method, f"http://{FLAGS.registry}{path}", data=body, headers=headers
+            ) as answer,
+        ):
+            document = json.loads(await answer.read())
+            status = answer.status
     except (aiohttp.ClientError, TimeoutError, ValueError) as error:
         print(f"{FLAGS.registry}: {error or 'no answer in time'}", file=sys.stderr)
         return _USAGE
--- a/marblefold/task_keeper.py
+++ b/marblefold/task_keeper.py
@@ -1,7 +1,7 @@
 """Keeps the tasks of a program, and says so when one breaks down."""
 
 import asyncio
-from typing import Coroutine
+from collections.abc import Coroutine
 
 from marblefold.logs import log
 
--- a/marblefold/tracing/assembling.py
+++ b/marblefold/tracing/assembling.py
@@ -5,7 +5,8 @@
 the trace incomplete, and whose it is is named.
 """
 
-from typing import Iterable, NamedTuple
+from collections.abc import Iterable
+from typing import NamedTuple
 
 from marblefold.request_path.outcome import HopOutcome
 from marblefold.tracing.span import SpanKind
@@ -59,16 +60,23 @@
             missing.append(f"the run at {row['node']} that made a call")
     for row in spans.values():
         if row["kind"] == SpanKind.HOP and _came_to_a_guard(row):
-            if not any(child["kind"] == SpanKind.SERVE for child in children.get(
-                    row["span_id"], ())):
+            if not any(
+                child["kind"] == SpanKind.SERVE for child in children.get(row["span_id"], ())
+            ):
                 missing.append(f"the guard at {row['peer']}, instance {row['target']}")
-        if row["kind"] == SpanKind.REQUEST and row["status"] and row["outcome"] in (
-                HopOutcome.ANSWERED, HopOutcome.UNKNOWN):
+        if (
+            row["kind"] == SpanKind.REQUEST
+            and row["status"]
+            and row["outcome"] in (HopOutcome.ANSWERED, HopOutcome.UNKNOWN)
+        ):
             if row["span_id"] not in children:
                 missing.append(f"the hops of a request at {row['node']}")
     return Trace(
-        trace_id, tuple(_make_step(row, children, None) for row in roots),
-        tuple(sorted(missing)), is_shed)
+        trace_id,
+        tuple(_make_step(row, children, None) for row in roots),
+        tuple(sorted(missing)),
+        is_shed,
+    )
 
 
 def _came_to_a_guard(row: dict) -> bool:
@@ -82,10 +90,12 @@
     skew = 0
     if parent is not None:
         early = parent["start_us"] - row["start_us"]
-        late = (row["start_us"] + row["duration_us"]) - (
-            parent["start_us"] + parent["duration_us"])
+        late = (row["start_us"] + row["duration_us"]) - (parent["start_us"] + parent["duration_us"])
         # A step lies within its parent's: what sticks out is the clock.
         if early > 0 or (late > 0 and parent["duration_us"] >= row["duration_us"]):
             skew = -early if early > 0 else late
-    return Step(row, tuple(
-        _make_step(child, children, row) for child in children.get(row["span_id"], ())), skew)
+    return Step(
+        row,
+        tuple(_make_step(child, children, row) for child in children.get(row["span_id"], ())),
+        skew,
+    )
--- a/marblefold/tracing/calls.py
+++ b/marblefold/tracing/calls.py
@@ -1,11 +1,11 @@
 """The read-only calls on the traces that a registry holds."""
 
-from typing import Callable
+from collections.abc import Callable
 from urllib.parse import parse_qs
 
 from marblefold import wire_names
-from marblefold.http_streams.answer import Answer
-from marblefold.http_streams.call_router import Call, CallRouter, json_answer
+from marblefold.http_connections.answer import Answer
+from marblefold.http_connections.call_router import Call, CallRouter, json_answer
 from marblefold.request_path.outcome import HopOutcome
 from marblefold.tracing.collector import CollectedSpan, Collector
 from marblefold.tracing.span import SpanKind
@@ -17,8 +17,23 @@
 _MOST_ID = 200
 _BYTE_FIELDS = ("trace_id", "span_id", "parent", "digest")
 _PLAIN_FIELDS = (
-    "kind", "attempt_id", "mapping", "upstream", "target", "peer", "start_us", "duration_us",
-    "outcome", "status", "step", "attempt", "queued_us", "body_bytes", "keep", "inferred")
+    "kind",
+    "attempt_id",
+    "route",
+    "upstream",
+    "target",
+    "peer",
+    "start_us",
+    "duration_us",
+    "outcome",
+    "status",
+    "step",
+    "attempt",
+    "queued_us",
+    "body_bytes",
+    "keep",
+    "inferred",
+)
 _LISTED_KINDS = {"order": 3, "upload": 2, "sample": 1, "marked": 4}
 
 
@@ -49,17 +64,23 @@
         spans = self._collector.find(trace_id)
         if not spans and not self._collector.is_shed(trace_id):
             return json_answer(404, {wire_names.REASON: "no such trace here"})
-        return json_answer(200, {
-            "trace": trace_id.hex(), "shed": self._collector.is_shed(trace_id),
-            "cut": len(spans) > _MOST_SPANS,
-            "spans": [_to_row(span) for span in spans[:_MOST_SPANS]]})
+        return json_answer(
+            200,
+            {
+                "trace": trace_id.hex(),
+                "shed": self._collector.is_shed(trace_id),
+                "cut": len(spans) > _MOST_SPANS,
+                "spans": [_to_row(span) for span in spans[:_MOST_SPANS]],
+            },
+        )
 
     async def _list(self, call: Call) -> Answer:
         asked = parse_qs(call.query)
         try:
             keep = _read_choice(asked, "kind", _LISTED_KINDS)
             outcome = _read_choice(
-                asked, "outcome", {item.name.lower(): int(item) for item in HopOutcome})
+                asked, "outcome", {item.name.lower(): int(item) for item in HopOutcome}
+            )
             since = _read_number(asked, "since-s", 0.0, 1e9, 1e9)
             most = int(_read_number(asked, "limit", 1, _MOST_ROWS, 50))
             skip = int(_read_number(asked, "skip", 0, 1e9, 0))
@@ -69,8 +90,10 @@
         is_more = False
         for trace_id in self._collector.newest():
             requests = [
-                found for found in self._collector.find(trace_id)
-                if found.span.kind == SpanKind.REQUEST]
+                found
+                for found in self._collector.find(trace_id)
+                if found.span.kind == SpanKind.REQUEST
+            ]
             first = min(requests, key=lambda found: found.span.start_us, default=None)
             if first is None or not self._is_asked(first, keep, outcome, since):
                 continue
@@ -82,25 +105,37 @@
                 break
             rows.append(_to_row(first))
         collector = self._collector
-        return json_answer(200, {
-            "traces": rows, "more": is_more, "spans-held": collector.spans,
-            "spans-limit": collector.most_spans, "traces-dropped": collector.dropped,
-            "spans-lost": {node: lost for node, lost in collector.lost.items() if lost}})
+        return json_answer(
+            200,
+            {
+                "traces": rows,
+                "more": is_more,
+                "spans-held": collector.spans,
+                "spans-limit": collector.most_spans,
+                "traces-dropped": collector.dropped,
+                "spans-lost": {node: lost for node, lost in collector.lost.items() if lost},
+            },
+        )
 
     def _is_asked(self, found: CollectedSpan, keep: int, outcome: int, since: float) -> bool:
         span = found.span
         return (
-            (not keep or span.keep == keep) and (not outcome or span.outcome == outcome)
-            and self._now() - span.start_us / 1e6 <= since)
+            (not keep or span.keep == keep)
+            and (not outcome or span.outcome == outcome)
+            and self._now() - span.start_us / 1e6 <= since
+        )
 
     async def _doubles(self, _call: Call) -> Answer:
         groups = []
         for doubled in self._collector.doubled():
             if len(groups) == _MOST_ROWS:
                 break
-            groups.append({
-                "digest": doubled.digest.hex(),
-                "tries": {attempt: trace.hex() for attempt, trace in doubled.tries.items()}})
+            groups.append(
+                {
+                    "digest": doubled.digest.hex(),
+                    "tries": {attempt: trace.hex() for attempt, trace in doubled.tries.items()},
+                }
+            )
         return json_answer(200, {"doubles": groups, "cut": len(groups) == _MOST_ROWS})
 
 
--- a/marblefold/tracing/collector.py
+++ b/marblefold/tracing/collector.py
@@ -6,7 +6,8 @@
 
 import itertools
 import zlib
-from typing import Iterator, NamedTuple
+from collections.abc import Iterator
+from typing import NamedTuple
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.request_path.outcome import HopOutcome
@@ -92,15 +93,15 @@
             trace = self._traces[span.trace_id] = _Trace()
         if span.span_id not in trace.rows:
             self.spans += 1
-        trace.rows[span.span_id] = (
-            batch.node, batch.zone, batch.address, span.SerializeToString())
+        trace.rows[span.span_id] = (batch.node, batch.zone, batch.address, span.SerializeToString())
         trace.keep = max(trace.keep, span.keep)
         if span.kind != SpanKind.REQUEST:
             return
         trace.attempts.append(span.attempt_id)
         self._attempts[span.attempt_id] = span.trace_id
         may_have_run = span.outcome == HopOutcome.UNKNOWN or (
-            span.outcome == HopOutcome.ANSWERED and span.status < 300)
+            span.outcome == HopOutcome.ANSWERED and span.status < 300
+        )
         if span.digest and may_have_run:
             trace.digests.append(span.digest)
             self._tries.setdefault(span.digest, {})[span.attempt_id] = span.trace_id
--- a/marblefold/tracing/command.py
+++ b/marblefold/tracing/command.py
@@ -8,7 +8,7 @@
 from absl import flags
 
 from marblefold import wire_names
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.registry_client import ask_all
 from marblefold.tracing.assembling import Trace, assemble
 from marblefold.tracing.showing import to_json, to_otlp, to_text
@@ -26,19 +26,24 @@
 _WHOLE, _INCOMPLETE, _USAGE = 0, 1, 2
 
 
-def run_trace(words: list[str]) -> int:
+def run_trace(arguments: list[str]) -> int:
     """trace show ATTEMPT_ID|TRACE_ID | doubles | list."""
-    is_call = words[:1] == ["show"] and len(words) == 2 or words in (["doubles"], ["list"])
+    is_call = (
+        arguments[:1] == ["show"] and len(arguments) == 2 or arguments in (["doubles"], ["list"])
+    )
     if not is_call or not FLAGS.registry:
-        print("usage: python3 -m marblefold trace --registry=HOST:PORT "
-              "show ATTEMPT_ID|TRACE_ID | doubles | list", file=sys.stderr)
+        print(
+            "usage: python3 -m marblefold trace --registry=HOST:PORT "
+            "show ATTEMPT_ID|TRACE_ID | doubles | list",
+            file=sys.stderr,
+        )
         return _USAGE
     try:
-        if words[0] == "show":
-            return asyncio.run(_show(words[1]))
-        return asyncio.run(_doubles() if words[0] == "doubles" else _list())
-    except Breakdown as breakdown:
-        print(breakdown, file=sys.stderr)
+        if arguments[0] == "show":
+            return asyncio.run(_show(arguments[1]))
+        return asyncio.run(_doubles() if arguments[0] == "doubles" else _list())
+    except MeshError as error:
+        print(error, file=sys.stderr)
         return _USAGE
 
 
@@ -92,22 +97,26 @@
 
 async def _list() -> int:
     asked = {"limit": FLAGS.limit}
-    for name, value in (("kind", FLAGS.kind), ("outcome", FLAGS.outcome),
-                        ("since-s", FLAGS.since_s)):
+    for name, value in (
+        ("kind", FLAGS.kind),
+        ("outcome", FLAGS.outcome),
+        ("since-s", FLAGS.since_s),
+    ):
         if value:
             asked[name] = value
-    answers, silent = await ask_all(
-        FLAGS.registry, f"{wire_names.TRACES_PATH}?{urlencode(asked)}")
+    answers, silent = await ask_all(FLAGS.registry, f"{wire_names.TRACES_PATH}?{urlencode(asked)}")
     _complain_of_refusals(answers)
     _tell_silent(silent)
     rows = {row["span_id"]: row for _status, document in answers for row in document["traces"]}
-    newest = sorted(rows.values(), key=lambda row: -row["start_us"])[:FLAGS.limit]
+    newest = sorted(rows.values(), key=lambda row: -row["start_us"])[: FLAGS.limit]
     if FLAGS.format != "text":
         print(json.dumps(newest, indent=2))
         return _WHOLE
     for row in newest:
-        print(f"{row['trace_id']} {row['attempt_id']} {row['mapping']} status {row['status']} "
-              f"{row['duration_us'] / 1000:.1f} ms {row['step']}")
+        print(
+            f"{row['trace_id']} {row['attempt_id']} {row['route']} status {row['status']} "
+            f"{row['duration_us'] / 1000:.1f} ms {row['step']}"
+        )
     return _WHOLE
 
 
@@ -124,7 +133,7 @@
 def _complain_of_refusals(answers: list[tuple[int, dict]]) -> None:
     for status, document in answers:
         if status not in (200, 404):
-            raise Breakdown("ask registry", f"status {status}: {document.get('reason', '')}")
+            raise MeshError("ask registry", f"status {status}: {document.get('reason', '')}")
 
 
 def _tell_silent(silent: list[str]) -> None:
--- a/marblefold/tracing/context.py
+++ b/marblefold/tracing/context.py
@@ -9,16 +9,23 @@
 import re
 from typing import NamedTuple
 
-__all__ = ["Keep", "TraceContext", "format_traceparent", "keep_of", "parse_traceparent",
-           "shed_order", "start_trace"]
+__all__ = [
+    "Keep",
+    "TraceContext",
+    "format_traceparent",
+    "keep_of",
+    "parse_traceparent",
+    "shed_order",
+    "start_trace",
+]
 
 _TRACEPARENT = re.compile(r"([0-9a-f]{2})-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})(-.*)?")
 _SAMPLED = 1
-_HASH_SPAN = 2 ** 32
+_HASH_SPAN = 2**32
 
 
 class Keep(enum.IntEnum):
-    """Ordered: under pressure the lower goes first."""
+    """Ordered: under load the lower goes first."""
 
     # In the ring of every node it touches, until that turns.
     NOT = 0
--- a/marblefold/tracing/exporter.py
+++ b/marblefold/tracing/exporter.py
@@ -7,8 +7,9 @@
 import asyncio
 import time
 import zlib
+from collections.abc import Callable, Collection
 from datetime import timedelta
-from typing import Callable, Collection, NamedTuple
+from typing import NamedTuple
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.tracing.recorder import Batch, Recorder
@@ -30,17 +31,23 @@
 
 def rank_collectors(trace_id: bytes, registries: Collection[str]) -> list[str]:
     """The registries by how near the trace falls to them; alike on all nodes."""
-    return sorted(registries, key=lambda registry: (
-        zlib.crc32(trace_id + registry.encode()), registry))
+    return sorted(
+        registries, key=lambda registry: (zlib.crc32(trace_id + registry.encode()), registry)
+    )
 
 
 class Exporter:
     """Owns the way out of the recorder."""
 
     def __init__(
-        self, recorder: Recorder, node: str, zone: str, address: str,
+        self,
+        recorder: Recorder,
+        node: str,
+        zone: str,
+        address: str,
         registries: Callable[[], Collection[str]],
-        send: Callable[[str, object], bool], config: ExporterConfig = ExporterConfig(),
+        send: Callable[[str, object], bool],
+        config: ExporterConfig = ExporterConfig(),
     ) -> None:
         self._recorder = recorder
         self._node = node
@@ -63,7 +70,8 @@
     def export(self, epoch_offset: float) -> None:
         """Sends what is due to whoever takes it."""
         batch = self._recorder.take_batch(
-            int(self._config.spans * self._config.every.total_seconds()))
+            int(self._config.spans * self._config.every.total_seconds())
+        )
         if not batch.spans and not batch.shed:
             return
         registries = self._registries()
@@ -72,8 +80,11 @@
         def part(registry: str) -> kinds.SpanBatch:
             if registry not in parts:
                 parts[registry] = kinds.SpanBatch(
-                    node=self._node, zone=self._zone, address=self._address,
-                    lost=self._recorder.lost)
+                    node=self._node,
+                    zone=self._zone,
+                    address=self._address,
+                    lost=self._recorder.lost,
+                )
             return parts[registry]
 
         for span in batch.spans:
@@ -84,15 +95,18 @@
             # All must know, for a span may have gone to any of them before.
             for registry in registries:
                 part(registry).shed.append(trace_id)
-        taken = {registry for registry, message in parts.items()
-                 if self._send(registry, _compress(message))}
+        taken = {
+            registry
+            for registry, message in parts.items()
+            if self._send(registry, _compress(message))
+        }
         self._give_back(batch, taken, registries)
 
     def _give_back(self, batch: Batch, taken: set[str], registries: Collection[str]) -> None:
         """What not one registry took waits for the next time."""
         untaken = [
-            span for span in batch.spans
-            if not taken & set(_find_collectors(span, registries))]
+            span for span in batch.spans if not taken & set(_find_collectors(span, registries))
+        ]
         shed = batch.shed if not taken else []
         if untaken or shed:
             self._recorder.give_back(Batch(untaken, shed))
@@ -102,7 +116,8 @@
     """Spans are much alike, and links that carry requests are narrow."""
     if message.spans:
         message.compressed_spans = zlib.compress(
-            kinds.SpanBatch(spans=message.spans).SerializeToString(), 6)
+            kinds.SpanBatch(spans=message.spans).SerializeToString(), 6
+        )
         del message.spans[:]
     return message
 
--- a/marblefold/tracing/node_tracing.py
+++ b/marblefold/tracing/node_tracing.py
@@ -3,17 +3,17 @@
 import asyncio
 from datetime import timedelta
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.messages import kinds, pack_message
+from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.node_config.reading import NodeConfig
+from marblefold.program_flags import TraceOptions
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.exporter import Exporter, ExporterConfig
 from marblefold.tracing.recorder import Recorder, RecorderConfig
-from marblefold.program_flags import TraceOptions
 from marblefold.tracing.tracer import Tracer, TraceSettings
 
 __all__ = ["NodeTracing"]
@@ -28,8 +28,14 @@
     """Recorder, tracer and exporter of one proxy, and the marks between proxies."""
 
     def __init__(
-        self, options: TraceOptions, config: NodeConfig, address: str, view: MeshView,
-        follower: RegistryFollower, tasks: TaskKeeper, peers: PeerBook | None = None,
+        self,
+        options: TraceOptions,
+        config: NodeConfig,
+        address: str,
+        view: MeshView,
+        follower: RegistryFollower,
+        tasks: TaskKeeper,
+        peers: PeerBook | None = None,
     ) -> None:
         self._peers = peers
         self._tasks = tasks
@@ -37,12 +43,20 @@
         # What waits for longer than this has been overtaken by what came after.
         outbox = options.spans_per_second * _OUTBOX_SECONDS
         self.recorder = Recorder(RecorderConfig(options.ring, outbox), self._on_mark)
-        self.tracer = Tracer(self.recorder, TraceSettings(
-            options.sample_rate, options.kept_per_second, config.trace_key.encode()), address)
+        self.tracer = Tracer(
+            self.recorder,
+            TraceSettings(options.sample_rate, options.kept_per_second, config.trace_key.encode()),
+            address,
+        )
         self._exporter = Exporter(
-            self.recorder, config.node_name, config.zone, address,
-            lambda: view.registries, follower.send_to,
-            ExporterConfig(spans=options.spans_per_second))
+            self.recorder,
+            config.node_name,
+            config.zone,
+            address,
+            lambda: view.registries,
+            follower.send_to,
+            ExporterConfig(spans=options.spans_per_second),
+        )
 
     async def run(self) -> None:
         """Exports, for ever."""
@@ -71,10 +85,10 @@
         payload = pack_message(kinds.TraceMark(trace_id=trace_id))
         for _ in range(_MARK_TRIES):
             try:
-                stream = await self._peers.reach(peer)
-            except Breakdown:
+                connection = await self._peers.reach(peer)
+            except MeshError:
                 # It may be dark: its part is then shown as missing.
                 await asyncio.sleep(_MARK_PAUSE.total_seconds())
                 continue
-            stream.send(FrameKind.TELL, 0, payload)
+            connection.send(FrameKind.TELL, 0, payload)
             return
--- a/marblefold/tracing/recorder.py
+++ b/marblefold/tracing/recorder.py
@@ -5,7 +5,8 @@
 """
 
 from collections import deque
-from typing import Callable, NamedTuple
+from collections.abc import Callable
+from typing import NamedTuple
 
 from marblefold.tracing.context import Keep, shed_order
 from marblefold.tracing.span import Span
@@ -34,7 +35,8 @@
     """The spans of one node, by one function for every change of state."""
 
     def __init__(
-        self, config: RecorderConfig = RecorderConfig(),
+        self,
+        config: RecorderConfig = RecorderConfig(),
         on_mark: Callable[[bytes, list[str]], None] = lambda trace_id, peers: None,
     ) -> None:
         # Spans that could not be kept whole with their trace, for people.
@@ -108,8 +110,7 @@
     def take_batch(self, most: int) -> Batch:
         """The dearest first, at most so many spans."""
         picked: list[Span] = []
-        for trace_id in sorted(
-                self._outbox, key=lambda key: self._order(key), reverse=True):
+        for trace_id in sorted(self._outbox, key=lambda key: self._order(key), reverse=True):
             if picked and len(picked) + len(self._outbox[trace_id]) > most:
                 break
             picked.extend(self._outbox.pop(trace_id))
--- a/marblefold/tracing/showing.py
+++ b/marblefold/tracing/showing.py
@@ -1,7 +1,7 @@
 """Shows traces: as text for people, as JSON and as OTLP for programs."""
 
 import json
-from typing import Iterator
+from collections.abc import Iterator
 
 from marblefold.request_path.outcome import HopOutcome
 from marblefold.tracing.assembling import Step, Trace
@@ -26,8 +26,12 @@
 def to_json(trace: Trace) -> dict:
     """The trace as one object."""
     return {
-        "trace": trace.trace_id, "whole": trace.is_whole, "shed": trace.is_shed,
-        "missing": list(trace.missing), "roots": [_to_object(root) for root in trace.roots]}
+        "trace": trace.trace_id,
+        "whole": trace.is_whole,
+        "shed": trace.is_shed,
+        "missing": list(trace.missing),
+        "roots": [_to_object(root) for root in trace.roots],
+    }
 
 
 def to_otlp(traces: list[Trace]) -> str:
@@ -40,25 +44,33 @@
     scopes: dict[str, object] = {}
 
     def attribute(key: str, value: object) -> KeyValue:
-        kept = AnyValue(int_value=value) if isinstance(value, int) else AnyValue(
-            string_value=str(value))
+        kept = (
+            AnyValue(int_value=value)
+            if isinstance(value, int)
+            else AnyValue(string_value=str(value))
+        )
         return KeyValue(key=key, value=kept)
 
     def add(step: Step) -> None:
         row = step.row
         if row["node"] not in scopes:
             resource = data.resource_spans.add()
-            resource.resource.attributes.extend([
-                attribute("service.name", "marblefold"),
-                attribute("service.instance.id", row["node"]),
-                attribute("cloud.availability_zone", row["zone"])])
+            resource.resource.attributes.extend(
+                [
+                    attribute("service.name", "marblefold"),
+                    attribute("service.instance.id", row["node"]),
+                    attribute("cloud.availability_zone", row["zone"]),
+                ]
+            )
             scopes[row["node"]] = resource.scope_spans.add()
         span = scopes[row["node"]].spans.add(
-            trace_id=bytes.fromhex(row["trace_id"]), span_id=bytes.fromhex(row["span_id"]),
-            name=f"{SpanKind(row['kind']).name.lower()} {row['mapping'] or row['upstream']}",
+            trace_id=bytes.fromhex(row["trace_id"]),
+            span_id=bytes.fromhex(row["span_id"]),
+            name=f"{SpanKind(row['kind']).name.lower()} {row['route'] or row['upstream']}",
             kind={SpanKind.HOP: 3}.get(row["kind"], 2),
             start_time_unix_nano=row["start_us"] * 1000,
-            end_time_unix_nano=(row["start_us"] + row["duration_us"]) * 1000)
+            end_time_unix_nano=(row["start_us"] + row["duration_us"]) * 1000,
+        )
         if row["parent"].strip("0"):
             span.parent_span_id = bytes.fromhex(row["parent"])
         if row["outcome"] != HopOutcome.ANSWERED or row["status"] >= 500:
@@ -66,8 +78,17 @@
             span.status.message = row["step"]
         span.attributes.extend(
             attribute(f"marblefold.{name}", row[name])
-            for name in ("attempt_id", "target", "attempt", "outcome", "step", "queued_us",
-                         "body_bytes", "digest"))
+            for name in (
+                "attempt_id",
+                "target",
+                "attempt",
+                "outcome",
+                "step",
+                "queued_us",
+                "body_bytes",
+                "digest",
+            )
+        )
         if row["status"]:
             span.attributes.append(attribute("http.response.status_code", row["status"]))
         for child in step.children:
@@ -97,13 +118,18 @@
     row = step.row
     outcome = HopOutcome(row["outcome"]).name.lower() if row["outcome"] else "under way"
     what = {
-        SpanKind.REQUEST: f"request {row['attempt_id']} {row['mapping']}",
+        SpanKind.REQUEST: f"request {row['attempt_id']} {row['route']}",
         SpanKind.HOP: f"hop {row['attempt']} to {row['target']}",
         SpanKind.SERVE: f"served by {row['target']}",
     }[SpanKind(row["kind"])]
     parts = [
-        f"{(row['start_us'] - origin_us) / 1000:+.1f} ms", what, f"at {row['node']}",
-        f"zone {row['zone']}", f"{row['duration_us'] / 1000:.1f} ms", outcome]
+        f"{(row['start_us'] - origin_us) / 1000:+.1f} ms",
+        what,
+        f"at {row['node']}",
+        f"zone {row['zone']}",
+        f"{row['duration_us'] / 1000:.1f} ms",
+        outcome,
+    ]
     if row["status"]:
         parts.append(f"status {row['status']}")
     if row["step"]:
@@ -122,5 +148,8 @@
 
 
 def _to_object(step: Step) -> dict:
-    return {**step.row, "skew-us": step.skew_us,
-            "children": [_to_object(child) for child in step.children]}
+    return {
+        **step.row,
+        "skew-us": step.skew_us,
+        "children": [_to_object(child) for child in step.children],
+    }
--- a/marblefold/tracing/starting.py
+++ b/marblefold/tracing/starting.py
@@ -11,8 +11,12 @@
 
 
 def start_tracing(
-    config: NodeConfig, address: str, view: MeshView, follower: RegistryFollower,
-    tasks: TaskKeeper, peers: PeerBook | None = None,
+    config: NodeConfig,
+    address: str,
+    view: MeshView,
+    follower: RegistryFollower,
+    tasks: TaskKeeper,
+    peers: PeerBook | None = None,
 ):
     """The parts of tracing, or None; a program without it imports none of them."""
     options = read_trace_options()
--- a/marblefold/tracing/tracer.py
+++ b/marblefold/tracing/tracer.py
@@ -10,11 +10,16 @@
 from typing import NamedTuple
 
 from marblefold import wire_names
-from marblefold.http_streams.heads import find_header
-from marblefold.operator_spec.rows import Mapping
+from marblefold.configuration.rows import Route
+from marblefold.http_connections.heads import find_header
 from marblefold.request_path.outcome import HopOutcome, HopResult
 from marblefold.tracing.context import (
-    Keep, TraceContext, format_traceparent, keep_of, parse_traceparent)
+    Keep,
+    TraceContext,
+    format_traceparent,
+    keep_of,
+    parse_traceparent,
+)
 from marblefold.tracing.recorder import Recorder
 from marblefold.tracing.span import Span, SpanKind
 
@@ -39,7 +44,10 @@
     """What executor and guard tell of their steps."""
 
     def __init__(
-        self, recorder: Recorder, settings: TraceSettings, own_address: str,
+        self,
+        recorder: Recorder,
+        settings: TraceSettings,
+        own_address: str,
         seed: int | None = None,
     ) -> None:
         self.recorder = recorder
@@ -51,16 +59,22 @@
         self._tries: dict[bytes, Span] = {}
 
     def begin_request(
-        self, request, mapping: Mapping, upstream: str, run_span: Span | None, caller: str,
-        body: bytes, is_whole: bool,
+        self,
+        request,
+        route: Route,
+        upstream: str,
+        run_span: Span | None,
+        caller: str,
+        body: bytes,
+        is_whole: bool,
     ) -> Span:
-        """A downstream, or the target in the midst of a run, sent a request."""
-        context, is_inferred = self._find_context(request, mapping, run_span)
+        """A client, or the target in the midst of a run, sent a request."""
+        context, is_inferred = self._find_context(request, route, run_span)
         span = self._make(context, SpanKind.REQUEST, request.attempt_id, upstream, request.arrived)
-        span.mapping, span.is_inferred = mapping.name, is_inferred
+        span.route, span.is_inferred = route.name, is_inferred
         span.body_bytes = len(body)
-        if mapping.kind != wire_names.READ_ONLY and is_whole:
-            span.digest = self._digest(caller, mapping.name, request.path, body)
+        if route.kind != wire_names.READ_ONLY and is_whole:
+            span.digest = self._digest(caller, route.name, request.path, body)
         return self.recorder.begin(span)
 
     def finish_request(self, span: Span, status: int, step: str, may_have_run: bool) -> None:
@@ -75,8 +89,9 @@
     def begin_hop(self, span: Span, head, instance: str, peer: str, attempt: int) -> Span:
         """The request is offered to a target; the head takes the trace along."""
         hop = self._make(
-            span.context, SpanKind.HOP, span.attempt_id, span.upstream, time.monotonic())
-        hop.mapping, hop.target, hop.peer, hop.attempt = span.mapping, instance, peer, attempt
+            span.context, SpanKind.HOP, span.attempt_id, span.upstream, time.monotonic()
+        )
+        hop.route, hop.target, hop.peer, hop.attempt = span.route, instance, peer, attempt
         self.recorder.begin(hop)
         head.trace_id, head.parent_span, head.trace_keep = hop.trace_id, hop.span_id, hop.keep
         head.trace_peer = self.own_address
@@ -95,10 +110,12 @@
     def begin_serve(self, head) -> Span:
         """A hop has come to the guard."""
         context = TraceContext(head.trace_id, head.parent_span, Keep(min(head.trace_keep, 4)))
-        span = self._make(
-            context, SpanKind.SERVE, head.attempt_id, head.upstream, time.monotonic())
+        span = self._make(context, SpanKind.SERVE, head.attempt_id, head.upstream, time.monotonic())
         span.target, span.peer, span.attempt = (
-            head.expected_instance, head.trace_peer, head.attempt_number)
+            head.expected_instance,
+            head.trace_peer,
+            head.attempt_number,
+        )
         if _TRACEPARENT in head.header_block.lower():
             head.header_block = _replace_traceparent(head.header_block, span.context)
         return self.recorder.begin(span)
@@ -113,13 +130,21 @@
         self.recorder.finish(span, time.monotonic())
 
     def _make(
-        self, context: TraceContext, kind: SpanKind, attempt_id: str, upstream: str, now: float,
+        self,
+        context: TraceContext,
+        kind: SpanKind,
+        attempt_id: str,
+        upstream: str,
+        now: float,
     ) -> Span:
         span_id = self._random.getrandbits(64).to_bytes(8, "big")
         return Span(context, span_id, kind, attempt_id, upstream, now)
 
     def _find_context(
-        self, request, mapping: Mapping, run_span: Span | None,
+        self,
+        request,
+        route: Route,
+        run_span: Span | None,
     ) -> tuple[TraceContext, bool]:
         """The trace that a request belongs to, and whether that was inferred."""
         told = find_header(request.headers, _TRACEPARENT)
@@ -129,18 +154,18 @@
             run = self.recorder.find_open(parent)
             if run is not None and run.trace_id == trace_id:
                 return run.context, False
-            keep = max(self._first_keep(mapping, trace_id),
-                       Keep.SAMPLE if is_sampled else Keep.NOT)
+            keep = max(self._first_keep(route, trace_id), Keep.SAMPLE if is_sampled else Keep.NOT)
             return TraceContext(trace_id, parent, self._afford(keep)), False
         if run_span is not None:
             return run_span.context, True
         trace_id = self._random.getrandbits(128).to_bytes(16, "big")
-        keep = self._afford(self._first_keep(mapping, trace_id))
+        keep = self._afford(self._first_keep(route, trace_id))
         return TraceContext(trace_id, _NO_SPAN, keep), False
 
-    def _first_keep(self, mapping: Mapping, trace_id: bytes) -> Keep:
+    def _first_keep(self, route: Route, trace_id: bytes) -> Keep:
         keep = {wire_names.MUTATING: Keep.ORDER, wire_names.UPLOAD: Keep.UPLOAD}.get(
-            mapping.kind, Keep.SAMPLE)
+            route.kind, Keep.SAMPLE
+        )
         return keep_of(trace_id, keep, self._settings.sample_rate)
 
     def _afford(self, keep: Keep) -> Keep:
@@ -149,8 +174,7 @@
             return keep
         now = time.monotonic()
         rate = self._settings.kept_per_second
-        self._tokens = min(
-            rate * _BURST_SECONDS, self._tokens + rate * (now - self._refilled))
+        self._tokens = min(rate * _BURST_SECONDS, self._tokens + rate * (now - self._refilled))
         self._refilled = now
         if self._tokens < 1.0:
             return Keep.NOT
@@ -178,9 +202,9 @@
         if len(self._tries) > _KEPT_DIGESTS:
             del self._tries[next(iter(self._tries))]
 
-    def _digest(self, caller: str, mapping: str, path: str, body: bytes) -> bytes:
+    def _digest(self, caller: str, route: str, path: str, body: bytes) -> bytes:
         digest = hashlib.blake2b(body, digest_size=8, key=self._settings.digest_key[:64])
-        digest.update(f"|{caller}|{mapping}|".encode())
+        digest.update(f"|{caller}|{route}|".encode())
         if not body:
             # Then only the path says what is ordered.
             digest.update(path.encode("utf-8", "surrogateescape"))
@@ -196,7 +220,10 @@
 
 
 def _replace_traceparent(block: bytes, context: TraceContext) -> bytes:
-    lines = [line for line in block.split(b"\r\n")
-             if line and not line.lower().startswith(_TRACEPARENT + b":")]
+    lines = [
+        line
+        for line in block.split(b"\r\n")
+        if line and not line.lower().startswith(_TRACEPARENT + b":")
+    ]
     lines.append(b"traceparent: " + format_traceparent(context).encode())
     return b"\r\n".join(lines) + b"\r\n"
--- a/marblefold/wire_names.py
+++ b/marblefold/wire_names.py
@@ -1,28 +1,28 @@
 """The names that the mesh meets the outside with.
 
 The one module that repeats deploy/wire.toml: fields of bodies and of the
-config file, words, calls and headers.  Nothing else spells them.
+config file, store_client, calls and headers.  Nothing else spells them.
 """
 
-# Fields of a spec.
-SPEC_NUMBER = "spec-number"
-MAPPING_LIST = "mapping-list"
-UPSTREAM_LIST = "upstream-list"
+# Fields of a configuration.
+CONFIG_VERSION = "config-version"
+ROUTE_LIST = "route-list"
+SERVICE_LIST = "service-list"
 LIMITS = "limits"
 NAME = "name"
 HOST_NAME = "host-name"
 PATH_PREFIX = "path-prefix"
-MAPPING_KIND = "mapping-kind"
-TIME_LIMIT_MS = "time-limit-ms"
+ROUTE_TYPE = "route-type"
+TIMEOUT_MS = "timeout-ms"
 TARGET_LATENCY_MS = "target-latency-ms"
 PRIORITY = "priority"
 UPSTREAM = "upstream"
-UPSTREAM_SPLIT = "upstream-split"
+WEIGHTED_TARGETS = "weighted-targets"
 WEIGHT = "weight"
-ATTEMPT_LIMIT = "attempt-limit"
-HOME_REGIONS = "home-regions"
+MAX_ATTEMPTS = "max-attempts"
+ALLOWED_REGIONS = "allowed-regions"
 HEALTH_CHECK_PATH = "health-check-path"
-STREAM_LIMIT = "stream-limit"
+MAX_CONNECTIONS = "max-connections"
 COLD_START_S = "cold-start-s"
 COLDSTART_PER_S = "coldstart-per-s"
 MAX_HEADER_BYTES = "max-header-bytes"
@@ -30,7 +30,7 @@
 HEADER_TIMEOUT_MS = "header-timeout-ms"
 IDLE_TIMEOUT_MS = "idle-timeout-ms"
 
-# Words of a spec.
+# RegisterClient of a configuration.
 READ_ONLY = "read_only"
 MUTATING = "mutating"
 UPLOAD = "upload"
@@ -41,7 +41,7 @@
 CAPACITY_SLOTS = "capacity-slots"
 STATE = "state"
 COLD_REMAINING_MS = "cold-remaining-ms"
-BEAT_NUMBER = "beat-number"
+CALL_SEQUENCE = "call-sequence"
 READY = "ready"
 DRAINING = "draining"
 
@@ -56,7 +56,7 @@
 # Calls.
 READINESS_CALL = ("GET", "/-/readiness")
 INSTANCES_CALL = ("GET", "/instances")
-SPEC_PATH = "/mesh/spec"
+CONFIGURATION_PATH = "/mesh/configuration"
 TARGET_PATH = "/mesh/targets/{}"
 EVACUATION_PATH = "/mesh/evacuations/{}"
 STATE_PATH = "/mesh/state"
--- a/tests/region_document.py
+++ b/tests/region_document.py
@@ -7,29 +7,59 @@
 
 def make_document(per_zone=4, slots=4, homes=None, cold=False, owner=None, gone=(), rates=None):
     """A snapshot's document, but for the traffic, which nodes count."""
-    mappings = [
-        {"name": "look", "mapping-kind": "read_only", "upstream": "quotes", "time-limit-ms": 4000},
-        {"name": "book", "mapping-kind": "mutating", "upstream": "orders", "time-limit-ms": 5000}]
-    for mapping in mappings:
-        mapping.update({"host-name": "shop", "path-prefix": f"/{mapping['name']}/",
-                        "target-latency-ms": 1200, "attempt-limit": 2})
-        if homes and mapping["name"] in homes:
-            mapping["home-regions"] = homes[mapping["name"]]
+    routes = [
+        {"name": "look", "route-type": "read_only", "upstream": "quotes", "timeout-ms": 4000},
+        {"name": "book", "route-type": "mutating", "upstream": "orders", "timeout-ms": 5000},
+    ]
+    for route in routes:
+        route.update(
+            {
+                "host-name": "shop",
+                "path-prefix": f"/{route['name']}/",
+                "target-latency-ms": 1200,
+                "max-attempts": 2,
+            }
+        )
+        if homes and route["name"] in homes:
+            route["allowed-regions"] = homes[route["name"]]
     targets = [
-        {"instance": f"i-{zone}-{upstream}-{number}", "node": f"{zone}-{upstream}-{number}",
-         "upstream": upstream, "zone": zone, "region": region, "capacity-slots": slots,
-         "state": "ready", "cold": cold and zone == "b1",
-         "site": "north" if owner else "", "site-agent": owner or ""}
-        for zone, region in ZONES.items() if zone not in gone
-        for upstream in SERVICE for number in range(per_zone)]
+        {
+            "instance": f"i-{zone}-{upstream}-{number}",
+            "node": f"{zone}-{upstream}-{number}",
+            "upstream": upstream,
+            "zone": zone,
+            "region": region,
+            "capacity-slots": slots,
+            "state": "ready",
+            "cold": cold and zone == "b1",
+            "site": "north" if owner else "",
+            "site-agent": owner or "",
+        }
+        for zone, region in ZONES.items()
+        if zone not in gone
+        for upstream in SERVICE
+        for number in range(per_zone)
+    ]
     return {
-        "format": "marblefold-snapshot", "version": 1, "taken-at": "2026-12-02T00:00:00+00:00",
-        "spec": {"spec-number": 3, "mapping-list": mappings, "limits": {},
-                 "upstream-list": [{"name": name, "health-check-path": "/h",
-                                    "coldstart-per-s": 4.0} for name in SERVICE]},
-        "state": {"targets": targets, "evacuated": [], "members": []}, "zones": dict(ZONES),
-        "origins": {row["node"]: row["zone"] for row in targets}, "service-seconds": SERVICE,
-        "nodes": len(targets), "nodes-heard": len(targets),
+        "format": "marblefold-snapshot",
+        "version": 1,
+        "taken-at": "2026-12-02T00:00:00+00:00",
+        "configuration": {
+            "config-version": 3,
+            "route-list": routes,
+            "limits": {},
+            "service-list": [
+                {"name": name, "health-check-path": "/h", "coldstart-per-s": 4.0}
+                for name in SERVICE
+            ],
+        },
+        "state": {"targets": targets, "evacuated": [], "members": []},
+        "zones": dict(ZONES),
+        "origins": {row["node"]: row["zone"] for row in targets},
+        "service-seconds": SERVICE,
+        "nodes": len(targets),
+        "nodes-heard": len(targets),
         "registries": {f"{zone}:1": zone for zone in ZONES},
         "owners": {"orders": {"site": "north", "agent": owner}} if owner else {},
-        "retry-budget": {"ratio": 0.2, "window-s": 10, "slack": 60}}
+        "retry-budget": {"ratio": 0.2, "window-s": 10, "slack": 60},
+    }
--- a/tests/simulated_terms.py
+++ b/tests/simulated_leases.py
@@ -2,26 +2,45 @@
 
 import types
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.gateway.partner_hops import PartnerHops
 from marblefold.inner_protocol.messages import kinds
+from marblefold.leases.granting import LeaseGranter
 from marblefold.partners.document import Document
 from marblefold.partners.duty import ENFORCED_AFTER, PartnerDuty
 from marblefold.partners.merging import merge
-from marblefold.proxy.term_asker import TermAsker
+from marblefold.proxy.lease_client import LeaseClient
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.terms.granting import TermGranter
 
 HOST = "dealer"
 
 
 def make_document(prefixes):
-    return Document({"dealer": {
-        "number": 1, "hosts": [HOST], "address": "10.0.0.1:80", "credential": "",
-        "lapse-after-s": 1e6, "withdrawn": False, "lapsed": False, "reads": 1,
-        "exports-number": 1, "exports": [
-            {"host": HOST, "prefix": prefix, "kind": "read_only", "time-limit-ms": 1000,
-             "latency-ms": 100} for prefix in sorted(prefixes)]}}).pack()
+    return Document(
+        {
+            "dealer": {
+                "number": 1,
+                "hosts": [HOST],
+                "address": "10.0.0.1:80",
+                "credential": "",
+                "lapse-after-s": 1e6,
+                "withdrawn": False,
+                "lapsed": False,
+                "reads": 1,
+                "exports-number": 1,
+                "exports": [
+                    {
+                        "host": HOST,
+                        "prefix": prefix,
+                        "kind": "read_only",
+                        "timeout-ms": 1000,
+                        "latency-ms": 100,
+                    }
+                    for prefix in sorted(prefixes)
+                ],
+            }
+        }
+    ).pack()
 
 
 class World:
@@ -54,8 +73,11 @@
         self.carried += 1
         # Allowed is what some word allows that is not older than the newest
         # one acknowledged as enforced.
-        if not any(prefix in prefixes for number, prefixes in self.history.items()
-                   if number >= self.acknowledged):
+        if not any(
+            prefix in prefixes
+            for number, prefixes in self.history.items()
+            if number >= self.acknowledged
+        ):
             self.forbidden_carried += 1
 
 
@@ -70,11 +92,11 @@
     def restart(self):
         self.drop_read()
         self.duty = PartnerDuty(self, lambda: False, clock=lambda: self.world.now * self.rate)
-        self.granter = TermGranter(self.duty)
+        self.granter = LeaseGranter(self.duty)
 
     async def ask(self, kind, register, number=0, value=b""):
         if self.is_cut:
-            raise Breakdown(kind, "cut off")
+            raise MeshError(kind, "cut off")
         seen = types.SimpleNamespace(number=self.world.number, value=self.world.value)
         await _Pause()
         return seen
@@ -96,7 +118,7 @@
     def _resume(self):
         try:
             self.reading.send(None)
-        except (StopIteration, Breakdown):
+        except (StopIteration, MeshError):
             self.reading = None
 
 
@@ -106,7 +128,7 @@
 
 
 class SimulatedNode:
-    """The real view, terms and far end of one node."""
+    """The real view, leases and far end of one node."""
 
     def __init__(self, world, rate):
         self.world, self.rate = world, rate
@@ -114,7 +136,7 @@
 
     def restart(self):
         self.view = MeshView("node")
-        self.asker = TermAsker("node", self.view)
+        self.asker = LeaseClient("node", self.view)
         self.hops = PartnerHops(None, None, self.view)
         self.entered = []
 
@@ -130,8 +152,8 @@
 
     def enter(self, prefix):
         request = types.SimpleNamespace(host=HOST, path=prefix + "x")
-        mapping = self.view.find_partner_mapping(request.host, request.path, self.clock)
-        if mapping is not None:
+        route = self.view.find_partner_route(request.host, request.path, self.clock)
+        if route is not None:
             self.entered.append((prefix, request))
 
     def leave(self):
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -1,6 +1,6 @@
 """A mesh in several regions on a simulated clock, to darken for real.
 
-Executors, decisions, nomination, breakers, budgets and slot queues are the
+Executors, decisions, target_selection, breakers, budgets and slot queues are the
 programs' own, one set a node, driven by an event loop whose time is simulated.
 """
 
@@ -10,11 +10,12 @@
 import time
 from types import SimpleNamespace
 
-from marblefold.http_streams.answer import Answer
+from marblefold.configuration.route_table import RouteTable
+from marblefold.http_connections.answer import Answer
 from marblefold.inner_protocol.messages import kinds
+from marblefold.leases.held_leases import LEASE_SECONDS
 from marblefold.node_config.model import Limits
-from marblefold.operator_spec.mapping_table import MappingTable
-from marblefold.planner.facts import read_spec_rows
+from marblefold.planner.facts import read_configuration_rows
 from marblefold.registry.snapshot_parts import describe_flows
 from marblefold.registry.traffic_book import TrafficBook
 from marblefold.rehearsal.origins import _make_bounds
@@ -23,17 +24,16 @@
 from marblefold.request_path.cold_limit import ColdLimit
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.mesh_view import KnownOwner, MeshView
-from marblefold.request_path.nomination import Nominator
-from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult, Pressure
+from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult, TargetLoad
 from marblefold.request_path.running_work import RunningWork
 from marblefold.request_path.slot_queue import SlotQueue, Turn
 from marblefold.request_path.surroundings import Surroundings
-from marblefold.terms.held_terms import TERM_SECONDS
+from marblefold.request_path.target_selection import TargetSelector
 from tests.region_document import SERVICE, ZONES
 
 
 class _Request(SimpleNamespace):
-    """What an executor asks of a downstream's request."""
+    """What an executor asks of a client's request."""
 
     method, host, headers, body_length = "POST", "shop", (), 0
     has_body = is_upgrade = False
@@ -57,7 +57,7 @@
         self.document, self.rate, self.seed = document, rate, seed
         self.chance = random.Random(seed)
         self.dark, self.lapsed, self.tasks, self.endings = set(), set(), set(), []
-        self.rows = read_spec_rows(json.dumps(document["spec"]).encode())
+        self.rows = read_configuration_rows(json.dumps(document["configuration"]).encode())
         self.targets = {row["node"]: row for row in document["state"]["targets"]}
         self.book = TrafficBook()
         self.number = 0
@@ -69,34 +69,55 @@
         self.nodes = {}
         for number, (node, zone) in enumerate(self.document["origins"].items()):
             view = MeshView(node)
-            view.table = MappingTable(self.rows)
+            view.table = RouteTable(self.rows)
             view.proxies = len(self.targets)
             for name, row in self.document["owners"].items():
                 view.owners[name] = KnownOwner(row["site"], row["agent"], 1)
             for row in self.targets.values():
                 view.take(self.entry(row))
             surroundings = Surroundings(
-                view, Nominator(view, zone, seed=number), _make_bounds(snapshot),
-                Limits(1e6, 1_000_000))
-            self.nodes[node] = SimpleNamespace(
-                zone=zone, view=view, surroundings=surroundings)
+                view,
+                TargetSelector(view, zone, seed=number),
+                _make_bounds(snapshot),
+                Limits(1e6, 1_000_000),
+            )
+            self.nodes[node] = SimpleNamespace(zone=zone, view=view, surroundings=surroundings)
             self.nodes[node].executor = RequestExecutor(
-                surroundings, SimulatedHops(self, self.nodes[node]), RunningWork(), "shop")
+                surroundings, SimulatedHops(self, self.nodes[node]), RunningWork(), "shop"
+            )
 
     def entry(self, row):
         if row["cold"]:
             self.colds[row["node"]].cold_until = time.monotonic() + 3.0
-        return kinds.Entry(kind="target", key=row["node"], life=1, number=1, value=kinds.TargetNotice(
-            node=row["node"], address=row["node"], zone=row["zone"], region=row["region"],
-            instance=row["instance"], upstream=row["upstream"], slots=row["capacity-slots"],
-            state="ready", cold_left_ms=3000 if row["cold"] else 0, site=row["site"],
-            site_agent=row["site-agent"]).SerializeToString())
+        return kinds.Entry(
+            kind="target",
+            key=row["node"],
+            life=1,
+            number=1,
+            value=kinds.TargetNotice(
+                node=row["node"],
+                address=row["node"],
+                zone=row["zone"],
+                region=row["region"],
+                instance=row["instance"],
+                upstream=row["upstream"],
+                slots=row["capacity-slots"],
+                state="ready",
+                cold_left_ms=3000 if row["cold"] else 0,
+                site=row["site"],
+                site_agent=row["site-agent"],
+            ).SerializeToString(),
+        )
 
     async def run(self, lost, warm=6.0, after=6.0):
         """Traffic, a loss in its midst, traffic; when it was lost."""
         self.start()
-        flows = [asyncio.create_task(self.clients(name, zone))
-                 for name in ("look", "book") for zone in ZONES if self.origins_in(zone)]
+        flows = [
+            asyncio.create_task(self.clients(name, zone))
+            for name in ("look", "book")
+            for zone in ZONES
+            if self.origins_in(zone)
+        ]
         await asyncio.sleep(warm / 9)
         self.tell()
         await asyncio.sleep(warm * 8 / 9)
@@ -120,12 +141,13 @@
         loop.call_later(detection_seconds(len(self.nodes)), self.suspect)
         for name, row in self.document["owners"].items():
             if self.document["registries"][row["agent"]] in lost:
-                loop.call_later(TERM_SECONDS, self.lapsed.add, name)
+                loop.call_later(LEASE_SECONDS, self.lapsed.add, name)
 
     def suspect(self):
         for node in self.nodes.values():
             node.view.suspects.update(
-                name for name, row in self.targets.items() if row["zone"] in self.dark)
+                name for name, row in self.targets.items() if row["zone"] in self.dark
+            )
 
     def tell(self):
         for name, node in self.nodes.items():
@@ -163,9 +185,15 @@
             status = (await node.executor.serve(request)).status
         finally:
             was_dark = any(row["zone"] in self.dark for row in request.offered)
-            self.endings.append(SimpleNamespace(
-                mapping=name, arrived=arrived, status=status, was_dark=was_dark,
-                zone=request.reached))
+            self.endings.append(
+                SimpleNamespace(
+                    route=name,
+                    arrived=arrived,
+                    status=status,
+                    was_dark=was_dark,
+                    zone=request.reached,
+                )
+            )
 
 
 class SimulatedHops:
@@ -179,10 +207,13 @@
 
     async def send(self, peer, head, request, _bound, seconds):
         mesh, row = self.mesh, self.mesh.targets[peer]
-        delay = 0.0002 if row["zone"] == self.node.zone else (
-            0.001 if ZONES[row["zone"]] == ZONES[self.node.zone] else 0.012)
+        delay = (
+            0.0002
+            if row["zone"] == self.node.zone
+            else (0.001 if ZONES[row["zone"]] == ZONES[self.node.zone] else 0.012)
+        )
         await asyncio.sleep(delay)
-        is_read = head.mapping_kind == "read_only"
+        is_read = head.route_type == "read_only"
         if row["zone"] in mesh.dark and time.monotonic() > mesh.loss_at + 2.0:
             await asyncio.sleep(0.5)
             return HopResult(HopOutcome.NEVER_OFFERED, step="connect")
@@ -197,10 +228,11 @@
                 wait = 0.45 if is_read else 2.0
                 left = max(0.0, seconds - (time.monotonic() - began))
                 asyncio.get_running_loop().call_later(
-                    0.45, lambda: self.node.surroundings.nominator.note_silent(
-                        peer, time.monotonic()))
+                    0.45,
+                    lambda: self.node.surroundings.selector.note_silent(peer, time.monotonic()),
+                )
                 await asyncio.sleep(min(wait, left))
-                step = "deadline" if left < wait else ("silent" if is_read else "stream")
+                step = "deadline" if left < wait else ("silent" if is_read else "connection")
                 return HopResult(HopOutcome.UNKNOWN, step=step)
         except asyncio.CancelledError:
             request.offered.append(row)
@@ -213,8 +245,13 @@
         mesh, queue = self.mesh, self.mesh.queues[row["node"]]
 
         def refused(step):
-            return HopResult(HopOutcome.NEVER_OFFERED, step=step, retry_after=0.1,
-                             pressure=Pressure(queue.running, queue.waiting, queue.limit))
+            return HopResult(
+                HopOutcome.NEVER_OFFERED,
+                step=step,
+                retry_after=0.1,
+                load=TargetLoad(queue.running, queue.waiting, queue.limit),
+            )
+
         if row["upstream"] in mesh.lapsed:
             return refused("another owner")
         turn = Turn(head.priority, time.monotonic() + head.aim_left_ms / 1000)
@@ -230,5 +267,8 @@
         queue.note_service(seconds)
         request.reached = row["zone"]
         return HopResult(
-            HopOutcome.ANSWERED, Answer(200), pressure=Pressure(
-                queue.running, queue.waiting, queue.limit), service_seconds=seconds)
+            HopOutcome.ANSWERED,
+            Answer(200),
+            load=TargetLoad(queue.running, queue.waiting, queue.limit),
+            service_seconds=seconds,
+        )
--- a/tests/simulated_stores.py
+++ b/tests/simulated_stores.py
@@ -3,9 +3,9 @@
 import asyncio
 
 from marblefold.inner_protocol.messages import kinds
-from marblefold.spec_store.acceptor import Acceptor
-from marblefold.spec_store.peer_calls import answer_call
-from marblefold.spec_store.proposer import Proposer
+from marblefold.register_store.acceptor import Acceptor
+from marblefold.register_store.peer_calls import answer_call
+from marblefold.register_store.proposer import Proposer
 
 SEEDS = ["a:1", "b:1", "c:1"]
 ALL = SEEDS + ["d:1"]
--- a/tests/simulated_tracing.py
+++ b/tests/simulated_tracing.py
@@ -1,8 +1,8 @@
 """Many nodes that trace, without sockets: real tracers, recorders and collectors."""
 
 import random
-from datetime import timedelta
 import time
+from datetime import timedelta
 from types import SimpleNamespace
 
 from marblefold.inner_protocol.messages import kinds
@@ -33,10 +33,15 @@
         self.recorder = Recorder(self.config, self.on_mark)
         self.tracer = Tracer(self.recorder, self.settings, self.name, self.network.chance.random())
         self.exporter = Exporter(
-            self.recorder, self.name, "hall", self.name, lambda: list(self.network.collectors),
+            self.recorder,
+            self.name,
+            "hall",
+            self.name,
+            lambda: list(self.network.collectors),
             self.send,
             # As little at a time as the network says, so that outboxes fill.
-            ExporterConfig(timedelta(seconds=1), self.network.batch))
+            ExporterConfig(timedelta(seconds=1), self.network.batch),
+        )
 
     def on_mark(self, trace_id, peers):
         self.network.marks.extend((peer, trace_id) for peer in peers if peer != self.name)
@@ -45,7 +50,8 @@
         if self.is_dark or registry in self.network.dark_registries:
             return False
         self.network.collectors[registry].take(
-            kinds.SpanBatch.FromString(message.SerializeToString()))
+            kinds.SpanBatch.FromString(message.SerializeToString())
+        )
         return True
 
 
@@ -58,29 +64,32 @@
         self.collectors = {f"registry-{index}": Collector() for index in range(3)}
         self.dark_registries = set()
         self.marks = []
-        self.nodes = {f"n{index}": Node(self, f"n{index}", config, settings)
-                      for index in range(count)}
+        self.nodes = {
+            f"n{index}": Node(self, f"n{index}", config, settings) for index in range(count)
+        }
         # The plain model: the steps that each trace really had, by node.
         self.steps = {}
 
-    def call(self, path, mapping=ORDER, attempt="a", body=b"order", run_span=None, ends="answered",
-             tries=1):
+    def call(
+        self, path, route=ORDER, attempt="a", body=b"order", run_span=None, ends="answered", tries=1
+    ):
         """One request along the nodes of the path, deeper calls within; its root span."""
         origin = self.nodes[path[0]]
         request = SimpleNamespace(
-            headers=(), attempt_id=attempt, arrived=time.monotonic(), path="/x/")
+            headers=(), attempt_id=attempt, arrived=time.monotonic(), path="/x/"
+        )
         span = origin.tracer.begin_request(
-            request, mapping, "orders", run_span, origin.name, body, True)
+            request, route, "orders", run_span, origin.name, body, True
+        )
         self.note(span, origin)
         for number in range(1, tries + 1):
             is_last = number == tries
-            self.hop(origin, span, path[1:], mapping, attempt, number,
-                     ends if is_last else "unknown")
+            self.hop(origin, span, path[1:], route, attempt, number, ends if is_last else "unknown")
         status = {"answered": 200, "unknown": 504, "refused": 503}[ends]
         origin.tracer.finish_request(span, status, ends, ends != "refused")
         return span
 
-    def hop(self, origin, span, path, mapping, attempt, number, ends):
+    def hop(self, origin, span, path, route, attempt, number, ends):
         head = kinds.RequestHead(attempt_id=attempt, attempt_number=number, upstream="orders")
         peer = self.nodes[path[0]]
         hop = origin.tracer.begin_hop(span, head, "i-" + peer.name, peer.name, number)
@@ -91,8 +100,11 @@
         if len(path) > 1:
             # The target calls on: the link is inferred from the running work.
             self.call(path, LOOKUP, attempt + ".1", b"", serve)
-        outcome = {"answered": HopOutcome.ANSWERED, "unknown": HopOutcome.UNKNOWN,
-                   "refused": HopOutcome.NEVER_OFFERED}[ends]
+        outcome = {
+            "answered": HopOutcome.ANSWERED,
+            "unknown": HopOutcome.UNKNOWN,
+            "refused": HopOutcome.NEVER_OFFERED,
+        }[ends]
         peer.tracer.finish_serve(serve, kinds.AnswerHead(outcome=outcome, status=200), 5)
         answer = ANSWER if ends == "answered" else None
         origin.tracer.finish_hop(hop, HopResult(outcome, answer, step="" if answer else ends))
@@ -120,7 +132,8 @@
             rows.extend(_to_row(span) for span in collector.find(trace_id))
             is_shed |= collector.is_shed(trace_id)
         return assemble(trace_id.hex(), rows, is_shed), {
-            (row["node"], bytes.fromhex(row["span_id"])) for row in rows}
+            (row["node"], bytes.fromhex(row["span_id"])) for row in rows
+        }
 
     def check(self):
         """Kept at every node that the trace touched or not kept at all; how many are whole."""
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -21,7 +21,7 @@
     def is_open(self, now):
         if len(self.successes) < CONFIG.trusted_hits or len(self.flying) < CONFIG.least_outstanding:
             return False
-        window = self.successes[-CONFIG.window:]
+        window = self.successes[-CONFIG.window :]
         mean = sum(window) / len(window)
         deviation = math.sqrt(sum((value - mean) ** 2 for value in window) / len(window))
         ages = [(now - started) / weight for started, weight, _ticket in self.flying[1:]]
@@ -61,8 +61,8 @@
     def ask(self):
         # What nobody returns is forgotten after the longest time.
         self.plain.flying = [
-            entry for entry in self.plain.flying
-            if self.now - entry[0] <= CONFIG.longest_seconds]
+            entry for entry in self.plain.flying if self.now - entry[0] <= CONFIG.longest_seconds
+        ]
         expected = self.plain.is_open(self.now)
         was_open = self.breaker.state is BreakerState.OPEN
         passage = self.breaker.ask(self.now)
--- /dev/null
+++ b/tests/test_configuration.py
@@ -0,0 +1,122 @@
+"""Configurations: what is read, what is refused and where, and which route is found."""
+
+import json
+
+import pytest
+from hypothesis import given
+from hypothesis import strategies as st
+
+from marblefold.configuration.laying_out import lay_out
+from marblefold.configuration.reading import InvalidConfiguration, read_configuration
+from marblefold.configuration.route_table import RouteTable
+from marblefold.configuration.rows import read_rows
+
+ROUTE = {
+    "name": "r1",
+    "host-name": "Shop.example",
+    "path-prefix": "/a/",
+    "route-type": "read_only",
+    "timeout-ms": 1500,
+    "target-latency-ms": 400,
+    "priority": 2,
+    "max-attempts": 2,
+    "weighted-targets": [
+        {"upstream": "quotes", "weight": 90},
+        {"upstream": "orders", "weight": 10},
+    ],
+}
+
+
+def make_configuration(**changes):
+    configuration = {
+        "config-version": 7,
+        "route-list": [dict(ROUTE)],
+        "service-list": [
+            {"name": "quotes", "coldstart-per-s": 22.0, "cold-start-s": 3.0, "protocol": "h1"},
+            {"name": "orders"},
+        ],
+        "limits": {"max-header-bytes": 16384},
+    }
+    configuration.update(changes)
+    return json.dumps(configuration).encode()
+
+
+def changed(**fields):
+    route = {**ROUTE, **fields}
+    return make_configuration(
+        **{"route-list": [{name: value for name, value in route.items() if value is not None}]}
+    )
+
+
+def test_a_configuration_is_read_and_survives_being_laid_out():
+    table = RouteTable(read_rows(lay_out(read_configuration(make_configuration()))))
+    route = table.find("shop.example:80", "/a/x?y=/b/")
+    assert (route.name, route.weights) == ("r1", (90.0, 10.0))
+    assert route.time_limit.total_seconds() == 1.5
+    assert table.number == 7 and table.upstreams["quotes"].coldstart_per_s == 22.0
+
+
+@pytest.mark.parametrize(
+    "body, place",
+    [
+        (make_configuration()[:-20], "body"),
+        (b"[]", "body"),
+        (b"[" * 100000, "body"),
+        (make_configuration(**{"config-version": "r7"}), "config-version"),
+        (make_configuration(**{"config-version": None}), "config-version"),
+        (
+            make_configuration(**{"route-list": [ROUTE, {**ROUTE, "name": "r2"}]}),
+            "same host and prefix",
+        ),
+        (changed(**{"timeout-ms": 600001}), "timeout-ms"),
+        (changed(**{"timeout-ms": None}), "timeout-ms"),
+        (changed(**{"max-attempts": 0}), "max-attempts"),
+        (changed(**{"path-prefix": "a/"}), "path-prefix"),
+        (changed(**{"route-type": "odd"}), "route-type"),
+        (changed(**{"weighted-targets": None, "upstream": "nobody"}), "nobody"),
+        (changed(**{"weighted-targets": None}), "upstream"),
+        (changed(**{"weighted-targets": [{"upstream": "quotes", "weight": 0}]}), "weight"),
+        (changed(**{"weighted-targets": [{"upstream": "quotes"}]}), "weight"),
+    ],
+)
+def test_an_invalid_configuration_is_refused_with_the_place_of_each_fault(body, place):
+    with pytest.raises(InvalidConfiguration) as caught:
+        read_configuration(body)
+    assert any(place in fault for fault in caught.value.faults), caught.value.faults
+
+
+def test_all_faults_are_told_at_once():
+    body = make_configuration(
+        **{
+            "route-list": [
+                {**ROUTE, "max-attempts": 0},
+                {**ROUTE, "name": "b", "route-type": "odd"},
+            ]
+        }
+    )
+    with pytest.raises(InvalidConfiguration) as caught:
+        read_configuration(body)
+    assert len(caught.value.faults) == 3
+
+
+PREFIXES = st.lists(st.sampled_from("abc"), max_size=3).map(
+    lambda parts: "/" + "".join(part + "/" for part in parts)
+)
+
+
+@given(
+    prefixes=st.sets(PREFIXES, max_size=6),
+    path=st.lists(st.sampled_from(["a", "b", "c", ""]), max_size=5).map(
+        lambda parts: "/" + "/".join(parts)
+    ),
+    query=st.sampled_from(["", "?", "?x=/a/b/"]),
+)
+def test_the_longest_prefix_is_found(prefixes, path, query):
+    routes = [{**ROUTE, "name": prefix, "path-prefix": prefix} for prefix in prefixes]
+    table = RouteTable(
+        read_rows(lay_out(read_configuration(make_configuration(**{"route-list": routes}))))
+    )
+    fitting = [prefix for prefix in prefixes if path.startswith(prefix)]
+    found = table.find("SHOP.example", path + query)
+    assert (found.name if found else None) == (max(fitting, key=len) if fitting else None)
+    assert table.find("other.example", path) is None
--- a/tests/test_decision.py
+++ b/tests/test_decision.py
@@ -6,34 +6,43 @@
 from hypothesis import strategies as st
 
 from marblefold.circuit_breaker.breaker import Passage
-from marblefold.http_streams.answer import Answer
-from marblefold.operator_spec.rows import Mapping
+from marblefold.configuration.rows import Route
+from marblefold.http_connections.answer import Answer
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
 from marblefold.request_path.mesh_view import KnownTarget
-from marblefold.request_path.nomination import Nominee
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult
 from marblefold.request_path.running_work import Run, RunningWork
+from marblefold.request_path.target_selection import Nominee
 
 PROMISES = (408, 421, 429, 503)
 
 
 def make_target(number):
     return KnownTarget(
-        f"node-{number}", f"10.0.0.{number}:7600", "hall", "here", f"i-{number}", "quotes",
-        4, False, 0.0, False)
+        f"node-{number}",
+        f"10.0.0.{number}:7600",
+        "hall",
+        "here",
+        f"i-{number}",
+        "quotes",
+        4,
+        False,
+        0.0,
+        False,
+    )
 
 
 class Facts:
     """Surroundings with as many targets as are asked for."""
 
     def __init__(self, budget=True, passage=Passage(True, 0.0), targets=50):
-        self.budget, self.passage, self.targets, self.nominated = budget, passage, targets, 0
+        self.budget, self.passage, self.targets, self.selected = budget, passage, targets, 0
 
-    def nominate(self, upstream, tried, homes, kilobytes, now):
-        if self.nominated >= self.targets:
+    def select(self, upstream, tried, homes, kilobytes, now):
+        if self.selected >= self.targets:
             return None
-        self.nominated += 1
-        return Nominee(make_target(self.nominated), False)
+        self.selected += 1
+        return Nominee(make_target(self.selected), False)
 
     def ask_breaker(self, upstream, now):
         return self.passage
@@ -42,11 +51,21 @@
         return self.budget
 
 
-def make_decision(kind, facts, attempt_limit=3, is_replayable=True, is_call=False):
-    mapping = Mapping(
-        "r", "h", "/", kind, timedelta(seconds=2), timedelta(milliseconds=400),
-        attempt_limit, 0, ("quotes",), (1.0,), ())
-    return RequestDecision(mapping, "quotes", "id", 0.0, 2.0, is_replayable, 1.0, is_call, facts)
+def make_decision(kind, facts, max_attempts=3, is_replayable=True, is_call=False):
+    route = Route(
+        "r",
+        "h",
+        "/",
+        kind,
+        timedelta(seconds=2),
+        timedelta(milliseconds=400),
+        max_attempts,
+        0,
+        ("quotes",),
+        (1.0,),
+        (),
+    )
+    return RequestDecision(route, "quotes", "id", 0.0, 2.0, is_replayable, 1.0, is_call, facts)
 
 
 def result(outcome, status=200):
@@ -56,10 +75,14 @@
 
 @given(
     kind=st.sampled_from(["read_only", "mutating", "upload"]),
-    ends=st.lists(st.tuples(
-        st.sampled_from(list(HopOutcome)), st.sampled_from([200, 404, 500]),
-        st.floats(0.0, 0.3)), max_size=12),
-    budget=st.booleans(), replayable=st.booleans(),
+    ends=st.lists(
+        st.tuples(
+            st.sampled_from(list(HopOutcome)), st.sampled_from([200, 404, 500]), st.floats(0.0, 0.3)
+        ),
+        max_size=12,
+    ),
+    budget=st.booleans(),
+    replayable=st.booleans(),
 )
 def test_promises_and_repeats_are_kept(kind, ends, budget, replayable):
     """The plain rules, said again over the whole history of a request."""
@@ -131,7 +154,7 @@
 
 def test_where_all_were_asked_one_of_them_is_waited_at():
     class Two(Facts):
-        def nominate(self, upstream, tried, homes, kilobytes, now):
+        def select(self, upstream, tried, homes, kilobytes, now):
             left = [make_target(n) for n in (1, 2) if f"i-{n}" not in tried]
             return Nominee(left[0], False) if left else None
 
@@ -140,8 +163,9 @@
     assert offer.target in asked and offer.queue_seconds > 0
     # One that turned it away for another reason is not gone back to.
     decision = make_decision("mutating", Two(), is_call=True)
-    decision.note(decision.next_step(0.0).target, HopResult(
-        HopOutcome.NEVER_OFFERED, step="draining"))
+    decision.note(
+        decision.next_step(0.0).target, HopResult(HopOutcome.NEVER_OFFERED, step="draining")
+    )
     asked, offer = ask_until_queued(decision)
     assert [target.node for target in asked] == ["node-2"] and offer.target.node == "node-2"
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -12,7 +12,7 @@
 
 
 class Wire:
-    """A stream that hands each message to a follower, or loses it."""
+    """A connection that hands each message to a follower, or loses it."""
 
     peer = "registry:1"
 
@@ -33,11 +33,14 @@
     return kinds.Entry(kind="evacuation", key=zone, number=number, value=value)
 
 
-EVENTS = st.lists(st.one_of(
-    st.tuples(st.just("put"), st.sampled_from("abc"), st.integers(1, 9), st.booleans()),
-    st.tuples(st.just("lose"), st.just(""), st.just(0), st.booleans()),
-    st.tuples(st.just("restart"), st.just(""), st.just(0), st.booleans()),
-), max_size=40)
+EVENTS = st.lists(
+    st.one_of(
+        st.tuples(st.just("put"), st.sampled_from("abc"), st.integers(1, 9), st.booleans()),
+        st.tuples(st.just("lose"), st.just(""), st.just(0), st.booleans()),
+        st.tuples(st.just("restart"), st.just(""), st.just(0), st.booleans()),
+    ),
+    max_size=40,
+)
 
 
 @given(EVENTS)
@@ -79,8 +82,9 @@
     keeper._push()
     while wire.asked:
         keeper.follow(wire, wire.asked.pop())
-    assert view.evacuated == {
-        zone for zone, entry in newest.items() if entry.value == b"on"} | {"last"}
+    assert view.evacuated == {zone for zone, entry in newest.items() if entry.value == b"on"} | {
+        "last"
+    }
     assert view.proxies == 3 and follower.is_in_touch
 
 
@@ -91,7 +95,7 @@
     assert [entry.number for entry in catalogue.changes_since(7, 2100)] == [2101, 2102]
     assert catalogue.changes_since(7, 2102) == []
     assert catalogue.changes_since(7, 3) is None
-    assert catalogue.changes_since(6, 2100) is None and len(catalogue.frame()) == 1
+    assert catalogue.changes_since(6, 2100) is None and len(catalogue.snapshot()) == 1
     assert not catalogue.put(make_entry("a", 2102, b"off"))
 
 
@@ -107,9 +111,11 @@
 
 def test_a_large_entry_is_fetched_from_one_registry_and_from_another_if_that_is_silent():
     held, asked = [0], []
-    entry = kinds.Entry(kind="spec", key="spec", number=3, deferred=True)
-    wants = Wants(lambda entry: entry.number > held[0],
-                  lambda peer, _want: asked.append(peer) or peer != "gone")
+    entry = kinds.Entry(kind="configuration", key="configuration", number=3, deferred=True)
+    wants = Wants(
+        lambda entry: entry.number > held[0],
+        lambda peer, _want: asked.append(peer) or peer != "gone",
+    )
     for peer in ("gone", "a", "b"):
         wants.hear(peer, entry, 10.0)
     assert asked == ["gone", "a"]
@@ -126,8 +132,11 @@
 def test_many_followers_are_sent_one_payload_and_pushes_are_spaced_by_their_number():
     catalogue, waits, pushes, counted = Catalogue(7), [], [], []
     keeper = FeedKeeper(
-        catalogue, lambda: True, lambda: counted.append(1) or 3,
-        soon=lambda wait, push: (waits.append(wait), pushes.append(push)))
+        catalogue,
+        lambda: True,
+        lambda: counted.append(1) or 3,
+        soon=lambda wait, push: (waits.append(wait), pushes.append(push)),
+    )
     wires = []
     for _ in range(200):
         wire = type("Wire", (), {})()
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -6,11 +6,19 @@
 import pytest
 
 from marblefold.gateway.program import GatewayProgram
+from marblefold.register_store.program import StoreProgram
 from marblefold.registry.platform_list import read_page
 from marblefold.registry.program import RegistryProgram
-from marblefold.spec_store.program import StoreProgram
 from tests.mesh_on_loopback import (
-    CORE, FIRST_PORTS, SPEC, Door, StandIn, ask, make_config, make_watch)
+    CONFIGURATION,
+    CORE,
+    FIRST_PORTS,
+    Door,
+    StandIn,
+    ask,
+    make_config,
+    make_watch,
+)
 
 FRONT = "127.0.0.31"
 HOSTS = ("127.0.0.41", "127.0.0.42")
@@ -31,13 +39,25 @@
                 self.calls += 1
                 page = int(line.partition("page-token=")[2] or 0)
                 target = self.targets[page]
-                body = json.dumps({"instance-list": {target.instance: {
-                    "upstream": "quotes", "address": f"{target.host}:{target.port}",
-                    "zone": "hall", "config-version": "v1", "capacity-slots": 4,
-                    "state": self.states.get(target.instance, "ready"),
-                    "cold-remaining-ms": 0}},
-                    "next-page-token": str(page + 1) if page + 1 < len(self.targets) else None})
-                writer.write(f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode())
+                body = json.dumps(
+                    {
+                        "instance-list": {
+                            target.instance: {
+                                "upstream": "quotes",
+                                "address": f"{target.host}:{target.port}",
+                                "zone": "hall",
+                                "config-version": "v1",
+                                "capacity-slots": 4,
+                                "state": self.states.get(target.instance, "ready"),
+                                "cold-remaining-ms": 0,
+                            }
+                        },
+                        "next-page-token": str(page + 1) if page + 1 < len(self.targets) else None,
+                    }
+                )
+                writer.write(
+                    f"HTTP/1.1 200 OK\r\nContent-Length: {len(body)}\r\n\r\n{body}".encode()
+                )
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
@@ -52,11 +72,23 @@
         self.platform_port = first + 4
         cloud = f"cloud-api.address={CORE}:{first + 4}\ncloud-api.rate-per-s=4000\n"
         core = make_config(CORE, first, f"data-directory={folder}/store\n{cloud}")
-        self.gateway = GatewayProgram(make_watch(make_config(FRONT, first, (
-            f"listen-addresses.front-http={FRONT}:{first + 2}\n"
-            f"listen-addresses.readiness={FRONT}:{first + 3}\n{cloud}"))))
-        self.programs = [StoreProgram(make_watch(core)), RegistryProgram(make_watch(core)),
-                         self.gateway]
+        self.gateway = GatewayProgram(
+            make_watch(
+                make_config(
+                    FRONT,
+                    first,
+                    (
+                        f"listen-addresses.front-http={FRONT}:{first + 2}\n"
+                        f"listen-addresses.readiness={FRONT}:{first + 3}\n{cloud}"
+                    ),
+                )
+            )
+        )
+        self.programs = [
+            StoreProgram(make_watch(core)),
+            RegistryProgram(make_watch(core)),
+            self.gateway,
+        ]
 
     async def until(self, condition):
         async with asyncio.timeout(20):
@@ -70,23 +102,32 @@
         self.tasks = [asyncio.ensure_future(program.run()) for program in self.programs]
         while True:
             try:
-                assert (await self.put("/mesh/spec", SPEC))[0] == 200
+                assert (await self.put("/mesh/configuration", CONFIGURATION))[0] == 200
                 break
             except ConnectionError:
                 await asyncio.sleep(0)
-        await self.until(lambda: self.gateway.view.table
-                         and len(self.gateway.view.targets("quotes")) == 2)
+        await self.until(
+            lambda: self.gateway.view.table and len(self.gateway.view.targets("quotes")) == 2
+        )
         # As after some seconds, which no test waits for.
         self.gateway.view.proxies = 1
 
     async def put(self, path, document, headers=()):
         status, _head, body = await ask(
-            CORE, self.control, "PUT", path, headers, json.dumps(document).encode())
+            CORE, self.control, "PUT", path, headers, json.dumps(document).encode()
+        )
         return status, json.loads(body)
 
     async def request(self, path, attempt, method="GET", host="shop", body=b""):
-        return await ask(FRONT, self.front, method, path, (
-            f"Attempt-Id: {attempt}", "Deadline-Ms: 3000", "Caller-Service: liar"), body, host)
+        return await ask(
+            FRONT,
+            self.front,
+            method,
+            path,
+            (f"Attempt-Id: {attempt}", "Deadline-Ms: 3000", "Caller-Service: liar"),
+            body,
+            host,
+        )
 
     async def stop(self):
         for task in self.tasks:
@@ -102,6 +143,7 @@
             await test(mesh)
         finally:
             await mesh.stop()
+
     asyncio.run(whole())
 
 
@@ -122,39 +164,51 @@
             target.spoil = "refuse"
         status, head, _body = await mesh.request("/book/x", "a4", "POST")
         assert status == 503 and b"Retry-After" in head
+
     run(test, tmp_path)
 
 
 def test_a_draining_target_is_left_and_a_vanished_one_forgotten(tmp_path):
     async def test(mesh):
         mesh.platform.states[mesh.targets[0].instance] = "draining"
-        await mesh.until(lambda: any(
-            target.is_draining for target in mesh.gateway.view.targets("quotes")))
+        await mesh.until(
+            lambda: any(target.is_draining for target in mesh.gateway.view.targets("quotes"))
+        )
         for number in range(5):
             assert (await mesh.request("/read/x", f"d{number}"))[0] == 200
         assert mesh.targets[0].ran == []
         del mesh.platform.targets[0]
         await mesh.until(lambda: len(mesh.gateway.view.targets("quotes")) == 1)
+
     run(test, tmp_path)
 
 
 def test_a_partner_is_reached_as_its_word_allows_and_no_longer(tmp_path):
     async def test(mesh):
         assert (await mesh.request("/open/x", "p0", host="dealer"))[0] == 404
-        status, _body = await mesh.put("/mesh/partners/dealer", {
-            "number": 1, "hosts": ["dealer"], "address": f"{DOOR}:{mesh.door.port}",
-            "credential": SECRET})
+        status, _body = await mesh.put(
+            "/mesh/partners/dealer",
+            {
+                "number": 1,
+                "hosts": ["dealer"],
+                "address": f"{DOOR}:{mesh.door.port}",
+                "credential": SECRET,
+            },
+        )
         assert status == 200
-        word = {"number": 1, "exports": [
-            {"host": "dealer", "prefix": "/open/", "kind": "mutating"}]}
+        word = {
+            "number": 1,
+            "exports": [{"host": "dealer", "prefix": "/open/", "kind": "mutating"}],
+        }
         assert (await mesh.put("/mesh/exports/dealer", word))[0] == 401
         proof = (f"Authorization: Bearer {SECRET}",)
         status, held = await mesh.put("/mesh/exports/dealer", word, proof)
         assert status == 200
         view = mesh.gateway.view
         await mesh.until(lambda: view.partners and view.partners.digest == held["digest"])
-        await mesh.until(lambda: view.find_partner_mapping(
-            "dealer", "/open/", asyncio.get_running_loop().time()))
+        await mesh.until(
+            lambda: view.find_partner_route("dealer", "/open/", asyncio.get_running_loop().time())
+        )
         status, _head, body = await mesh.request("/open/x", "p1", "POST", "dealer", b"batch")
         assert (status, body) == (200, b"door")
         assert mesh.door.ran == [("p1", "POST", "/open/x", b"batch")]
@@ -165,19 +219,30 @@
         assert "credential" not in shown["partners"]["dealer"]
         # The answer to a withdrawal comes when it holds everywhere.
         async with asyncio.TaskGroup() as group:
-            withdrawal = group.create_task(mesh.put(
-                "/mesh/exports/dealer", {"number": 2, "exports": []}, proof))
-            await mesh.until(lambda: not view.partners.mappings)
+            withdrawal = group.create_task(
+                mesh.put("/mesh/exports/dealer", {"number": 2, "exports": []}, proof)
+            )
+            await mesh.until(lambda: not view.partners.routes)
             assert (await mesh.request("/open/x", "p3", "POST", "dealer"))[0] == 404
             withdrawal.cancel()
         assert (await mesh.put("/mesh/exports/dealer", word, proof))[0] == 409
         assert len(mesh.door.ran) == 1
+
     run(test, tmp_path)
 
 
-@pytest.mark.parametrize("body", [
-    b"{", b"[]", b'{"instance-list": {"i": {}}}', b'{"instance-list": {"i": {"upstream": "q", '
-    b'"address": "x", "zone": "z", "capacity-slots": 1, "state": "ready"}}}'])
+@pytest.mark.parametrize(
+    "body",
+    [
+        b"{",
+        b"[]",
+        b'{"instance-list": {"i": {}}}',
+        (
+            b'{"instance-list": {"i": {"upstream": "q", '
+            b'"address": "x", "zone": "z", "capacity-slots": 1, "state": "ready"}}}'
+        ),
+    ],
+)
 def test_a_page_that_cannot_be_read_is_no_page(body):
     with pytest.raises((ValueError, TypeError, KeyError, AttributeError)):
         read_page(body)
--- a/tests/test_guard_parts.py
+++ b/tests/test_guard_parts.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.messages import kinds
@@ -19,7 +19,8 @@
 
 @given(
     steps=st.lists(st.tuples(st.floats(0, 0.4), st.booleans()), max_size=80),
-    most=st.integers(1, 6), started=st.booleans(),
+    most=st.integers(1, 6),
+    started=st.booleans(),
 )
 def test_no_second_of_a_cold_target_holds_more_than_its_limit(steps, most, started):
     limit = ColdLimit()
@@ -45,9 +46,10 @@
     assert limit.may_offer(1.3, 3)
 
 
-BEATS = st.lists(st.tuples(
-    st.sampled_from(["i-1", "i-2"]), st.integers(0, 5), st.booleans(), st.booleans()),
-    max_size=25)
+BEATS = st.lists(
+    st.tuples(st.sampled_from(["i-1", "i-2"]), st.integers(0, 5), st.booleans(), st.booleans()),
+    max_size=25,
+)
 
 
 @given(BEATS)
@@ -87,8 +89,15 @@
             order.append(name)
 
         assert await queue.take(Turn(0, 0.0), 1.0)
-        tasks = [asyncio.ensure_future(take(name, Turn(rank, end))) for name, rank, end in (
-            ("late", 1, 9.0), ("early", 1, 2.0), ("low", 2, 1.0), ("left", 1, 1.0))]
+        tasks = [
+            asyncio.ensure_future(take(name, Turn(rank, end)))
+            for name, rank, end in (
+                ("late", 1, 9.0),
+                ("early", 1, 2.0),
+                ("low", 2, 1.0),
+                ("left", 1, 1.0),
+            )
+        ]
         await asyncio.sleep(0)
         assert queue.waiting == 4
         tasks[3].cancel()
@@ -99,6 +108,7 @@
         await asyncio.sleep(0)
         assert order == ["early", "late", "low"]
         assert queue.waiting == 0
+
     asyncio.run(test())
 
 
@@ -109,13 +119,15 @@
         assert await queue.take(Turn(0, 0.0), 0.1)
         assert not await queue.take(Turn(0, 0.0), 0.01)
         assert not await queue.take(Turn(0, 0.0), 0.0)
+
     asyncio.run(test())
 
 
 @settings(max_examples=60)
 @given(
     events=st.lists(st.tuples(st.floats(0, 0.5), st.integers(0, 2), st.booleans()), max_size=200),
-    proxies=st.integers(1, 3), slack=st.floats(0, 12),
+    proxies=st.integers(1, 3),
+    slack=st.floats(0, 12),
 )
 def test_all_proxies_together_stay_within_the_budget_in_every_window(events, proxies, slack):
     ratio, window = 0.2, 10.0
@@ -185,6 +197,7 @@
             assert sent == body[:granted]
         assert sender.done() == (granted >= size)
         sender.cancel()
+
     asyncio.run(test())
 
 
@@ -192,9 +205,14 @@
     async def test(link):
         intake = Intake(link)
         exchanges = [BodyExchange(b"") for _ in range(100)]
-        tasks = [asyncio.ensure_future(intake.take(
-            exchange, kinds.RequestHead(body_follows=True, body_length=60_000), 30.0))
-            for exchange in exchanges]
+        tasks = [
+            asyncio.ensure_future(
+                intake.take(
+                    exchange, kinds.RequestHead(body_follows=True, body_length=60_000), 30.0
+                )
+            )
+            for exchange in exchanges
+        ]
         for _step in range(3):
             await asyncio.sleep(0)
         granted = [exchange.granted for exchange in exchanges if exchange.granted]
@@ -202,6 +220,7 @@
             task.cancel()
         # Two windows, or what the link carries in a tenth of a second.
         assert sum(granted) <= max(2 * 8 * 1024, 0.1 * link) and granted
+
     for link in (20_000.0, 250_000.0, 2.5e6, 1.25e8):
         asyncio.run(test(link))
 
@@ -211,14 +230,16 @@
         intake = Intake(1000.0)
         exchanges = [BodyExchange(b"photo") for _ in range(3)]
         heads = [kinds.RequestHead(body_follows=True, body_length=5) for _ in exchanges]
-        tasks = [asyncio.ensure_future(intake.take(exchange, head, 30.0))
-                 for exchange, head in zip(exchanges, heads)]
+        tasks = [
+            asyncio.ensure_future(intake.take(exchange, head, 30.0))
+            for exchange, head in zip(exchanges, heads, strict=True)
+        ]
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         # Two places on a narrow link: the third is not let to send yet.
         assert [exchange.granted > 0 for exchange in exchanges] == [True, True, False]
         exchanges[0].send_all()
-        exchanges[1].incoming.break_off(Breakdown("body", "left"))
+        exchanges[1].incoming.break_off(MeshError("body", "left"))
         assert await tasks[0] == "" and heads[0].body == b"photo" and not heads[0].body_follows
         assert await tasks[1] == "body" and heads[1].body_follows
         exchanges[2].body = b"pho"
@@ -226,6 +247,11 @@
         assert await tasks[2] == "body not whole"
         assert intake.waiting == 0
         # Nobody is held until the deadline for a body that does not come.
-        assert await Intake(1e9).take(BodyExchange(b""), kinds.RequestHead(
-            body_follows=True, body_length=5), 30.0, 0.0) == "body too slow"
+        assert (
+            await Intake(1e9).take(
+                BodyExchange(b""), kinds.RequestHead(body_follows=True, body_length=5), 30.0, 0.0
+            )
+            == "body too slow"
+        )
+
     asyncio.run(test())
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The history of specs: kept in order, bounded, and never in the way."""
+"""The history of configurations: kept in order, bounded, and never in the way."""
 
 import asyncio
 import json
@@ -6,10 +6,10 @@
 
 import pytest
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.history.keeper import HistoryKeeper
 from marblefold.history.versions import Versions
-from marblefold.http_streams.call_router import Call
+from marblefold.http_connections.call_router import Call
 
 
 def opened(folder, **more):
@@ -19,7 +19,7 @@
 
 
 def body_of(number):
-    return json.dumps({"spec-number": number}).encode()
+    return json.dumps({"config-version": number}).encode()
 
 
 def numbers(versions):
@@ -29,11 +29,16 @@
 def test_what_is_put_is_read_again_after_a_start(tmp_path):
     versions = opened(tmp_path / "history")
     assert [versions.add(number, body_of(number)) for number in (3, 7, 7, 5, 12)] == [
-        True, True, False, False, True]
+        True,
+        True,
+        False,
+        False,
+        True,
+    ]
     again = opened(tmp_path / "history")
     assert numbers(again) == [12, 7, 3] and again.damage == ""
     assert again.read(7) == body_of(7)
-    with pytest.raises(Breakdown):
+    with pytest.raises(MeshError):
         again.read(5)
 
 
@@ -70,7 +75,7 @@
         async with asyncio.timeout(20):
             while len(json.loads((await keeper._list(Call("", b""))).body)["versions"]) < 2:
                 await asyncio.sleep(0)
-        assert json.loads((await keeper._show(Call("r2", b""))).body) == {"spec-number": 2}
+        assert json.loads((await keeper._show(Call("r2", b""))).body) == {"config-version": 2}
         assert (await keeper._show(Call("9", b""))).status == 404
         assert (await keeper._show(Call("two", b""))).status == 400
         run.cancel()
@@ -90,4 +95,5 @@
                 await asyncio.sleep(0)
         assert not run.done()
         run.cancel()
+
     asyncio.run(test())
--- a/tests/test_streams.py
+++ b/tests/test_http_connections.py
@@ -1,14 +1,14 @@
-"""Streams of downstreams and targets, over a transport made of lists."""
+"""Connections of clients and targets, over a transport made of lists."""
 
 import asyncio
 
 import pytest
 
-from marblefold.breakdowns import Breakdown
-from marblefold.http_streams.answer import Answer
-from marblefold.http_streams.downstream_request import BodyTooLarge
-from marblefold.http_streams.downstream_stream import DownstreamStream
-from marblefold.http_streams.target_stream import StreamState, TargetStream
+from marblefold.errors import MeshError
+from marblefold.http_connections.answer import Answer
+from marblefold.http_connections.client_connection import ClientConnection
+from marblefold.http_connections.client_request import BodyTooLarge
+from marblefold.http_connections.target_connection import ConnectionState, TargetConnection
 
 
 class FakeTransport:
@@ -45,7 +45,7 @@
     def __init__(self):
         self.requests, self.answers = [], {}
 
-    def on_made(self, stream):
+    def on_made(self, connection):
         pass
 
     on_lost = on_made
@@ -66,25 +66,26 @@
         await asyncio.sleep(0)
 
 
-def make_downstream():
+def make_client():
     keeper, transport = Keeper(), FakeTransport()
-    stream = DownstreamStream(keeper)
-    stream.connection_made(transport)
-    return keeper, transport, stream
+    connection = ClientConnection(keeper)
+    connection.connection_made(transport)
+    return keeper, transport, connection
 
 
 def make_target():
     transport = FakeTransport()
-    stream = TargetStream()
-    stream.connection_made(transport)
-    return stream, transport
+    connection = TargetConnection()
+    connection.connection_made(transport)
+    return connection, transport
 
 
 def test_pipelined_reads_run_together_and_are_answered_in_order():
     async def test():
-        keeper, transport, stream = make_downstream()
-        stream.data_received(
-            b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n")
+        keeper, transport, connection = make_client()
+        connection.data_received(
+            b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n"
+        )
         await turns()
         assert [request.path for request in keeper.requests] == ["/1", "/2"]
         keeper.answers["/2"].set_result(Answer(200, body=b"two"))
@@ -93,92 +94,111 @@
         keeper.answers["/1"].set_result(Answer(200, body=b"one"))
         await turns()
         assert transport.written.index(b"one") < transport.written.index(b"two")
+
     run(test)
 
 
 def test_what_may_not_be_repeated_waits_for_its_turn():
     async def test():
-        keeper, transport, stream = make_downstream()
+        keeper, transport, connection = make_client()
         post = b"POST /%d HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
-        stream.data_received(post % 1 + post % 2)
+        connection.data_received(post % 1 + post % 2)
         await turns()
         assert [request.path for request in keeper.requests] == ["/1"]
         assert await keeper.requests[0].gather(10, 10) == (b"x", True)
         keeper.answers["/1"].set_result(Answer(200))
         await turns()
         assert [request.path for request in keeper.requests] == ["/1", "/2"]
+
     run(test)
 
 
-@pytest.mark.parametrize("head, status", [
-    (b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", b"400"),
-    (b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\n",
-     b"400"),
-    (b"GET / HTTP/1.1\r\nHost: h\r\n bad\r\n\r\n", b"400"),
-    (b"no request at all\r\n\r\n", b"400"),
-    (b"GET / HTTP/1.1\r\nHost: h\r\nX: " + b"a" * 1100 + b"\r\n\r\n", b"431"),
-    (b"GET / HTTP/1.1\r\nHost: h\r\n" + b"A: " + b"b" * 300 + b"\r\nC: " + b"d" * 900 + b"\r\n\r\n",
-     b"431"),
-])
-def test_heads_that_could_smuggle_are_refused_and_end_the_stream(head, status):
+@pytest.mark.parametrize(
+    "head, status",
+    [
+        (b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n", b"400"),
+        (
+            (
+                b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n"
+                b"Transfer-Encoding: chunked\r\n\r\n"
+            ),
+            b"400",
+        ),
+        (b"GET / HTTP/1.1\r\nHost: h\r\n bad\r\n\r\n", b"400"),
+        (b"no request at all\r\n\r\n", b"400"),
+        (b"GET / HTTP/1.1\r\nHost: h\r\nX: " + b"a" * 1100 + b"\r\n\r\n", b"431"),
+        (
+            b"GET / HTTP/1.1\r\nHost: h\r\n"
+            b"A: " + b"b" * 300 + b"\r\nC: " + b"d" * 900 + b"\r\n\r\n",
+            b"431",
+        ),
+    ],
+)
+def test_heads_that_could_smuggle_are_refused_and_end_the_connection(head, status):
     async def test():
-        keeper, transport, stream = make_downstream()
-        stream.data_received(head)
+        keeper, transport, connection = make_client()
+        connection.data_received(head)
         await turns()
         assert transport.written.startswith(b"HTTP/1.1 " + status)
         assert transport.closed and not keeper.requests
+
     run(test)
 
 
 def test_a_body_that_waits_for_a_word_gets_it_when_it_is_wanted():
     async def test():
-        keeper, transport, stream = make_downstream()
-        stream.data_received(
+        keeper, transport, connection = make_client()
+        connection.data_received(
             b"POST /1 HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\n"
-            b"Transfer-Encoding: chunked\r\n\r\n")
+            b"Transfer-Encoding: chunked\r\n\r\n"
+        )
         await turns()
         assert transport.written == b""
         gathered = asyncio.ensure_future(keeper.requests[0].gather(100, 100))
         await turns()
         assert transport.written == b"HTTP/1.1 100 Continue\r\n\r\n"
-        stream.data_received(b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
+        connection.data_received(b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
         assert await gathered == (b"abcde", True)
+
     run(test)
 
 
-def test_headers_of_one_stream_stay_there_and_the_others_keep_their_order():
+def test_headers_of_one_connection_stay_there_and_the_others_keep_their_order():
     async def test():
-        keeper, _transport, stream = make_downstream()
-        stream.data_received(
+        keeper, _transport, connection = make_client()
+        connection.data_received(
             b"GET /1 HTTP/1.1\r\nHost: h\r\nX-A: 1\r\nConnection: close, X-Hop\r\n"
             b"X-Hop: no\r\nx-a: 2\r\nTE: trailers\r\nDeadline-Ms: 5\r\n"
-            b"Caller-Service: liar\r\nAttempt-Id: i\r\n\r\n")
+            b"Caller-Service: liar\r\nAttempt-Id: i\r\n\r\n"
+        )
         await turns()
         request = keeper.requests[0]
-        assert request.header_block() == (
-            b"Host: h\r\nX-A: 1\r\nx-a: 2\r\nAttempt-Id: i\r\n")
+        assert request.header_block() == (b"Host: h\r\nX-A: 1\r\nx-a: 2\r\nAttempt-Id: i\r\n")
         assert request.deadline_ms == 5.0 and request.closes
+
     run(test)
 
 
 def test_a_body_over_the_limit_is_told_before_it_is_gathered():
     async def test():
-        keeper, _transport, stream = make_downstream()
-        stream.data_received(b"POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\n")
+        keeper, _transport, connection = make_client()
+        connection.data_received(b"POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\n")
         await turns()
         with pytest.raises(BodyTooLarge):
             await keeper.requests[0].gather(1000, 50)
+
     run(test)
 
 
-def test_a_downstream_that_leaves_ends_the_work_for_it():
+def test_a_client_that_leaves_ends_the_work_for_it():
     async def test():
-        keeper, _transport, stream = make_downstream()
-        stream.data_received(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n")
+        keeper, _transport, connection = make_client()
+        connection.data_received(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n")
         await turns()
-        stream.connection_lost(None)
+        connection.connection_lost(None)
         await turns()
         assert keeper.answers["/1"].cancelled()
+
     run(test)
 
 
@@ -187,58 +207,69 @@
 
 def test_a_late_surplus_answer_is_told_apart_by_its_id():
     async def test():
-        stream, _transport = make_target()
-        await stream.begin(b"GET", b"mine")
-        stream.data_received(ANSWER % (b"other", b"no") + ANSWER % (b"mine", b"ok"))
-        answer = await stream.answer()
+        connection, _transport = make_target()
+        await connection.begin(b"GET", b"mine")
+        connection.data_received(ANSWER % (b"other", b"no") + ANSWER % (b"mine", b"ok"))
+        answer = await connection.answer()
         assert await answer.payload.read() == b"ok"
         # Its bytes cannot be trusted any further.
-        assert not stream.finish() and stream.state is StreamState.CLOSED
+        assert not connection.finish() and connection.state is ConnectionState.CLOSED
+
     run(test)
 
 
-def test_surplus_bytes_on_an_idle_stream_end_it():
+def test_surplus_bytes_on_an_idle_connection_end_it():
     async def test():
-        stream, transport = make_target()
-        stream.data_received(ANSWER % (b"x", b"no"))
-        assert stream.state is StreamState.CLOSED and transport.aborted
+        connection, transport = make_target()
+        connection.data_received(ANSWER % (b"x", b"no"))
+        assert connection.state is ConnectionState.CLOSED and transport.aborted
+
     run(test)
 
 
-@pytest.mark.parametrize("data", [
-    b"\x00\x01garbage\r\n\r\n",
-    b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
-    b"HTTP/1.1 200 OK\r\nAttempt-Id: mine\r\n\r\nno end to see",
-])
+@pytest.mark.parametrize(
+    "data",
+    [
+        b"\x00\x01garbage\r\n\r\n",
+        b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
+        b"HTTP/1.1 200 OK\r\nAttempt-Id: mine\r\n\r\nno end to see",
+    ],
+)
 def test_what_cannot_be_the_answer_breaks_off(data):
     async def test():
-        stream, _transport = make_target()
-        await stream.begin(b"GET", b"mine")
-        stream.data_received(data)
-        with pytest.raises(Breakdown):
-            await stream.answer()
+        connection, _transport = make_target()
+        await connection.begin(b"GET", b"mine")
+        connection.data_received(data)
+        with pytest.raises(MeshError):
+            await connection.answer()
+
     run(test)
 
 
 def test_an_answer_cut_off_never_looks_whole():
     async def test():
-        stream, _transport = make_target()
-        await stream.begin(b"GET", b"mine")
-        stream.data_received(b"HTTP/1.1 200 OK\r\nAttempt-Id: mine\r\nContent-Length: 9\r\n\r\nhalf")
-        answer = await stream.answer()
-        stream.connection_lost(None)
+        connection, _transport = make_target()
+        await connection.begin(b"GET", b"mine")
+        connection.data_received(
+            b"HTTP/1.1 200 OK\r\nAttempt-Id: mine\r\nContent-Length: 9\r\n\r\nhalf"
+        )
+        answer = await connection.answer()
+        connection.connection_lost(None)
         with pytest.raises(ConnectionError):
             await answer.payload.read()
+
     run(test)
 
 
 def test_a_refusal_may_come_without_an_id_and_keep_alive_bounds_the_reuse():
     async def test():
-        stream, _transport = make_target()
-        await stream.begin(b"GET", b"mine")
-        stream.data_received(
+        connection, _transport = make_target()
+        await connection.begin(b"GET", b"mine")
+        connection.data_received(
             b"HTTP/1.1 503 no\r\nNot-Executed: 1\r\nKeep-Alive: timeout=0\r\n"
-            b"Content-Length: 0\r\n\r\n")
-        assert (await stream.answer()).is_not_executed
-        assert not stream.finish()
+            b"Content-Length: 0\r\n\r\n"
+        )
+        assert (await connection.answer()).is_not_executed
+        assert not connection.finish()
+
     run(test)
--- a/tests/test_lean_imports.py
+++ b/tests/test_lean_imports.py
@@ -9,7 +9,7 @@
         "from marblefold.lean_imports import leave_out; leave_out()\n"
         "import sys\n"
         "import marblefold.proxy.program, marblefold.registry.program\n"
-        "import marblefold.spec_store.program\n"
+        "import marblefold.register_store.program\n"
         "from aiohttp._http_parser import HttpRequestParser\n"
         "assert 'aiohttp.client' not in sys.modules\n"
     )
@@ -17,7 +17,7 @@
     assert done.returncode == 0, done.stderr
 
 
-def test_a_proxy_does_not_import_the_reader_of_specs():
+def test_a_proxy_does_not_import_the_reader_of_configurations():
     code = (
         "from marblefold.lean_imports import leave_out; leave_out()\n"
         "import sys, marblefold.proxy.program\n"
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -8,23 +8,22 @@
 from marblefold.request_path.guard import Guard
 from marblefold.request_path.local_target import Beat, LocalTarget
 from marblefold.request_path.mesh_view import KnownTarget, MeshView
-from marblefold.request_path.nomination import Nominator
+from marblefold.request_path.target_selection import TargetSelector
 
 
 def test_a_leaving_guard_turns_hops_away_in_time(monkeypatch):
     now = [100.0]
-    monkeypatch.setattr(
-        guard_module, "time", types.SimpleNamespace(monotonic=lambda: now[0]))
+    monkeypatch.setattr(guard_module, "time", types.SimpleNamespace(monotonic=lambda: now[0]))
     target = LocalTarget(lambda: None)
     target.take_beat(Beat("i", "q", "a", "z", 4, False, timedelta(0), 1))
     bounds = types.SimpleNamespace(
-        grace_period=timedelta(seconds=6), drain_time=timedelta(seconds=2))
+        grace_period=timedelta(seconds=6), drain_time=timedelta(seconds=2)
+    )
     guard = Guard(target, MeshView("n"), bounds)
     guard._caller = object()
 
     def refusal(last_resort):
-        head = kinds.RequestHead(
-            expected_instance="i", upstream="q", last_resort=last_resort)
+        head = kinds.RequestHead(expected_instance="i", upstream="q", last_resort=last_resort)
         answer = guard._find_refusal(head)
         return answer.step if answer is not None else ""
 
@@ -45,8 +44,8 @@
 def test_a_busy_target_goes_before_one_about_to_end():
     view = MeshView("n")
     view.targets = lambda upstream: [make_target("going", True), make_target("busy", False)]
-    nominator = Nominator(view, "z", seed=1)
-    nominator.note_refusal(make_target("busy", False), 10.0)
-    nominee = nominator.nominate("q", (), None, 1.0, 5.0)
+    selector = TargetSelector(view, "z", seed=1)
+    selector.note_refusal(make_target("busy", False), 10.0)
+    nominee = selector.select("q", (), None, 1.0, 5.0)
     assert nominee.target.node == "busy" and nominee.is_last_resort
-    assert nominator.nominate("q", ("i-busy",), None, 1.0, 5.0).target.node == "going"
+    assert selector.select("q", ("i-busy",), None, 1.0, 5.0).target.node == "going"
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,17 +1,22 @@
 """Windows planned together, against a slow plain model of a night of work."""
 
 import json
-from datetime import datetime, timedelta, timezone
+from datetime import UTC, datetime, timedelta
 
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
 from marblefold.maintenance.model import (
-    Document, Window, WindowState, read_floors_body, read_window_body)
+    Document,
+    Window,
+    WindowState,
+    read_floors_body,
+    read_window_body,
+)
 from marblefold.maintenance.planning import LiveSlots, change_state, plan_windows, shortfalls
 
-NIGHT = datetime(2026, 3, 1, 22, 0, tzinfo=timezone.utc)
+NIGHT = datetime(2026, 3, 1, 22, 0, tzinfo=UTC)
 
 
 def minutes(count):
@@ -35,7 +40,8 @@
 
 def test_two_windows_that_together_break_a_floor_run_one_after_the_other():
     document = make_document(
-        {"quotes": 20}, make_window("one", "a", 0, 30, 60), make_window("two", "b", 10, 20, 90))
+        {"quotes": 20}, make_window("one", "a", 0, 30, 60), make_window("two", "b", 10, 20, 90)
+    )
     document = plan_windows(document, LIVE, NIGHT)
     assert states(document) == {"one": "running", "two": "shifted"}
     assert document.windows["two"].expected_start == NIGHT + minutes(30)
@@ -48,13 +54,15 @@
 
 def test_windows_that_fit_together_run_together():
     document = make_document(
-        {"quotes": 10}, make_window("one", "a", 0, 30, 60), make_window("two", "b", 0, 30, 60))
+        {"quotes": 10}, make_window("one", "a", 0, 30, 60), make_window("two", "b", 0, 30, 60)
+    )
     assert set(states(plan_windows(document, LIVE, NIGHT)).values()) == {"running"}
 
 
 def test_a_window_that_cannot_fit_before_its_latest_end_is_impossible():
     document = make_document(
-        {"quotes": 20}, make_window("one", "a", 0, 30, 60), make_window("two", "b", 0, 20, 40))
+        {"quotes": 20}, make_window("one", "a", 0, 30, 60), make_window("two", "b", 0, 20, 40)
+    )
     document = plan_windows(document, LIVE, NIGHT)
     assert states(document)["two"] != "running"
     document = plan_windows(document, LIVE, NIGHT + minutes(21))
@@ -63,7 +71,8 @@
 
 def test_lost_capacity_starts_no_drain_and_takes_none_back():
     document = make_document(
-        {"quotes": 20}, make_window("one", "a", 0, 30, 60), make_window("two", "b", 40, 10, 90))
+        {"quotes": 20}, make_window("one", "a", 0, 30, 60), make_window("two", "b", 40, 10, 90)
+    )
     document = plan_windows(document, LIVE, NIGHT)
     poor = LiveSlots({("quotes", "b"): 10, ("quotes", "c"): 5})
     document = plan_windows(document, poor, NIGHT + minutes(10))
@@ -73,21 +82,28 @@
 
 
 ZONES = "abc"
-WINDOWS = st.lists(st.tuples(
-    st.sampled_from(ZONES), st.integers(0, 60), st.integers(1, 40), st.integers(0, 80)),
-    max_size=5)
-EVENTS = st.lists(st.tuples(
-    st.integers(0, 20), st.sampled_from(ZONES), st.integers(0, 12), st.booleans()), max_size=25)
+WINDOWS = st.lists(
+    st.tuples(st.sampled_from(ZONES), st.integers(0, 60), st.integers(1, 40), st.integers(0, 80)),
+    max_size=5,
+)
+EVENTS = st.lists(
+    st.tuples(st.integers(0, 20), st.sampled_from(ZONES), st.integers(0, 12), st.booleans()),
+    max_size=25,
+)
 
 
 @settings(max_examples=200)
 @given(windows=WINDOWS, events=EVENTS, floor=st.integers(0, 30))
 def test_a_night_of_work_never_starts_what_breaks_a_floor(windows, events, floor):
     """At each start the plain count of what remains must keep the floor."""
-    document = make_document({"quotes": floor}, *(
-        make_window(f"w{index}", zone, start, length, start + length + spare)
-        for index, (zone, start, length, spare) in enumerate(windows)))
-    slots = {zone: 10 for zone in ZONES}
+    document = make_document(
+        {"quotes": floor},
+        *(
+            make_window(f"w{index}", zone, start, length, start + length + spare)
+            for index, (zone, start, length, spare) in enumerate(windows)
+        ),
+    )
+    slots = dict.fromkeys(ZONES, 10)
     now = NIGHT
     for ahead, zone, count, withdraw in events:
         now += minutes(ahead)
@@ -96,12 +112,16 @@
         live = LiveSlots({("quotes", place): number for place, number in slots.items()})
         document = plan_windows(document, live, now)
         started = [
-            name for name, window in document.windows.items()
+            name
+            for name, window in document.windows.items()
             if window.state is WindowState.RUNNING
-            and before.windows[name].state is not WindowState.RUNNING]
+            and before.windows[name].state is not WindowState.RUNNING
+        ]
         emptied = {
-            window.zone for window in document.windows.values()
-            if window.state is WindowState.RUNNING}
+            window.zone
+            for window in document.windows.values()
+            if window.state is WindowState.RUNNING
+        }
         if started:
             assert sum(number for place, number in slots.items() if place not in emptied) >= floor
         for name, window in document.windows.items():
@@ -121,18 +141,32 @@
             name = sorted(document.windows)[0]
             if not document.windows[name].state.is_over:
                 document = document.with_window(
-                    change_state(document.windows[name], WindowState.WITHDRAWN))
-
-
-GOOD = {"zone": "a", "wanted-start": "2026-03-01T22:00:00+00:00", "length-s": 600,
-        "latest-end": "2026-03-01T23:00:00Z"}
-
-
-@pytest.mark.parametrize("field, value", [
-    ("zone", "nowhere"), ("zone", None), ("wanted-start", "soon"),
-    ("wanted-start", "2026-03-01T22:00:00"), ("length-s", 0), ("length-s", "600"),
-    ("length-s", 1e9), ("latest-end", "2026-03-01T22:05:00Z"), ("latest-end", 5),
-])
+                    change_state(document.windows[name], WindowState.WITHDRAWN)
+                )
+
+
+GOOD = {
+    "zone": "a",
+    "wanted-start": "2026-03-01T22:00:00+00:00",
+    "length-s": 600,
+    "latest-end": "2026-03-01T23:00:00Z",
+}
+
+
+@pytest.mark.parametrize(
+    "field, value",
+    [
+        ("zone", "nowhere"),
+        ("zone", None),
+        ("wanted-start", "soon"),
+        ("wanted-start", "2026-03-01T22:00:00"),
+        ("length-s", 0),
+        ("length-s", "600"),
+        ("length-s", 1e9),
+        ("latest-end", "2026-03-01T22:05:00Z"),
+        ("latest-end", 5),
+    ],
+)
 def test_a_bad_window_is_refused_with_its_field(field, value):
     assert read_window_body("w", json.dumps(GOOD).encode(), {"a"}).length == minutes(10)
     with pytest.raises(ExceptionGroup) as caught:
--- a/tests/test_maintenance_duty.py
+++ b/tests/test_maintenance_duty.py
@@ -1,21 +1,27 @@
 """The duty under failures: two holders, restarts, sleeps, operators in between."""
 
 import asyncio
+import contextlib
 import types
-from datetime import datetime, timedelta, timezone
+from datetime import UTC, datetime, timedelta
 
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.maintenance.duty import REGISTER, MaintenanceDuty
 from marblefold.maintenance.model import Document, Window, WindowState
 from marblefold.maintenance.planning import LiveSlots, change_state
-from marblefold.spec_store.changes import (
-    Held, empty_for_window, hold_evacuation, release_from_window, replace_at)
-
-NIGHT = datetime(2026, 3, 1, 22, 0, tzinfo=timezone.utc)
+from marblefold.register_store.changes import (
+    Held,
+    empty_for_window,
+    hold_evacuation,
+    release_from_window,
+    replace_at,
+)
+
+NIGHT = datetime(2026, 3, 1, 22, 0, tzinfo=UTC)
 FLOOR = 20
 
 
@@ -36,10 +42,12 @@
 
     async def ask(self, kind, register, number=0, value=b""):
         if not self.is_reachable:
-            raise Breakdown(kind, "no majority")
+            raise MeshError(kind, "no majority")
         change = {
-            REGISTER: replace_at(number, value), "window-empty": empty_for_window,
-            "window-release": release_from_window}[kind]
+            REGISTER: replace_at(number, value),
+            "window-empty": empty_for_window,
+            "window-release": release_from_window,
+        }[kind]
         held = self.change(register, change)
         return types.SimpleNamespace(number=held.number, value=held.value)
 
@@ -56,9 +64,13 @@
         return True
 
     def live_slots(self):
-        return LiveSlots({
-            ("quotes", zone): count for zone, count in self.slots.items()
-            if self.evacuation(zone) != b"on"})
+        return LiveSlots(
+            {
+                ("quotes", zone): count
+                for zone, count in self.slots.items()
+                if self.evacuation(zone) != b"on"
+            }
+        )
 
     def evacuation(self, zone):
         return self.registers.find("evacuation/" + zone).value
@@ -71,15 +83,18 @@
 
 
 def run(coroutine):
-    try:
+    with contextlib.suppress(MeshError):
         asyncio.run(coroutine)
-    except Breakdown:
-        pass
 
 
 def window(name, zone, start=0, length=30, latest=90):
-    return Window(name, zone, NIGHT + timedelta(minutes=start), timedelta(minutes=length),
-                  NIGHT + timedelta(minutes=latest))
+    return Window(
+        name,
+        zone,
+        NIGHT + timedelta(minutes=start),
+        timedelta(minutes=length),
+        NIGHT + timedelta(minutes=latest),
+    )
 
 
 def make(*windows):
@@ -101,8 +116,10 @@
     registers, world, duties = make(window("one", "a"), window("two", "b"))
     run(duties[0].step())
     # The second still plans on the document from before the first one's grant.
-    duties[1].number, duties[1].document = 1, Document(
-        {"quotes": FLOOR}, {"two": window("two", "b")})
+    duties[1].number, duties[1].document = (
+        1,
+        Document({"quotes": FLOOR}, {"two": window("two", "b")}),
+    )
     run(duties[1].step())
     assert world.evacuation("a") == b"window" and world.evacuation("b") == b""
     assert held_document(registers).windows["two"].state is not WindowState.RUNNING
@@ -121,8 +138,7 @@
     registers, world, duties = make(window("one", "a"), window("two", "b", 40))
     run(duties[0].step())
     document = held_document(registers)
-    withdrawn = document.with_window(
-        change_state(document.windows["one"], WindowState.WITHDRAWN))
+    withdrawn = document.with_window(change_state(document.windows["one"], WindowState.WITHDRAWN))
     number = registers.find(REGISTER).number
     registers.held[REGISTER] = Held(number + 1, withdrawn.pack())
     duties[0].take(number + 1, withdrawn.pack())
@@ -148,8 +164,11 @@
     def __init__(self):
         super().__init__()
         self.registers, self.world, self.duties = make(
-            window("one", "a", 0, 20), window("two", "b", 5, 20), window("three", "c", 10, 20),
-            window("four", "a", 30, 10))
+            window("one", "a", 0, 20),
+            window("two", "b", 5, 20),
+            window("three", "c", 10, 20),
+            window("four", "a", 30, 10),
+        )
         self.running = set()
 
     @rule(index=st.integers(0, 1), is_reachable=st.booleans())
@@ -160,12 +179,15 @@
         self.registers.is_reachable = True
         after = held_document(self.registers)
         started = [
-            name for name, one in after.windows.items()
+            name
+            for name, one in after.windows.items()
             if one.state is WindowState.RUNNING
-            and before.windows[name].state is not WindowState.RUNNING]
+            and before.windows[name].state is not WindowState.RUNNING
+        ]
         if started:
-            emptied = {one.zone for one in after.windows.values()
-                       if one.state is WindowState.RUNNING}
+            emptied = {
+                one.zone for one in after.windows.values() if one.state is WindowState.RUNNING
+            }
             emptied |= {zone for zone in "abc" if self.world.evacuation(zone) == b"on"}
             left = sum(count for zone, count in self.world.slots.items() if zone not in emptied)
             assert left >= FLOOR
@@ -205,14 +227,16 @@
         fresh.take(held.number, held.value)
         for _ in range(3):
             run(fresh.step())
-        wanted = {one.zone for one in held_document(self.registers).windows.values()
-                  if one.state is WindowState.RUNNING}
+        wanted = {
+            one.zone
+            for one in held_document(self.registers).windows.values()
+            if one.state is WindowState.RUNNING
+        }
         for zone in "abc":
             if self.world.evacuation(zone) == b"window":
                 assert zone in wanted
         self.registers.held = saved
 
 
-NightOfWork.TestCase.settings = settings(
-    max_examples=40, stateful_step_count=25, deadline=None)
+NightOfWork.TestCase.settings = settings(max_examples=40, stateful_step_count=25, deadline=None)
 TestNightOfWork = NightOfWork.TestCase
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -25,9 +25,11 @@
     def start(self, address, life):
         own = Member(address, address, "proxy", "hall", life, 0, Liveness.ALIVE)
         self.nodes[address] = Prober(
-            own, lambda: SEEDS,
+            own,
+            lambda: SEEDS,
             lambda member, by=address: self.changes.append((self.now, by, member)),
-            seed=len(self.nodes))
+            seed=len(self.nodes),
+        )
 
     def run(self, seconds):
         for _ in range(int(seconds * 10)):
@@ -110,15 +112,18 @@
     net.run(25)
     for index in range(20, 60):
         net.cut.add(f"n{index}")
-    sent = {address: 0 for address in net.nodes}
+    sent = dict.fromkeys(net.nodes, 0)
     send = net.send
     net.send = lambda sender, messages: (
-        sent.__setitem__(sender, sent[sender] + len(messages)), send(sender, messages))
+        sent.__setitem__(sender, sent[sender] + len(messages)),
+        send(sender, messages),
+    )
     net.run(8)
     left = [f"n{index}" for index in range(20)]
     # Forty are dark: a node sends some tens a second, not several to each of them.
     assert max(sent[address] for address in left) / 8 < 25
     # And still nobody of the dark is thought to live, in the end.
     net.run(12)
-    assert all(net.seen(by, f"n{index}") is not Liveness.ALIVE
-               for by in left for index in range(20, 60))
+    assert all(
+        net.seen(by, f"n{index}") is not Liveness.ALIVE for by in left for index in range(20, 60)
+    )
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.node_config.reading import parse_config
 from marblefold.node_config.watching import ConfigWatch
 
@@ -21,9 +21,9 @@
 ip-address=10.1.0.8
 listen-addresses.outbound=10.1.0.8:8304
 internal-port-range=7620,7635
-seed-mates=10.1.0.13:8306,10.2.0.10:8306
+seed-nodes=10.1.0.13:8306,10.2.0.10:8306
 initial-start=true
-beat-wakeup-ms=1500
+heartbeat-interval-ms=1500
 limits.memory-mb=300
 limits.max-file-descriptors=4100
 bounds.contact-window-ms=3000
@@ -31,7 +31,7 @@
 bounds.drain-timeout-ms=2000
 bounds.grace-period-s=6
 bounds.loss-slack-ms=200
-bounds.spec-apply-ms=2000
+bounds.config-apply-ms=2000
 bounds.retry-budget-ratio=0.2
 bounds.retry-window-s=10
 bounds.retry-budget-slack=62
@@ -52,18 +52,28 @@
     assert not config.is_loss_counted and config.app_address.host == "10.1.0.8"
 
 
-@pytest.mark.parametrize("field, value", [
-    ("zone", None), ("initial-start", "maybe"), ("beat-wakeup-ms", "soon"),
-    ("beat-wakeup-ms", "-1"), ("beat-wakeup-ms", "nan"), ("internal-port-range", "7635,7620"),
-    ("internal-port-range", "7620"), ("seed-mates", "10.1.0.13"),
-    ("listen-addresses.outbound", "10.1.0.8:99999"), ("bounds.cold-slack", None),
-    ("limits.max-file-descriptors", "1.5"), ("node-name", ""),
-])
+@pytest.mark.parametrize(
+    "field, value",
+    [
+        ("zone", None),
+        ("initial-start", "maybe"),
+        ("heartbeat-interval-ms", "soon"),
+        ("heartbeat-interval-ms", "-1"),
+        ("heartbeat-interval-ms", "nan"),
+        ("internal-port-range", "7635,7620"),
+        ("internal-port-range", "7620"),
+        ("seed-nodes", "10.1.0.13"),
+        ("listen-addresses.outbound", "10.1.0.8:99999"),
+        ("bounds.cold-slack", None),
+        ("limits.max-file-descriptors", "1.5"),
+        ("node-name", ""),
+    ],
+)
 def test_a_missing_or_bad_field_is_named(field, value):
     lines = [line for line in GOOD.splitlines() if not line.startswith(field + "=")]
     if value is not None:
         lines.append(f"{field}={value}")
-    with pytest.raises(Breakdown) as caught:
+    with pytest.raises(MeshError) as caught:
         parse_config("\n".join(lines))
     assert field in caught.value.reason
 
@@ -91,7 +101,10 @@
     path.write_text(GOOD + change)
     done = subprocess.run(
         [sys.executable, "-m", "marblefold", "proxy", "--check_settings"],
-        env={**os.environ, "MARBLEFOLD_NODE_FILE": str(path)}, capture_output=True, text=True)
+        env={**os.environ, "MARBLEFOLD_NODE_FILE": str(path)},
+        capture_output=True,
+        text=True,
+    )
     event = json.loads(done.stdout)
     assert done.returncode == status
     assert status == 0 or "zone" in event["reason"]
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,5 +1,6 @@
 """One owner for a service: no two sites ever serve it at the same moment."""
 
+import contextlib
 import json
 import types
 
@@ -7,13 +8,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
+from marblefold.leases.held_leases import Grant, HeldLeases
 from marblefold.ownership.agent import OWNER_PREFIX, SiteAgent
 from marblefold.ownership.claims import Claim, Owner, Verdict, find_clashes, settle
 from marblefold.request_path.guard import Guard
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.terms.held_terms import Grant, HeldTerms
 
 LISTED = ("north", "south")
 WORD = json.dumps({"services": {"orders": LISTED}}).encode()
@@ -22,10 +23,14 @@
 def test_the_rule_of_claims():
     nobody, north = Owner.read(b""), Owner("north", "n", 3, 7)
     assert settle(LISTED, nobody, Claim("stray", "x", 0, 0), True)[0] is Verdict.REFUSED
-    assert settle(LISTED, nobody, Claim("south", "s", 0, 0), False, frozenset({"north"}))[0] \
+    assert (
+        settle(LISTED, nobody, Claim("south", "s", 0, 0), False, frozenset({"north"}))[0]
         is Verdict.WAITING
+    )
     assert settle(LISTED, nobody, Claim("south", "s", 0, 0), False) == (
-        Verdict.OWNER, Owner("south", "s", 1, 0))
+        Verdict.OWNER,
+        Owner("south", "s", 1, 0),
+    )
     assert settle(LISTED, north, Claim("north", "n", 3, 7), False)[1].renewals == 8
     # An empty disk, an old copy of the disk, and the same name elsewhere.
     for claim in (Claim("north", "n", 0, 0), Claim("north", "n", 3, 6), Claim("north", "x", 3, 7)):
@@ -47,39 +52,42 @@
         self.world, self.site, self.rate, self.guard_rate = world, site, rate, guard_rate
         self.agent_name, self.records = agent, records
         self.is_cut = False
-        self.terms = HeldTerms()
+        self.leases = HeldLeases()
         self.start()
 
     def start(self):
         self.agent = SiteAgent(
-            self.site, self.agent_name, self, self.records, self.world.claimed,
-            clock=lambda: self.world.now * self.rate)
-        self.agent.take_word(WORD)
+            self.site,
+            self.agent_name,
+            self,
+            self.records,
+            self.world.claimed,
+            clock=lambda: self.world.now * self.rate,
+        )
+        self.agent.take_record(WORD)
 
     async def ask(self, kind, register, number=0, value=b""):
         if self.is_cut:
-            raise Breakdown(kind, "cut off")
+            raise MeshError(kind, "cut off")
         held = self.world.registers.setdefault(register, types.SimpleNamespace(number=0, value=b""))
         if kind == "duty" and held.number == number:
             held = types.SimpleNamespace(number=number + 1, value=value)
             self.world.registers[register] = held
             # Held, but whoever asked never hears of it.
             if self.world.loses_answers:
-                raise Breakdown(kind, "answer lost")
+                raise MeshError(kind, "answer lost")
         return held
 
     def step(self):
-        try:
+        with contextlib.suppress(StopIteration, MeshError):
             self.agent.step("orders").send(None)
-        except (StopIteration, Breakdown):
-            pass
 
-    def renew_terms(self):
-        asking = self.terms.ask(self.world.now * self.guard_rate)
+    def renew_leases(self):
+        asking = self.leases.ask(self.world.now * self.guard_rate)
         return Grant(asking, 0.0, "", self.agent.grants())
 
     def epoch(self):
-        return self.terms.epoch("orders", self.world.now * self.guard_rate)
+        return self.leases.epoch("orders", self.world.now * self.guard_rate)
 
 
 class Disk:
@@ -101,7 +109,9 @@
         self.sites = [
             Site(self, name, agent, rates[2 * index], rates[2 * index + 1], Disk())
             for index, (name, agent) in enumerate(
-                (("north", "n"), ("south", "s"), ("stray", "x"), ("north", "y")))]
+                (("north", "n"), ("south", "s"), ("stray", "x"), ("north", "y"))
+            )
+        ]
 
     def claimed(self):
         return {"orders": {(site.site, site.agent_name) for site in self.sites}}
@@ -127,13 +137,13 @@
     @rule(index=st.integers(0, 3))
     def renew(self, index):
         site = self.world.sites[index]
-        self.grants.append((site.terms, site.renew_terms()))
+        self.grants.append((site.leases, site.renew_leases()))
 
     @rule(place=st.integers(0, 20))
     def deliver(self, place):
         if self.grants:
-            terms, grant = self.grants.pop(place % len(self.grants))
-            terms.take(grant, "-")
+            leases, grant = self.grants.pop(place % len(self.grants))
+            leases.take(grant, "-")
 
     @rule(seconds=st.sampled_from([0.1, 0.7, 1.5, 3.2]))
     def turn(self, seconds):
@@ -169,7 +179,7 @@
 
 
 def frozen_owner(monkeypatch):
-    """The owner's machines sleep through their term while another takes over.
+    """The owner's machines sleep through their lease while another takes over.
 
     Every order is offered first where an old view points, then where the new
     one does, as long as it was never offered: how many run it?
@@ -178,21 +188,22 @@
     north, south = world.sites[:2]
     world.sites = [north, south]
     north.step()
-    north.terms.take(north.renew_terms(), "-")
+    north.leases.take(north.renew_leases(), "-")
     assert north.epoch() == 1 and world.serving() == [north]
     south.step()
     world.now += 4.0
     north.is_cut = True
     south.step()
-    south.terms.take(south.renew_terms(), "-")
+    south.leases.take(south.renew_leases(), "-")
     owner = Owner.read(world.registers[OWNER_PREFIX + "orders"].value)
     assert (owner.site, owner.epoch) == ("south", 2) and south.epoch() == 2
     ran = 0
     monkeypatch.setattr(
-        "marblefold.request_path.guard.time", types.SimpleNamespace(monotonic=lambda: world.now))
+        "marblefold.request_path.guard.time", types.SimpleNamespace(monotonic=lambda: world.now)
+    )
     for site, epoch_of_sender in ((north, 1), (south, 2)):
         view = MeshView("node")
-        view.terms = site.terms
+        view.leases = site.leases
         guard = Guard(None, view, None)
         ran += guard._is_owner(kinds.RequestHead(upstream="orders", owner_epoch=epoch_of_sender))
     return ran
@@ -224,7 +235,7 @@
         copy.start()
         for site in (north, copy, world.sites[2]):
             site.step()
-            site.terms.take(site.renew_terms(), "-")
+            site.leases.take(site.renew_leases(), "-")
         assert world.serving() == [north]
         world.now += 0.7
     assert copy.agent.verdicts["orders"] is Verdict.REFUSED
--- a/tests/test_partner_terms.py
+++ b/tests/test_partner_leases.py
@@ -4,15 +4,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
-from marblefold.terms.held_terms import HeldTerms
-from tests.simulated_terms import SimulatedNode, SimulatedRegistry, World, digest_of
+from marblefold.leases.held_leases import HeldLeases
+from tests.simulated_leases import SimulatedNode, SimulatedRegistry, World, digest_of
 
 PREFIXES = ("/a/", "/b/")
 NODES, REGISTRIES = 4, 2
 RATES = st.floats(0.98, 1.02)
 
 
-class PartnerTerms(RuleBasedStateMachine):
+class PartnerLeases(RuleBasedStateMachine):
     """Messages are held, delivered in any order, or lost for good."""
 
     @initialize(rates=st.lists(RATES, min_size=NODES + REGISTRIES, max_size=NODES + REGISTRIES))
@@ -46,6 +46,7 @@
         def answer():
             granted = registry.granter.grant(asking)
             self.messages.append(lambda: asker.take(granted))
+
         self.messages.append(answer)
 
     @rule(index=st.integers(0, NODES - 1), which=st.integers(0, REGISTRIES - 1))
@@ -98,14 +99,13 @@
                 node.hear(duty.number, duty.value)
                 node.asker.take(self.registries[0].granter.grant(node.ask()))
                 assert node.view.partners.digest == digest_of(self.world)
-                assert node.view.terms.may_use_partners(node.clock)
+                assert node.view.leases.may_use_partners(node.clock)
         for registry in self.registries:
             registry.drop_read()
 
 
-TestPartnerTerms = PartnerTerms.TestCase
-TestPartnerTerms.settings = settings(
-    max_examples=60, stateful_step_count=60, deadline=None)
+TestPartnerLeases = PartnerLeases.TestCase
+TestPartnerLeases.settings = settings(max_examples=60, stateful_step_count=60, deadline=None)
 
 
 def carry_over_a_withdrawal(is_cut_off):
@@ -137,13 +137,14 @@
         assert world.forbidden_carried == 0 and world.carried == 0
 
 
-def test_the_simulation_shows_what_the_term_is_for(monkeypatch):
-    monkeypatch.setattr(HeldTerms, "may_use_partners", lambda self, now: True)
+def test_the_simulation_shows_what_the_lease_is_for(monkeypatch):
+    monkeypatch.setattr(HeldLeases, "may_use_partners", lambda self, now: True)
     assert carry_over_a_withdrawal(True).forbidden_carried == 2
 
 
 def test_the_simulation_shows_what_the_far_end_check_is_for(monkeypatch):
     monkeypatch.setattr(
-        "marblefold.gateway.partner_hops.PartnerHops.may_leave", lambda *_args: True)
+        "marblefold.gateway.partner_hops.PartnerHops.may_leave", lambda *_args: True
+    )
     assert carry_over_a_withdrawal(False).forbidden_carried == 1
     assert carry_over_a_withdrawal(True).forbidden_carried == 1
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -7,22 +7,44 @@
 from hypothesis import strategies as st
 
 from marblefold.partners.document import (
-    Document, Refused, grant_partner, lapse, put_exports, withdraw_partner)
+    Document,
+    Refused,
+    grant_partner,
+    lapse,
+    put_exports,
+    withdraw_partner,
+)
 from marblefold.partners.merging import merge
-from marblefold.partners.words import is_credential, read_exports, read_grant
+from marblefold.partners.orders import is_credential, read_exports, read_grant
 
 SECRET = "a-long-enough-secret"
 
 
 def grant(number=1, hosts=("one",), **more):
-    return read_grant(json.dumps({
-        "number": number, "hosts": list(hosts), "address": "10.0.0.1:80",
-        "credential": SECRET, **more}).encode())
+    return read_grant(
+        json.dumps(
+            {
+                "number": number,
+                "hosts": list(hosts),
+                "address": "10.0.0.1:80",
+                "credential": SECRET,
+                **more,
+            }
+        ).encode()
+    )
 
 
 def exports(number, *places):
-    return read_exports(json.dumps({"number": number, "exports": [
-        {"host": host, "prefix": prefix, "kind": "read_only"} for host, prefix in places]}).encode())
+    return read_exports(
+        json.dumps(
+            {
+                "number": number,
+                "exports": [
+                    {"host": host, "prefix": prefix, "kind": "read_only"} for host, prefix in places
+                ],
+            }
+        ).encode()
+    )
 
 
 def refusal(change, *arguments):
@@ -43,9 +65,9 @@
     again = put_exports(document, "yard", exports(4, ("one", "/open/")))
     assert again.partners["yard"]["reads"] == 2
     assert refusal(put_exports, document, "yard", exports(4)).status == 409
-    assert merge(2, withdraw_partner(document, "yard").pack()).mappings == {}
+    assert merge(2, withdraw_partner(document, "yard").pack()).routes == {}
     silent = lapse(document, "yard", 1)
-    assert merge(2, silent.pack()).mappings == {}
+    assert merge(2, silent.pack()).routes == {}
     assert lapse(again, "yard", 1) == again
     back = put_exports(silent, "yard", exports(4, ("one", "/open/")))
     assert merge(3, back.pack()).digest == table.digest
@@ -64,15 +86,23 @@
     assert refusal(grant_partner, document, "yard", grant()).status == 409
 
 
-@pytest.mark.parametrize("body, place", [
-    (b"{", "body"), (b"[]", "body"),
-    (b'{"number": 1, "exports": [{"host": "a", "prefix": "x", "kind": "read_only"}]}',
-     "exports[0].prefix"),
-    (b'{"number": true, "exports": []}', "number"),
-    (b'{"number": 1, "exports": [{"host": "a", "prefix": "/x/", "kind": "odd"}]}',
-     "exports[0].kind"),
-    (b'{"number": 1, "exports": [], "more": 1}', "more"),
-])
+@pytest.mark.parametrize(
+    "body, place",
+    [
+        (b"{", "body"),
+        (b"[]", "body"),
+        (
+            b'{"number": 1, "exports": [{"host": "a", "prefix": "x", "kind": "read_only"}]}',
+            "exports[0].prefix",
+        ),
+        (b'{"number": true, "exports": []}', "number"),
+        (
+            b'{"number": 1, "exports": [{"host": "a", "prefix": "/x/", "kind": "odd"}]}',
+            "exports[0].kind",
+        ),
+        (b'{"number": 1, "exports": [], "more": 1}', "more"),
+    ],
+)
 def test_bad_words_are_refused_with_their_place(body, place):
     with pytest.raises(ExceptionGroup) as caught:
         read_exports(body)
@@ -88,8 +118,11 @@
     assert "12345678901234567" not in str([fault.reason for fault in caught.value.exceptions])
 
 
-PLACES = st.lists(st.tuples(st.sampled_from(["one", "two"]), st.sampled_from(
-    ["/", "/a/", "/a/b/", "/c/"])), unique=True, max_size=5)
+PLACES = st.lists(
+    st.tuples(st.sampled_from(["one", "two"]), st.sampled_from(["/", "/a/", "/a/b/", "/c/"])),
+    unique=True,
+    max_size=5,
+)
 
 
 @given(PLACES, st.sampled_from(["/", "/a", "/a/", "/a/b/c", "/c/x", "/d/"]), st.randoms())
@@ -99,8 +132,10 @@
     shuffled = list(places)
     random.shuffle(shuffled)
     other = put_exports(
-        grant_partner(Document({}), "yard", grant(hosts=("two", "one"))), "yard",
-        exports(1, *shuffled))
+        grant_partner(Document({}), "yard", grant(hosts=("two", "one"))),
+        "yard",
+        exports(1, *shuffled),
+    )
     table = merge(1, document.pack())
     assert table.digest == merge(7, other.pack()).digest
     best = ""
--- a/tests/test_peer_connections.py
+++ b/tests/test_peer_connections.py
@@ -19,7 +19,7 @@
     def on_hop(self, exchange, payload):
         self.hops.append((exchange, payload))
 
-    def on_lost(self, stream):
+    def on_lost(self, connection):
         self.lost += 1
 
 
@@ -27,28 +27,30 @@
     async def test():
         loop, far, near = asyncio.get_running_loop(), Owner(), Owner()
         server = await loop.create_server(lambda: PeerConnection(far), "127.0.0.1", 0)
-        peer = "127.0.0.1:%d" % server.sockets[0].getsockname()[1]
+        peer = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         book = PeerBook(near, keep_alive=PEER_KEEP_ALIVE)
-        stream = await book.reach(peer)
-        handle = stream._transport.get_extra_info("socket")
+        connection = await book.reach(peer)
+        handle = connection._transport.get_extra_info("socket")
         assert handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE) == PEER_KEEP_ALIVE
-        exchange = stream.open_exchange()
+        exchange = connection.open_exchange()
         book.drop_idle(peer)
         # A hop under way is not cut off by a suspicion.
-        assert book.find(peer) is stream
+        assert book.find(peer) is connection
         exchange.close()
         book.drop_idle(peer)
         assert book.find(peer) is None
-        assert await book.reach(peer) is not stream
+        assert await book.reach(peer) is not connection
         book.close()
         server.close()
+
     asyncio.run(test())
 
 
 def test_a_prober_says_when_it_has_something_to_do():
     config = ProberConfig()
     prober = Prober(
-        Member("a", "a", "proxy", "hall", 1, 0, Liveness.ALIVE), list, config=config, seed=1)
+        Member("a", "a", "proxy", "hall", 1, 0, Liveness.ALIVE), list, config=config, seed=1
+    )
     prober.table.take(Member("b", "b", "proxy", "hall", 1, 0, Liveness.ALIVE), 0.0)
     now = 10.0
     for _ in range(12):
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -9,42 +9,63 @@
 from hypothesis import strategies as st
 
 from marblefold.planner.comparing import compare
-from marblefold.planner.facts import Facts, read_spec_rows
+from marblefold.planner.facts import Facts, read_configuration_rows
 from marblefold.planner.proposing import Proposal, propose
 from marblefold.request_path.mesh_view import KnownTarget
 
 
-def make_spec(number=1, **mappings):
-    """Mappings by name: a dict of weights by upstream."""
-    return json.dumps({
-        "spec-number": number,
-        "mapping-list": [
-            {"name": name, "host-name": "h", "path-prefix": f"/{name}/",
-             "mapping-kind": "read_only", "time-limit-ms": 1000, "target-latency-ms": 100,
-             "attempt-limit": 2, "upstream-split": [
-                 {"upstream": upstream, "weight": weight} for upstream, weight in split.items()]}
-            for name, split in mappings.items()],
-        "upstream-list": [{"name": "a"}, {"name": "b"}], "limits": {}}).encode()
+def make_configuration(number=1, **routes):
+    """Routes by name: a dict of weights by upstream."""
+    return json.dumps(
+        {
+            "config-version": number,
+            "route-list": [
+                {
+                    "name": name,
+                    "host-name": "h",
+                    "path-prefix": f"/{name}/",
+                    "route-type": "read_only",
+                    "timeout-ms": 1000,
+                    "target-latency-ms": 100,
+                    "max-attempts": 2,
+                    "weighted-targets": [
+                        {"upstream": upstream, "weight": weight}
+                        for upstream, weight in split.items()
+                    ],
+                }
+                for name, split in routes.items()
+            ],
+            "service-list": [{"name": "a"}, {"name": "b"}],
+            "limits": {},
+        }
+    ).encode()
 
 
 def make_target(instance, upstream="a", zone="x", slots=10, draining=False, cold=0.0):
-    return KnownTarget(
-        instance, "", zone, "here", instance, upstream, slots, draining, cold, False)
+    return KnownTarget(instance, "", zone, "here", instance, upstream, slots, draining, cold, False)
 
 
 TARGETS = (
-    make_target("a1"), make_target("a2", zone="y"), make_target("b1", "b", "y", 5),
-    make_target("a3", cold=1.0), make_target("a4", draining=True))
+    make_target("a1"),
+    make_target("a2", zone="y"),
+    make_target("b1", "b", "y", 5),
+    make_target("a3", cold=1.0),
+    make_target("a4", draining=True),
+)
 
 
-def make_facts(targets=TARGETS, **mappings):
-    return Facts(read_spec_rows(make_spec(1, **(mappings or {"m": {"a": 1.0}}))), targets,
-                 frozenset(), ("s1", "s2", "s3"))
+def make_facts(targets=TARGETS, **routes):
+    return Facts(
+        read_configuration_rows(make_configuration(1, **(routes or {"m": {"a": 1.0}}))),
+        targets,
+        frozenset(),
+        ("s1", "s2", "s3"),
+    )
 
 
-def test_mappings_and_shares_that_move_are_shown():
+def test_routes_and_shares_that_move_are_shown():
     before = make_facts(m={"a": 1}, gone={"a": 1})
-    rows = read_spec_rows(make_spec(2, m={"a": 1, "b": 3}, new={"b": 1}))
+    rows = read_configuration_rows(make_configuration(2, m={"a": 1, "b": 3}, new={"b": 1}))
     moved = compare(before, propose(before, Proposal(rows)), {}, {"m": 30.0, "new": 10.0})
     assert (moved.added, moved.removed) == (("new",), ("gone",))
     assert {change.field for change in moved.changed} == {"upstreams", "weights"}
@@ -63,21 +84,24 @@
     assert bad.faults == ("a: 10 slots left, the floor is 11",)
 
 
-def test_an_evacuation_that_leaves_a_mapping_without_targets_is_harmful():
+def test_an_evacuation_that_leaves_a_route_without_targets_is_harmful():
     before = make_facts(m={"b": 1})
     moved = compare(before, propose(before, Proposal(evacuations=("y",))), {}, {})
-    assert "mapping m: no target of b is left" in moved.faults
+    assert "route m: no target of b is left" in moved.faults
     assert [share for share in moved.zones if share.name == "(nowhere)"][0].after == 1.0
 
 
-@pytest.mark.parametrize("proposal, fault", [
-    (Proposal(drains=("zz",)), "no target 'zz'"),
-    (Proposal(evacuations=("zz",)), "zone 'zz'"),
-    (Proposal(swaps=("s9=s4",)), "no member"),
-    (Proposal(swaps=("s1=s2",)), "member already"),
-    (Proposal(swaps=("s1",)), "OLD=NEW"),
-    (Proposal(rows=read_spec_rows(make_spec(1, m={"a": 1}))), "not above"),
-])
+@pytest.mark.parametrize(
+    "proposal, fault",
+    [
+        (Proposal(drains=("zz",)), "no target 'zz'"),
+        (Proposal(evacuations=("zz",)), "zone 'zz'"),
+        (Proposal(swaps=("s9=s4",)), "no member"),
+        (Proposal(swaps=("s1=s2",)), "member already"),
+        (Proposal(swaps=("s1",)), "OLD=NEW"),
+        (Proposal(rows=read_configuration_rows(make_configuration(1, m={"a": 1}))), "not above"),
+    ],
+)
 def test_a_proposal_that_cannot_be_is_refused_with_its_place(proposal, fault):
     with pytest.raises(ExceptionGroup) as caught:
         propose(make_facts(), proposal)
@@ -85,16 +109,25 @@
 
 
 @given(
-    targets=st.lists(st.tuples(
-        st.sampled_from("ab"), st.sampled_from("xyz"), st.integers(1, 9), st.booleans(),
-        st.booleans()), max_size=8),
-    evacuated=st.sets(st.sampled_from("xyz")), drained=st.sets(st.integers(0, 7)),
+    targets=st.lists(
+        st.tuples(
+            st.sampled_from("ab"),
+            st.sampled_from("xyz"),
+            st.integers(1, 9),
+            st.booleans(),
+            st.booleans(),
+        ),
+        max_size=8,
+    ),
+    evacuated=st.sets(st.sampled_from("xyz")),
+    drained=st.sets(st.integers(0, 7)),
     floor=st.integers(0, 40),
 )
 def test_capacity_agrees_with_a_plain_count(targets, evacuated, drained, floor):
     known = tuple(
         make_target(f"t{index}", upstream, zone, slots, draining, float(cold))
-        for index, (upstream, zone, slots, draining, cold) in enumerate(targets))
+        for index, (upstream, zone, slots, draining, cold) in enumerate(targets)
+    )
     before = make_facts(known)
     drains = tuple(f"t{index}" for index in drained if index < len(known))
     zones = tuple(zone for zone in evacuated if any(target.zone == zone for target in known))
@@ -112,27 +145,44 @@
         (folder / name).write_bytes(data)
     return subprocess.run(
         [sys.executable, "-m", "marblefold", "plan", *arguments],
-        capture_output=True, text=True, cwd=".")
+        capture_output=True,
+        text=True,
+        cwd=".",
+    )
 
 
-STATE = json.dumps({
-    "targets": [{"instance": "a1", "upstream": "a", "zone": "x", "capacity-slots": 10,
-                 "state": "ready"}], "members": ["s1"]}).encode()
+STATE = json.dumps(
+    {
+        "targets": [
+            {"instance": "a1", "upstream": "a", "zone": "x", "capacity-slots": 10, "state": "ready"}
+        ],
+        "members": ["s1"],
+    }
+).encode()
 
 
 def test_the_command_tells_by_its_exit_status_what_it_found(tmp_path):
-    files = {"now": make_spec(1, m={"a": 1}), "then": make_spec(2, m={"a": 1}, n={"a": 1}),
-             "state": STATE, "floors": b'{"a": 10}', "bad": make_spec(3, m={"zz": 1})}
+    files = {
+        "now": make_configuration(1, m={"a": 1}),
+        "then": make_configuration(2, m={"a": 1}, n={"a": 1}),
+        "state": STATE,
+        "floors": b'{"a": 10}',
+        "bad": make_configuration(3, m={"zz": 1}),
+    }
     base = [f"--current={tmp_path}/now", f"--state={tmp_path}/state"]
     fine = plan(tmp_path, *base, f"--proposed={tmp_path}/then", **files)
-    assert fine.returncode == 0 and "mapping n: added" in fine.stdout
+    assert fine.returncode == 0 and "route n: added" in fine.stdout
     harmful = plan(tmp_path, *base, "--drain=a1", f"--floors={tmp_path}/floors", "--json")
     assert harmful.returncode == 1 and json.loads(harmful.stdout)["harmful"]
     invalid = plan(tmp_path, *base, f"--proposed={tmp_path}/bad")
     assert invalid.returncode == 1 and "zz" in invalid.stderr
-    for arguments in (["--drain=a1"], [*base, "--no_such_flag"], [f"--current={tmp_path}/none"],
-                      [*base[:1], f"--state={tmp_path}/floors", f"--floors={tmp_path}/now"],
-                      ["--from_system=127.0.0.1:9"]):
+    for arguments in (
+        ["--drain=a1"],
+        [*base, "--no_such_flag"],
+        [f"--current={tmp_path}/none"],
+        [*base[:1], f"--state={tmp_path}/floors", f"--floors={tmp_path}/now"],
+        ["--from_system=127.0.0.1:9"],
+    ):
         wrong = plan(tmp_path, *arguments)
         assert wrong.returncode == 2, wrong
         assert "Traceback" not in wrong.stderr + wrong.stdout
--- a/tests/test_region_loss.py
+++ b/tests/test_region_loss.py
@@ -29,26 +29,32 @@
 
 def darken(monkeypatch, document, lost, rate, clients_move=False):
     """What really happens, several times; the document then holds the traffic counted."""
+
     async def make(seed):
         mesh = SimulatedMesh(document, rate, seed, clients_move)
         mesh.loss_at = await mesh.run(lost, WARM, AFTER)
         return mesh
+
     return [run_simulated(monkeypatch, lambda seed=seed: make(seed)) for seed in range(LOSSES)]
 
 
 def forecast_of(document, lost, clients_move=False):
     snapshot = read_snapshot(json.dumps(document).encode())
-    return rehearse(snapshot, lost, PlayConfig(
-        warm_seconds=4.0, after_seconds=AFTER, plays=PLAYS, clients_move=clients_move))
+    return rehearse(
+        snapshot,
+        lost,
+        PlayConfig(warm_seconds=4.0, after_seconds=AFTER, plays=PLAYS, clients_move=clients_move),
+    )
 
 
 def find_misses(forecast, meshes):
     """Every figure of the forecast that is not within the stated tolerance."""
     settled = detection_seconds(len(meshes[0].nodes))
     known_until = AFTER - 1.5
-    # By mapping, with the time as seen from the loss.
-    endings = [(ending, ending.arrived - mesh.loss_at) for mesh in meshes
-               for ending in mesh.endings]
+    # By route, with the time as seen from the loss.
+    endings = [
+        (ending, ending.arrived - mesh.loss_at) for mesh in meshes for ending in mesh.endings
+    ]
     spans = ((WARM * 2 / 3 - 0.5) * len(meshes), (known_until - settled) * len(meshes))
     misses = []
 
@@ -57,24 +63,39 @@
             misses.append(f"{what}: forecast {told:.2f}, happened {found:.2f}")
 
     def scatter(*counts_and_spans):
-        return FLOOR + DEVIATIONS * sum(
-            count / span ** 2 for count, span in counts_and_spans) ** 0.5
+        return FLOOR + DEVIATIONS * sum(count / span**2 for count, span in counts_and_spans) ** 0.5
 
     for kind in forecast.kinds:
-        ended = [(e, at) for e, at in endings if e.mapping == kind.mapping]
+        ended = [(e, at) for e, at in endings if e.route == kind.route]
         before = [e for e, at in ended if -WARM * 2 / 3 <= at < -0.5]
         after = [e for e, at in ended if settled <= at < known_until]
-        name = kind.mapping
-        compare(f"{name} before", kind.before, len(before) / spans[0], SHARE,
-                scatter((len(before), spans[0])))
+        name = kind.route
+        compare(
+            f"{name} before",
+            kind.before,
+            len(before) / spans[0],
+            SHARE,
+            scatter((len(before), spans[0])),
+        )
         gone = len(before) / spans[0] - len(after) / spans[1]
-        compare(f"{name} gone", kind.gone_with_clients, max(0.0, gone), SHARE,
-                scatter((len(before), spans[0]), (len(after), spans[1])))
+        compare(
+            f"{name} gone",
+            kind.gone_with_clients,
+            max(0.0, gone),
+            SHARE,
+            scatter((len(before), spans[0]), (len(after), spans[1])),
+        )
         is_read = kind.kind == "read_only"
-        stalled = sum(1 for e in after if e.status in (429, 503) or (
-            is_read and e.status in (502, 504)))
-        compare(f"{name} stalls", kind.stalls_after, stalled / spans[1], SHARE,
-                scatter((stalled, spans[1])))
+        stalled = sum(
+            1 for e in after if e.status in (429, 503) or (is_read and e.status in (502, 504))
+        )
+        compare(
+            f"{name} stalls",
+            kind.stalls_after,
+            stalled / spans[1],
+            SHARE,
+            scatter((stalled, spans[1])),
+        )
         carried = [e for e in after if e.status == 200]
         total = sum(kind.zones_after.values())
         for zone in set(kind.zones_after) | {e.zone for e in carried}:
@@ -82,10 +103,18 @@
                 share = sum(1 for e in carried if e.zone == zone) / len(carried)
                 told = kind.zones_after.get(zone, 0.0) / total
                 compare(f"{name} share of {zone}", told, share, 0.0, ZONE_SHARE)
-        doubles = 0 if is_read else sum(
-            1 for e, at in ended if e.was_dark and e.status in (0, 502, 504) and at > -5)
-        compare(f"{name} may go twice", kind.may_go_twice, doubles / len(meshes),
-                DOUBLES_SHARE, scatter((doubles, len(meshes))))
+        doubles = (
+            0
+            if is_read
+            else sum(1 for e, at in ended if e.was_dark and e.status in (0, 502, 504) and at > -5)
+        )
+        compare(
+            f"{name} may go twice",
+            kind.may_go_twice,
+            doubles / len(meshes),
+            DOUBLES_SHARE,
+            scatter((doubles, len(meshes))),
+        )
     return misses
 
 
@@ -122,8 +151,8 @@
 
 
 def ignore_homes(document):
-    for row in document["spec"]["mapping-list"]:
-        row.pop("home-regions", None)
+    for row in document["configuration"]["route-list"]:
+        row.pop("allowed-regions", None)
 
 
 def ignore_sizes(document):
@@ -132,9 +161,14 @@
         row["kilobytes"] = 40.0
 
 
-@pytest.mark.parametrize("scene, ignore, miss", (
-    ("full capacity", ignore_capacity, "stalls"), ("homes", ignore_homes, "book stalls"),
-    ("room enough", ignore_sizes, "book may go twice")))
+@pytest.mark.parametrize(
+    "scene, ignore, miss",
+    (
+        ("full capacity", ignore_capacity, "stalls"),
+        ("homes", ignore_homes, "book stalls"),
+        ("room enough", ignore_sizes, "book may go twice"),
+    ),
+)
 def test_the_comparison_fails_for_a_forecast_that_ignores(monkeypatch, scene, ignore, miss):
     more, lost, rate = SCENES[scene]
     document = make_document(**more)
@@ -145,16 +179,20 @@
 
 def test_a_simulated_mesh_learns_by_its_own_clock_only(monkeypatch):
     # A machine up for longer than the simulated clock shows: what was learned by
-    # the machine's clock would lie in the future of whoever nominates.
+    # the machine's clock would lie in the future of whoever selects.
     machine_clock = time.monotonic
     monkeypatch.setattr(time, "monotonic", lambda: machine_clock() + 1e6)
 
     async def make():
         mesh = SimulatedMesh(make_document(), 60.0)
         await mesh.run(EAST, 3.0, 2.0)
-        records = [record for node in mesh.nodes.values()
-                   for record in node.surroundings.nominator._records.values()]
+        records = [
+            record
+            for node in mesh.nodes.values()
+            for record in node.surroundings.selector._records.values()
+        ]
         return records, time.monotonic()
+
     records, now = run_simulated(monkeypatch, make)
     learned = [record._latency_at for record in records if record._latency]
     assert len(learned) > 50 and now - 10.0 < min(learned) and max(learned) <= now
--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -11,14 +11,22 @@
 
 
 def request(mesh, path, attempt, method="GET"):
-    return ask(SIDES[0], mesh.outbound, method, path,
-               (f"Attempt-Id: {attempt}", "Deadline-Ms: 3000"))
+    return ask(
+        SIDES[0], mesh.outbound, method, path, (f"Attempt-Id: {attempt}", "Deadline-Ms: 3000")
+    )
 
 
 async def rehearse(mesh, *words):
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "marblefold", "rehearse", f"--registry={CORE}:{mesh.control}",
-        *words, stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+        sys.executable,
+        "-m",
+        "marblefold",
+        "rehearse",
+        f"--registry={CORE}:{mesh.control}",
+        *words,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
     output, errors = await process.communicate()
     return process.returncode, output.decode(), errors.decode()
 
@@ -30,8 +38,13 @@
         mesh.proxies.pop()
         (tmp_path / "boot.conf").write_text(mesh.configs[1])
         far = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "marblefold", "proxy", stdout=asyncio.subprocess.DEVNULL,
-            env={**os.environ, "MARBLEFOLD_NODE_FILE": str(tmp_path / "boot.conf")})
+            sys.executable,
+            "-m",
+            "marblefold",
+            "proxy",
+            stdout=asyncio.subprocess.DEVNULL,
+            env={**os.environ, "MARBLEFOLD_NODE_FILE": str(tmp_path / "boot.conf")},
+        )
         await mesh.start()
         near = mesh.proxies[0]
         try:
@@ -53,19 +66,20 @@
                 registry._traffic._before[node] = heard._replace(at=heard.at - 10.0)
             before = state_of(mesh)
             status, shown, errors = await rehearse(
-                mesh, "--lose_region=there", "--as_json", f"--save={tmp_path}/kept.json")
+                mesh, "--lose_region=there", "--as_json", f"--save={tmp_path}/kept.json"
+            )
             assert status in (0, 1), errors
             forecast = json.loads(shown)
-            # Nothing was touched: no run, no spec, no entry changed by it.
+            # Nothing was touched: no run, no configuration, no entry changed by it.
             assert state_of(mesh) == before
-            kinds = {row["mapping"]: row for row in forecast["services"]}
+            kinds = {row["route"]: row for row in forecast["services"]}
             assert set(kinds) == {"read", "book"}
             for row in kinds.values():
                 assert set(row["zones-after"]) == {"hall"} and row["stalls-after"] == 0
             assert [row for row in forecast["capacity"] if row["upstream"] == "quotes"][0][
-                "slots-after"] == 4 and forecast["control"]["has-majority"]
-            status, again, _errors = await rehearse(
-                mesh, "--lose_region=nowhere")
+                "slots-after"
+            ] == 4 and forecast["control"]["has-majority"]
+            status, again, _errors = await rehearse(mesh, "--lose_region=nowhere")
             assert status == 2 and "nowhere" in _errors
             # An order and a lookup are held at the far target when it goes dark.
             held = await hold_at_far(mesh)
@@ -85,18 +99,28 @@
             if far.returncode is None:
                 far.kill()
             await mesh.stop()
+
     asyncio.run(test())
 
 
 def count_told(registry):
-    return sum(row.requests for node, heard in registry._traffic._last.items()
-               if node in registry._traffic._before for row in heard.notice.mappings)
+    return sum(
+        row.requests
+        for node, heard in registry._traffic._last.items()
+        if node in registry._traffic._before
+        for row in heard.notice.routes
+    )
 
 
 def state_of(mesh):
     view = mesh.proxies[0].view
-    return (view.table.number, sorted(view._versions.items()), set(view.evacuated),
-            [len(target.ran) for target in mesh.targets], mesh.registry.catalogue.place)
+    return (
+        view.table.number,
+        sorted(view._versions.items()),
+        set(view.evacuated),
+        [len(target.ran) for target in mesh.targets],
+        mesh.registry.catalogue.place,
+    )
 
 
 async def hold_at_far(mesh):
@@ -109,13 +133,15 @@
         await asyncio.Event().wait()
 
     far_target.in_run = stay
-    # Only the far one is nominated while the near one says that it is draining.
+    # Only the far one is selected while the near one says that it is draining.
     view = mesh.proxies[0].view
     node = f"n-{SIDES[0]}"
     kept = view._targets["quotes"][node]
     view._targets["quotes"][node] = kept._replace(is_draining=True)
-    tasks = [asyncio.create_task(request(mesh, "/book/x", "order", "POST")),
-             asyncio.create_task(request(mesh, "/read/x", "lookup"))]
+    tasks = [
+        asyncio.create_task(request(mesh, "/book/x", "order", "POST")),
+        asyncio.create_task(request(mesh, "/read/x", "lookup")),
+    ]
     async with asyncio.timeout(10):
         while len(reached) < 2:
             await asyncio.sleep(0)
--- a/tests/test_register_files.py
+++ b/tests/test_register_files.py
@@ -5,15 +5,15 @@
 
 import pytest
 
-from marblefold.spec_store.register_files import RegisterFiles
+from marblefold.register_store.register_files import RegisterFiles
 
 
 def test_the_newest_record_is_loaded_and_older_pairs_are_gone(tmp_path):
     files = RegisterFiles(str(tmp_path))
     for number in range(4):
-        files.write("spec", b"%d" % number)
+        files.write("configuration", b"%d" % number)
     files.write("view", b"v")
-    assert RegisterFiles(str(tmp_path)).load() == {"spec": b"3", "view": b"v"}
+    assert RegisterFiles(str(tmp_path)).load() == {"configuration": b"3", "view": b"v"}
     assert len([name for name in os.listdir(tmp_path) if name.endswith(".dat")]) == 2
 
 
@@ -21,18 +21,18 @@
 @pytest.mark.parametrize("damage", ["cut", "empty", "missing", "spoilt"])
 def test_a_torn_pair_is_passed_over_for_the_older_one(tmp_path, ending, damage):
     files = RegisterFiles(str(tmp_path))
-    files.write("spec", b"old" * 100)
+    files.write("configuration", b"old" * 100)
     kept = tmp_path / "kept"
     kept.mkdir()
     for name in os.listdir(tmp_path):
         if name != "kept":
             shutil.copy(tmp_path / name, kept / name)
-    files.write("spec", b"new" * 100)
+    files.write("configuration", b"new" * 100)
     # Power went before the older pair was removed, and the newer one is torn.
     for name in os.listdir(kept):
         shutil.copy(kept / name, tmp_path / name)
     shutil.rmtree(kept)
-    path = tmp_path / ("spec".encode().hex() + ".2" + ending)
+    path = tmp_path / (b"configuration".hex() + ".2" + ending)
     data = path.read_bytes()
     if damage == "missing":
         path.unlink()
@@ -40,17 +40,17 @@
         torn = {"cut": data[: len(data) // 2], "empty": b"", "spoilt": b"\0" * len(data)}
         path.write_bytes(torn[damage])
     files = RegisterFiles(str(tmp_path))
-    assert files.load() == {"spec": b"old" * 100}
+    assert files.load() == {"configuration": b"old" * 100}
     # The next write goes above the torn number, never into it.
-    files.write("spec", b"next")
-    assert RegisterFiles(str(tmp_path)).load() == {"spec": b"next"}
+    files.write("configuration", b"next")
+    assert RegisterFiles(str(tmp_path)).load() == {"configuration": b"next"}
 
 
 def test_the_pair_is_synced_before_the_older_one_goes(tmp_path, monkeypatch):
     done = []
     real_fsync, real_remove = os.fsync, os.remove
     monkeypatch.setattr(os, "fsync", lambda handle: (done.append("sync"), real_fsync(handle)))
-    older = "spec".encode().hex() + ".1."
+    older = b"configuration".hex() + ".1."
 
     def remove(path):
         # The library clears the names of a new pair; only the older counts.
@@ -60,7 +60,7 @@
 
     monkeypatch.setattr(os, "remove", remove)
     files = RegisterFiles(str(tmp_path))
-    files.write("spec", b"1")
-    files.write("spec", b"2")
+    files.write("configuration", b"1")
+    files.write("configuration", b"2")
     # Both files and the folder of each pair, before anything of it is removed.
     assert done.index("remove") == 6 and done[:6] == ["sync"] * 6
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -14,8 +14,10 @@
 def make_known(**more):
     document = make_document(**more)
     document["traffic"] = [
-        {"mapping": name, "zone": zone, "per-second": 5.0, "seconds": 0.3}
-        for name in ("look", "book") for zone in document["zones"]]
+        {"route": name, "zone": zone, "per-second": 5.0, "seconds": 0.3}
+        for name in ("look", "book")
+        for zone in document["zones"]
+    ]
     return document
 
 
@@ -53,17 +55,17 @@
     assert sum(kind.gone_with_clients for kind in forecast.kinds) > 10
 
 
-def test_work_is_divided_over_mappings_as_their_whole_times_are():
+def test_work_is_divided_over_routes_as_their_whole_times_are():
     document = make_known()
-    for row in document["spec"]["mapping-list"]:
+    for row in document["configuration"]["route-list"]:
         row["upstream"] = "quotes"
     for row in document["traffic"]:
-        row["seconds"] = 0.1 if row["mapping"] == "look" else 0.5
+        row["seconds"] = 0.1 if row["route"] == "look" else 0.5
     document["service-seconds"] = {"quotes": 0.24}
     play = Play(read_snapshot(json.dumps(document).encode()), EAST)
     assert abs(play.work_seconds("look", "quotes") - 0.08) < 1e-9
     assert abs(play.work_seconds("book", "quotes") - 0.40) < 1e-9
-    # A mapping nobody counted takes what the service takes.
+    # A route nobody counted takes what the service takes.
     assert play.work_seconds("other", "quotes") == 0.24
 
 
@@ -86,13 +88,18 @@
     for torn in (b"", b"[]", good[:-20], b"{}", b'{"format": "marblefold-snapshot", "version": 9}'):
         assert faults_of(torn, ["east"])
     for place, value in (
-            ("taken-at", "yesterday"), ("traffic", [{"mapping": "m"}]), ("zones", {}),
-            ("traffic", [{"mapping": "m", "zone": "nowhere", "per-second": 1, "seconds": 1}]),
-            ("traffic", [{"mapping": "m", "zone": "a1", "per-second": -1, "seconds": 1}]),
-            ("traffic", [{"mapping": "m", "zone": "a1", "per-second": 1, "seconds": 1,
-                          "kilobytes": -2}]),
-            ("service-seconds", {"quotes": 0}), ("spec", {"mapping-list": 3}), ("state", None),
-            ("retry-budget", {"ratio": "much"}), ("owners", {"orders": 1})):
+        ("taken-at", "yesterday"),
+        ("traffic", [{"route": "m"}]),
+        ("zones", {}),
+        ("traffic", [{"route": "m", "zone": "nowhere", "per-second": 1, "seconds": 1}]),
+        ("traffic", [{"route": "m", "zone": "a1", "per-second": -1, "seconds": 1}]),
+        ("traffic", [{"route": "m", "zone": "a1", "per-second": 1, "seconds": 1, "kilobytes": -2}]),
+        ("service-seconds", {"quotes": 0}),
+        ("configuration", {"route-list": 3}),
+        ("state", None),
+        ("retry-budget", {"ratio": "much"}),
+        ("owners", {"orders": 1}),
+    ):
         assert place in faults_of(json.dumps({**document, place: value}).encode(), ["east"]), place
 
 
@@ -100,10 +107,16 @@
     document = make_known()
     document.update({"service-seconds": {"quotes": 0.2}, "nodes-heard": 3})
     document["traffic"].append(
-        {"mapping": "nobody", "zone": "a1", "per-second": 1, "seconds": 1, "age-s": 90})
+        {"route": "nobody", "zone": "a1", "per-second": 1, "seconds": 1, "age-s": 90}
+    )
     gaps = " ".join(read_snapshot(json.dumps(document).encode()).gaps)
-    for words in ("orders: how long", "3 of", "older than", "nobody belongs to no mapping",
-                  "look: how much its requests move is not known"):
+    for words in (
+        "orders: how long",
+        "3 of",
+        "older than",
+        "nobody belongs to no route",
+        "look: how much its requests move is not known",
+    ):
         assert words in gaps
     del document["traffic"]
     assert "no traffic" in read_snapshot(json.dumps(document).encode()).gaps[0]
@@ -112,23 +125,27 @@
 def test_a_second_rehearsal_at_a_registry_is_refused_for_now():
     from types import SimpleNamespace
 
-    from marblefold.http_streams.call_router import Call
+    from marblefold.http_connections.call_router import Call
     from marblefold.rehearsal.calls import RehearsalCalls
 
     document = make_known()
 
-    class Words:
-        async def ask(self, *_words):
-            return SimpleNamespace(value=json.dumps(document["spec"]).encode())
+    class RegisterClient:
+        async def ask(self, *_store_client):
+            return SimpleNamespace(value=json.dumps(document["configuration"]).encode())
 
     async def test():
-        parts = {key: value for key, value in document.items()
-                 if key not in ("format", "version", "taken-at", "spec")}
-        calls = RehearsalCalls(Words(), lambda: parts)
+        parts = {
+            key: value
+            for key, value in document.items()
+            if key not in ("format", "version", "taken-at", "configuration")
+        }
+        calls = RehearsalCalls(RegisterClient(), lambda: parts)
         first = asyncio.create_task(calls._rehearse(Call("", b"", "", "region=east")))
         await asyncio.sleep(0)
         assert (await calls._rehearse(Call("", b"", "", "region=east"))).status == 503
         assert json.loads((await first).body)["lost"] == ["a1", "a2"]
         assert (await calls._rehearse(Call("", b"", "", "region=nowhere"))).status == 400
         assert (await calls._rehearse(Call("", b"", "", "region=east&clients=x"))).status == 400
+
     asyncio.run(test())
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -11,14 +11,15 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from marblefold.breakdowns import Breakdown
+from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
-from marblefold.spec_store.acceptor import VIEW_REGISTER, Acceptor, Standing
-from marblefold.spec_store.changes import change_view, hold_spec
-from marblefold.spec_store.peer_calls import answer_call
-from marblefold.spec_store.view import read_view
+from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, Standing
+from marblefold.register_store.changes import change_view, hold_configuration
+from marblefold.register_store.peer_calls import answer_call
+from marblefold.register_store.view import read_view
 from tests.simulated_stores import ALL, SEEDS, MemoryRecords, Network, Store
 
+
 class StoreMachine(RuleBasedStateMachine):
     """Four machines, three of them in the first view."""
 
@@ -44,7 +45,7 @@
 
     def judge(self, task, floor):
         if task.exception() is not None:
-            assert isinstance(task.exception(), Breakdown)
+            assert isinstance(task.exception(), MeshError)
             return
         holding = task.result()
         assert holding.number >= floor, "an acknowledged word was lost"
@@ -58,8 +59,8 @@
         if store.acceptor.view is None or len(self.tasks) > 3:
             return
         self.next_number += 1
-        change = hold_spec(self.next_number, f"{address} {self.next_number}".encode())
-        task = self.loop.create_task(store.proposer.change("spec", change, 0.0))
+        change = hold_configuration(self.next_number, f"{address} {self.next_number}".encode())
+        task = self.loop.create_task(store.proposer.change("configuration", change, 0.0))
         self.tasks.append((task, self.acknowledged, store.acceptor.life))
         self.turn()
 
@@ -99,7 +100,7 @@
         if self.network.waiting:
             _deliver, future = self.network.waiting.pop(index % len(self.network.waiting))
             if not future.done():
-                future.set_exception(Breakdown("network", "lost"))
+                future.set_exception(MeshError("network", "lost"))
             self.turn()
 
     @rule(address=st.sampled_from(ALL))
@@ -124,7 +125,8 @@
             if peer == address:
                 continue
             call = kinds.StoreCall(
-                kind="read", view=acceptor.pack_view(), sender=address, sender_life=life)
+                kind="read", view=acceptor.pack_view(), sender=address, sender_life=life
+            )
             answer = answer_call(self.stores[peer].acceptor, call)
             if acceptor.view and peer in acceptor.view.members and answer.agreed:
                 answers.append(answer)
@@ -134,8 +136,7 @@
         if acceptor.is_member and same and len(answers) >= acceptor.view.reading:
             acceptor.finish_reading(answers)
 
-    @rule(by=st.sampled_from(ALL), gone=st.sampled_from(["", *ALL]),
-          newcomer=st.sampled_from(ALL))
+    @rule(by=st.sampled_from(ALL), gone=st.sampled_from(["", *ALL]), newcomer=st.sampled_from(ALL))
     @precondition(lambda self: self.all_vote())
     def swap_or_grow(self, by, gone, newcomer):
         acceptor = self.stores[by].acceptor
@@ -149,7 +150,8 @@
 
         async def run():
             holding = await self.stores[by].proposer.change(
-                VIEW_REGISTER, change_view(view, following), 0.0)
+                VIEW_REGISTER, change_view(view, following), 0.0
+            )
             acceptor.take_view(read_view(holding.value))
 
         self.loop.create_task(run()).add_done_callback(lambda task: task.exception())
@@ -159,7 +161,8 @@
         views = {store.acceptor.pack_view() for store in self.stores.values()}
         return len(views) == 1 and all(
             self.stores[peer].acceptor.standing is Standing.VOTING
-            for peer in self.stores["a:1"].acceptor.view.members)
+            for peer in self.stores["a:1"].acceptor.view.members
+        )
 
     @invariant()
     def settled_calm_system_holds_the_word(self):
@@ -168,16 +171,18 @@
             return
         view = self.stores["a:1"].acceptor.view
         numbers = sorted(
-            self.stores[peer].acceptor.holdings["spec"].number
-            if "spec" in self.stores[peer].acceptor.holdings else 0
-            for peer in view.members)
+            self.stores[peer].acceptor.holdings["configuration"].number
+            if "configuration" in self.stores[peer].acceptor.holdings
+            else 0
+            for peer in view.members
+        )
         # Each majority meets a holder, so few enough may lack the word.
         assert numbers[view.majority - 1] >= self.acknowledged
 
     def teardown(self):
         for _deliver, future in self.network.waiting:
             if not future.done():
-                future.set_exception(Breakdown("network", "over"))
+                future.set_exception(MeshError("network", "over"))
         self.network.waiting.clear()
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
@@ -187,8 +192,8 @@
 
 
 StoreMachine.TestCase.settings = settings(
-    max_examples=250, stateful_step_count=50, deadline=None,
-    suppress_health_check=list(HealthCheck))
+    max_examples=250, stateful_step_count=50, deadline=None, suppress_health_check=list(HealthCheck)
+)
 TestStoreSafety = StoreMachine.TestCase
 
 
@@ -203,10 +208,17 @@
     stores = {address: Acceptor(address, disks[address], SEEDS, True) for address in SEEDS}
     view = stores["a:1"].pack_view()
     ballot = kinds.Ballot(counter=5, proposer="d:1")
-    prepare = make_call("prepare", view, register="spec", ballot=ballot)
+    prepare = make_call("prepare", view, register="configuration", ballot=ballot)
     lives = {peer: answer_call(stores[peer], prepare).life for peer in SEEDS}
     accept = make_call(
-        "accept", view, register="spec", ballot=ballot, number=9, value=b"nine", lives=lives)
+        "accept",
+        view,
+        register="configuration",
+        ballot=ballot,
+        number=9,
+        value=b"nine",
+        lives=lives,
+    )
     assert answer_call(stores["c:1"], accept).agreed
     stores["c:1"] = Acceptor("c:1", MemoryRecords(), SEEDS, False)
     reader = stores["c:1"]
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -11,7 +11,13 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.tracing.collector import Collector
 from marblefold.tracing.context import (
-    Keep, TraceContext, format_traceparent, keep_of, parse_traceparent, shed_order)
+    Keep,
+    TraceContext,
+    format_traceparent,
+    keep_of,
+    parse_traceparent,
+    shed_order,
+)
 from marblefold.tracing.exporter import Exporter
 from marblefold.tracing.recorder import Recorder, RecorderConfig
 from marblefold.tracing.span import Span, SpanKind, pack_span
@@ -27,10 +33,19 @@
     assert parse_traceparent(format_traceparent(context)) == (trace_id, span_id, is_kept)
 
 
-@pytest.mark.parametrize("text", (
-    "", "00", "00-" + "0" * 32 + "-" + "1" * 16 + "-01", "00-" + "1" * 32 + "-" + "0" * 16 + "-01",
-    "ff-" + "1" * 32 + "-" + "1" * 16 + "-01", "00-" + "1" * 32 + "-" + "1" * 16 + "-01-more",
-    "00-" + "G" * 32 + "-" + "1" * 16 + "-01", "00-" + "1" * 31 + "-" + "1" * 16 + "-01"))
+@pytest.mark.parametrize(
+    "text",
+    (
+        "",
+        "00",
+        "00-" + "0" * 32 + "-" + "1" * 16 + "-01",
+        "00-" + "1" * 32 + "-" + "0" * 16 + "-01",
+        "ff-" + "1" * 32 + "-" + "1" * 16 + "-01",
+        "00-" + "1" * 32 + "-" + "1" * 16 + "-01-more",
+        "00-" + "G" * 32 + "-" + "1" * 16 + "-01",
+        "00-" + "1" * 31 + "-" + "1" * 16 + "-01",
+    ),
+)
 def test_a_traceparent_that_is_not_valid_is_ignored(text):
     assert parse_traceparent(text) is None
 
@@ -65,8 +80,12 @@
             continue
         model.append(span)
         while len(model) > 10:
-            least = min({held.trace_id for held in model}, key=lambda trace_id: shed_order(
-                max(held.keep for held in model if held.trace_id == trace_id), trace_id))
+            least = min(
+                {held.trace_id for held in model},
+                key=lambda trace_id: shed_order(
+                    max(held.keep for held in model if held.trace_id == trace_id), trace_id
+                ),
+            )
             model = [held for held in model if held.trace_id != least]
             shed.append(least)
     batch = recorder.take_batch(10**6)
@@ -76,19 +95,26 @@
 
 
 PATHS = st.lists(st.integers(0, 7), min_size=2, max_size=5, unique=True)
-CALLS = st.lists(st.tuples(
-    PATHS, st.sampled_from((ORDER, LOOKUP, UPLOAD)), st.sampled_from(("answered", "unknown", "refused")),
-    st.integers(1, 2), st.sampled_from(("", "restart", "dark", "registry", "lose", "export"))),
-    min_size=1, max_size=25)
+CALLS = st.lists(
+    st.tuples(
+        PATHS,
+        st.sampled_from((ORDER, LOOKUP, UPLOAD)),
+        st.sampled_from(("answered", "unknown", "refused")),
+        st.integers(1, 2),
+        st.sampled_from(("", "restart", "dark", "registry", "lose", "export")),
+    ),
+    min_size=1,
+    max_size=25,
+)
 
 
 def run_calls(network, calls):
-    for number, (path, mapping, ends, tries, trouble) in enumerate(calls):
+    for number, (path, route, ends, tries, trouble) in enumerate(calls):
         names = [f"n{index}" for index in path]
         node = network.nodes[names[-1]]
         node.is_dark = trouble == "dark"
         network.dark_registries = {"registry-1"} if trouble == "registry" else set()
-        network.call(names, mapping, f"a{number}", b"body%d" % number, ends=ends, tries=tries)
+        network.call(names, route, f"a{number}", b"body%d" % number, ends=ends, tries=tries)
         network.deliver_marks(0.5 if trouble == "lose" else 0.0)
         if trouble == "export":
             network.export()
@@ -172,8 +198,9 @@
 
 
 def test_records_of_a_burst_stay_within_their_bounds():
-    network = TracedNetwork(2, config=RecorderConfig(ring=32, outbox=64),
-                            settings=TraceSettings(kept_per_second=5.0))
+    network = TracedNetwork(
+        2, config=RecorderConfig(ring=32, outbox=64), settings=TraceSettings(kept_per_second=5.0)
+    )
     for number in range(500):
         network.call(["n0", "n1"], UPLOAD, f"u{number}", b"%d" % number)
     for node in network.nodes.values():
@@ -198,12 +225,18 @@
 
 def test_a_batch_is_sent_small_and_comes_out_whole():
     recorder, sent = Recorder(), {}
-    exporter = Exporter(recorder, "n", "hall", "10.0.0.1:7620", lambda: ["r1", "r2", "r3"],
-                        lambda registry, batch: sent.setdefault(registry, batch) is batch)
+    exporter = Exporter(
+        recorder,
+        "n",
+        "hall",
+        "10.0.0.1:7620",
+        lambda: ["r1", "r2", "r3"],
+        lambda registry, batch: sent.setdefault(registry, batch) is batch,
+    )
     spans = []
     for number in range(24):
         span = make_span(random.Random(number).randbytes(16), Keep.ORDER, number)
-        span.mapping, span.upstream, span.target = "r-n2ctnfz", "huvo11a", f"i-{number % 5:010x}"
+        span.route, span.upstream, span.target = "r-n2ctnfz", "huvo11a", f"i-{number % 5:010x}"
         span.peer = f"10.2.0.{number % 5}:7620"
         spans.append(span)
         recorder.begin(span)
@@ -213,37 +246,58 @@
     copies = 2 * plain
     assert 0 < sum(batch.ByteSize() for batch in sent.values()) < 0.75 * copies
     held = {}
-    for registry, batch in sent.items():
+    for batch in sent.values():
         collector = Collector()
         collector.take(kinds.SpanBatch.FromString(batch.SerializeToString()))
         for trace_id in collector.newest():
             held.setdefault(trace_id, []).extend(
-                row.span.target for row in collector.find(trace_id))
+                row.span.target for row in collector.find(trace_id)
+            )
     assert {key: set(found) for key, found in held.items()} == {
-        span.trace_id: {span.target} for span in spans}
+        span.trace_id: {span.target} for span in spans
+    }
     assert all(len(found) >= 2 for found in held.values())
 
 
 def test_what_a_digest_joins_and_what_it_does_not():
     def digest(key=b"", **more):
         tracer = Tracer(Recorder(), TraceSettings(digest_key=key), "n", 1)
-        told = {"caller": "shop", "mapping": "book", "path": "/x/1", "body": b"oak", **more}
+        told = {"caller": "shop", "route": "book", "path": "/x/1", "body": b"oak", **more}
         return tracer._digest(*told.values())
 
     assert digest() == digest() == digest(path="/x/2") and len(digest()) == 8
-    assert len({digest(), digest(b"key"), digest(body=b"elm"), digest(caller="yard"),
-                digest(mapping="send")}) == 5
+    assert (
+        len(
+            {
+                digest(),
+                digest(b"key"),
+                digest(body=b"elm"),
+                digest(caller="yard"),
+                digest(route="send"),
+            }
+        )
+        == 5
+    )
     assert digest(body=b"") != digest(body=b"", path="/x/2")
 
 
 def test_a_header_told_by_the_target_joins_its_call_to_the_run():
     tracer = Tracer(Recorder(), TraceSettings(), "n", 1)
-    head = kinds.RequestHead(attempt_id="a", trace_id=b"t" * 16, parent_span=b"p" * 8,
-                             trace_keep=3, header_block=b"Host: h\r\nTraceparent: old\r\n")
+    head = kinds.RequestHead(
+        attempt_id="a",
+        trace_id=b"t" * 16,
+        parent_span=b"p" * 8,
+        trace_keep=3,
+        header_block=b"Host: h\r\nTraceparent: old\r\n",
+    )
     serve = tracer.begin_serve(head)
-    assert head.header_block.startswith(b"Host: h\r\ntraceparent: 00-") and b"old" not in head.header_block
+    assert (
+        head.header_block.startswith(b"Host: h\r\ntraceparent: 00-")
+        and b"old" not in head.header_block
+    )
     told = head.header_block.split(b"traceparent: ")[1].strip()
-    request = SimpleNamespace(headers=((b"Traceparent", told),), attempt_id="x",
-                              arrived=time.monotonic(), path="/")
+    request = SimpleNamespace(
+        headers=((b"Traceparent", told),), attempt_id="x", arrived=time.monotonic(), path="/"
+    )
     span = tracer.begin_request(request, LOOKUP, "u", None, "c", b"", True)
     assert span.parent == serve.span_id and span.keep is Keep.ORDER and not span.is_inferred
--- a/tests/test_tracing_on_loopback.py
+++ b/tests/test_tracing_on_loopback.py
@@ -6,25 +6,33 @@
 
 import marblefold.tracing.starting
 from marblefold.program_flags import TraceOptions
-from tests.mesh_on_loopback import CORE, SIDES, SPEC, Mesh, ask
+from tests.mesh_on_loopback import CONFIGURATION, CORE, SIDES, Mesh, ask
 
 
 def run(test, folder, monkeypatch):
     async def whole():
         monkeypatch.setattr(
-            marblefold.tracing.starting, "read_trace_options", lambda: TraceOptions())
+            marblefold.tracing.starting, "read_trace_options", lambda: TraceOptions()
+        )
         mesh = Mesh(folder)
         await mesh.start()
         try:
             await test(mesh)
         finally:
             await mesh.stop()
+
     asyncio.run(whole())
 
 
 def request(mesh, path, attempt, method="POST", body=b"", side=0, headers=()):
-    return ask(SIDES[side], mesh.outbound, method, path,
-               (f"Attempt-Id: {attempt}", "Deadline-Ms: 3000", *headers), body)
+    return ask(
+        SIDES[side],
+        mesh.outbound,
+        method,
+        path,
+        (f"Attempt-Id: {attempt}", "Deadline-Ms: 3000", *headers),
+        body,
+    )
 
 
 async def collect(mesh):
@@ -48,8 +56,15 @@
 
 async def trace(mesh, *words):
     process = await asyncio.create_subprocess_exec(
-        sys.executable, "-m", "marblefold", "trace", f"--registry={CORE}:{mesh.control}", *words,
-        stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+        sys.executable,
+        "-m",
+        "marblefold",
+        "trace",
+        f"--registry={CORE}:{mesh.control}",
+        *words,
+        stdout=asyncio.subprocess.PIPE,
+        stderr=asyncio.subprocess.PIPE,
+    )
     output, errors = await process.communicate()
     return process.returncode, output.decode(), errors.decode()
 
@@ -60,16 +75,28 @@
 
         async def call_on(headers):
             if headers["Attempt-Id"] == "order-1":
-                answers.append(await request(
-                    mesh, "/read/stock", "order-1.stock", "GET",
-                    side=next(n for n, target in enumerate(mesh.targets)
-                              if target.in_run and target.host == running[0])))
+                answers.append(
+                    await request(
+                        mesh,
+                        "/read/stock",
+                        "order-1.stock",
+                        "GET",
+                        side=next(
+                            n
+                            for n, target in enumerate(mesh.targets)
+                            if target.in_run and target.host == running[0]
+                        ),
+                    )
+                )
+
         running = []
         for target in mesh.targets:
+
             async def in_run(headers, target=target):
                 if headers["Attempt-Id"] == "order-1":
                     running.append(target.host)
                 await call_on(headers)
+
             target.in_run = in_run
         assert (await request(mesh, "/book/x", "order-1", body=b"oak"))[0] == 200
         assert answers[0][0] == 200
@@ -79,8 +106,12 @@
         assert "whole" in shown and "request order-1.stock read" in shown
         assert shown.count("served by") == 2 and "link inferred" in shown
         status, shown, _errors = await trace(mesh, "show", "order-1", "--format=otlp")
-        spans = [span for resource in json.loads(shown)["resourceSpans"]
-                 for scope in resource["scopeSpans"] for span in scope["spans"]]
+        spans = [
+            span
+            for resource in json.loads(shown)["resourceSpans"]
+            for scope in resource["scopeSpans"]
+            for span in scope["spans"]
+        ]
         assert len(spans) == 6 and len({span["traceId"] for span in spans}) == 1
         parents = {span.get("parentSpanId") for span in spans}
         assert parents - {None} <= {span["spanId"] for span in spans}
@@ -90,6 +121,7 @@
         assert status == 0 and "order-1 book status 200" in shown
         status, _shown, errors = await trace(mesh, "list", "--outcome=odd")
         assert status == 2 and "outcome" in errors
+
     run(test, tmp_path, monkeypatch)
 
 
@@ -110,18 +142,28 @@
         assert shown.count(": whole") == 2 and shown.count("served by") == 2
         assert (await ask(CORE, mesh.control, "GET", "/mesh/traces?limit=9999"))[0] == 400
         assert (await ask(CORE, mesh.control, "GET", "/mesh/traces/" + "x" * 300))[0] == 400
+
     run(test, tmp_path, monkeypatch)
 
 
 def test_an_upload_that_stalls_midway_tells_how_far_it_came(tmp_path, monkeypatch):
     async def test(mesh):
-        await mesh.put_spec({**SPEC, "spec-number": 4, "mapping-list": [
-            {**SPEC["mapping-list"][1], "mapping-kind": "upload"}]})
+        await mesh.put_configuration(
+            {
+                **CONFIGURATION,
+                "config-version": 4,
+                "route-list": [{**CONFIGURATION["route-list"][1], "route-type": "upload"}],
+            }
+        )
         await mesh.until(lambda: all(proxy.view.table.number == 4 for proxy in mesh.proxies))
         reader, writer = await asyncio.open_connection(SIDES[0], mesh.outbound)
         size = 800_000
-        writer.write((f"POST /book/file HTTP/1.1\r\nHost: shop\r\nAttempt-Id: photos\r\n"
-                      f"Deadline-Ms: 900\r\nContent-Length: {size}\r\n\r\n").encode())
+        writer.write(
+            (
+                f"POST /book/file HTTP/1.1\r\nHost: shop\r\nAttempt-Id: photos\r\n"
+                f"Deadline-Ms: 900\r\nContent-Length: {size}\r\n\r\n"
+            ).encode()
+        )
         writer.write(b"p" * 700_000)
         answer = await reader.read()
         writer.close()
@@ -134,6 +176,7 @@
         for step in steps:
             steps.extend(step["children"])
         assert any(0 < step["body_bytes"] < size for step in steps)
+
     run(test, tmp_path, monkeypatch)
 
 
@@ -147,4 +190,5 @@
             assert (await ask(CORE, mesh.control, "GET", "/mesh/traces/a"))[0] == 404
         finally:
             await mesh.stop()
+
     asyncio.run(whole())
