--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -7,12 +7,12 @@
 import yaml
 
 from marblefold import wire_names
+from marblefold.configuration import model
 from marblefold.history.keeper import HistoryKeeper
-from marblefold.http_streams.call_router import CallRouter
+from marblefold.http_connections.call_router import CallRouter
 from marblefold.maintenance.calls import MaintenanceCalls
-from marblefold.operator_spec import model
 from marblefold.ownership.calls import OwnerCalls
-from marblefold.partners import words
+from marblefold.partners import orders
 from marblefold.partners.calls import PartnerCalls
 from marblefold.proxy.beats import BeatCalls, read_beat
 from marblefold.registry.control_calls import ControlCalls
@@ -49,37 +49,71 @@
     described = set()
     for path, operations in API["paths"].items():
         bare = "/".join("{}" if part.startswith("{") else part for part in path.split("/"))
-        described |= {
-            (method.upper(), bare) for method in operations if method != "parameters"}
+        described |= {(method.upper(), bare) for method in operations if method != "parameters"}
     assert served == described
     moved = {tuple(call.split(" ")) for call in WIRE["calls"].values()}
-    assert moved == described - {
-        wire_names.READINESS_CALL, ("GET", wire_names.STATE_PATH)} - {
-        call for call in described
-        if call[1].split("/")[2] in (
-            "maintenance", "partners", "exports", "owners", "traces", "doubles", "snapshot",
+    assert moved == described - {wire_names.READINESS_CALL, ("GET", wire_names.STATE_PATH)} - {
+        call
+        for call in described
+        if call[1].split("/")[2]
+        in (
+            "maintenance",
+            "partners",
+            "exports",
+            "owners",
+            "traces",
+            "doubles",
+            "snapshot",
             "history",
-            "rehearsal")}
+            "rehearsal",
+        )
+    }
 
 
-def test_the_model_of_a_spec_has_the_fields_described():
-    for kind in (model.Spec, model.Mapping, model.Split, model.Upstream, model.Limits,
-                 words.Grant, words.Exports, words.Export):
+def test_the_model_of_a_configuration_has_the_fields_described():
+    for kind in (
+        model.Configuration,
+        model.Route,
+        model.Split,
+        model.Upstream,
+        model.Limits,
+        orders.Grant,
+        orders.Exports,
+        orders.Export,
+    ):
         fields = {field.name.replace("_", "-") for field in kind.__attrs_attrs__}
         assert fields == set(SCHEMAS[kind.__name__]["properties"]), kind
 
 
 def test_the_renamed_fields_are_the_ones_the_code_uses():
-    described = {
-        name for schema in SCHEMAS.values() for name in schema.get("properties", ())}
-    spelled = {value for name, value in vars(wire_names).items()
-               if name.isupper() and isinstance(value, str)}
+    described = {name for schema in SCHEMAS.values() for name in schema.get("properties", ())}
+    spelled = {
+        value
+        for name, value in vars(wire_names).items()
+        if name.isupper() and isinstance(value, str)
+    }
     # Fields of the config file are checked where that file is read.
     reading = (ROOT / "marblefold/node_config/reading.py").read_text()
-    unused = {"base-spec-number", "beat-address", "spec-mode"}
-    for name in set(WIRE["fields"].values()) - unused:
-        assert name in described & spelled or f'"{name}"' in reading \
-            or f'"bounds.{name}"' in reading, name
+    # The fields that keep the operators' own names are held to the same.
+    kept = {
+        "config-version",
+        "route-list",
+        "route-type",
+        "timeout-ms",
+        "max-attempts",
+        "allowed-regions",
+        "weighted-targets",
+        "service-list",
+        "max-connections",
+        "call-sequence",
+        "heartbeat-interval-ms",
+        "seed-nodes",
+        "config-apply-ms",
+    }
+    for name in set(WIRE["fields"].values()) | kept:
+        assert (
+            name in described & spelled or f'"{name}"' in reading or f'"bounds.{name}"' in reading
+        ), name
 
 
 def test_a_beat_as_described_is_read():
--- a/tools/scale/__main__.py
+++ b/tools/scale/__main__.py
@@ -5,7 +5,7 @@
 import subprocess
 import sys
 import tempfile
-from datetime import datetime, timezone
+from datetime import UTC, datetime
 from pathlib import Path
 
 from absl import flags
@@ -21,18 +21,25 @@
 flags.DEFINE_integer("core", 5, "Machines set aside for control.", lower_bound=1, upper_bound=9)
 flags.DEFINE_integer("real", 3, "Nodes that are real proxies.", lower_bound=0, upper_bound=20)
 flags.DEFINE_integer("services", 22, "Services.", lower_bound=1, upper_bound=100)
-flags.DEFINE_integer("mappings", 300, "Mappings of the spec.", lower_bound=1, upper_bound=5000)
+flags.DEFINE_integer("routes", 300, "Routes of the configuration.", lower_bound=1, upper_bound=5000)
 flags.DEFINE_integer("each", 60, "Hollow nodes to a process.", lower_bound=1, upper_bound=200)
 flags.DEFINE_integer("runs", 1, "How often all of it is done.", lower_bound=1, upper_bound=10)
 flags.DEFINE_float("seconds", 10.0, "How long rest is measured.", lower_bound=1, upper_bound=120)
 flags.DEFINE_float(
-    "settle", 15.0, "How long news of the start may go round before rest is measured.",
-    lower_bound=0, upper_bound=120)
+    "settle",
+    15.0,
+    "How long news of the start may go round before rest is measured.",
+    lower_bound=0,
+    upper_bound=120,
+)
 flags.DEFINE_float("longest", 60.0, "How long one phase may take.", lower_bound=5, upper_bound=300)
 flags.DEFINE_integer("first_port", 24000, "The first port.", lower_bound=1024, upper_bound=60000)
 flags.DEFINE_multi_enum(
-    "phase", ["rest", "change", "churn", "registry", "cut"],
-    ["rest", "change", "churn", "registry", "cut"], "What is measured after the start.")
+    "phase",
+    ["rest", "change", "churn", "registry", "cut"],
+    ["rest", "change", "churn", "registry", "cut"],
+    "What is measured after the start.",
+)
 flags.DEFINE_string("out", "", "File for the results; standard output without it.")
 
 _WHOLE, _PARTIAL, _USAGE = 0, 1, 2
@@ -48,13 +55,20 @@
         print(error, file=sys.stderr)
         return _USAGE
     if rest[1:] or FLAGS.real >= FLAGS.nodes:
-        print("usage: python3 -m tools.scale --nodes=N [--real=K] [--runs=R] [--out=FILE]; "
-              "fewer real nodes than nodes", file=sys.stderr)
+        print(
+            "usage: python3 -m tools.scale --nodes=N [--real=K] [--runs=R] [--out=FILE]; "
+            "fewer real nodes than nodes",
+            file=sys.stderr,
+        )
         return _USAGE
     document = {
-        "command": arguments[1:], "commit": _ask_git("rev-parse", "HEAD"),
+        "command": arguments[1:],
+        "commit": _ask_git("rev-parse", "HEAD"),
         "dirty": bool(_ask_git("status", "--porcelain", "marblefold", "tools")),
-        "at": datetime.now(timezone.utc).isoformat(), "nodes": FLAGS.nodes, "runs": []}
+        "at": datetime.now(UTC).isoformat(),
+        "nodes": FLAGS.nodes,
+        "runs": [],
+    }
     for number in range(FLAGS.runs):
         document["runs"].append(asyncio.run(_run(FLAGS.first_port + 20 * number)))
     document["partial"] = any("partial" in run for run in document["runs"])
@@ -71,10 +85,14 @@
     found: dict = {}
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
         async with Fleet(layout, Path(folder), FLAGS.each) as fleet:
-            phases = Phases(fleet, FLAGS.mappings, FLAGS.seconds, FLAGS.settle, FLAGS.longest)
-            acts = {"rest": phases.rest, "change": phases.change,
-                    "churn": lambda: phases.churn(_RESTARTS, _CHANGES),
-                    "registry": phases.lose_registry, "cut": phases.cut}
+            phases = Phases(fleet, FLAGS.routes, FLAGS.seconds, FLAGS.settle, FLAGS.longest)
+            acts = {
+                "rest": phases.rest,
+                "change": phases.change,
+                "churn": lambda: phases.churn(_RESTARTS, _CHANGES),
+                "registry": phases.lose_registry,
+                "cut": phases.cut,
+            }
             name = "start"
             try:
                 found["start"] = await phases.start(FLAGS.real)
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -31,7 +31,7 @@
     """Messages and bytes of this process, by the way they took."""
 
     def __init__(self) -> None:
-        self.stream_messages = self.stream_bytes = 0
+        self.connection_messages = self.connection_bytes = 0
         self.datagrams = self.datagram_bytes = 0
 
     def instrument(self) -> None:
@@ -39,15 +39,15 @@
         take, send = PeerConnection.data_received, PeerConnection.send
         receive, send_all = MembershipSocket.datagram_received, MembershipSocket._send
 
-        def count_taken(stream, data):
-            self.stream_messages += 1
-            self.stream_bytes += len(data)
-            take(stream, data)
+        def count_taken(connection, data):
+            self.connection_messages += 1
+            self.connection_bytes += len(data)
+            take(connection, data)
 
-        def count_sent(stream, kind, number, payload=b""):
-            self.stream_messages += 1
-            self.stream_bytes += len(payload) + 9
-            send(stream, kind, number, payload)
+        def count_sent(connection, kind, number, payload=b""):
+            self.connection_messages += 1
+            self.connection_bytes += len(payload) + 9
+            send(connection, kind, number, payload)
 
         def count_received(membership, data, address):
             self.datagrams += 1
@@ -56,8 +56,11 @@
                 receive(membership, data, address)
 
         def count_out(membership, messages):
-            kept = [message for message in messages if not _is_cut(
-                membership, message.peer.rpartition(":")[0])]
+            kept = [
+                message
+                for message in messages
+                if not _is_cut(membership, message.peer.rpartition(":")[0])
+            ]
             self.datagrams += len(kept)
             send_all(membership, kept)
 
@@ -85,13 +88,23 @@
         self.host = host
         self.view = MeshView(config.node_name)
         self.target = LocalTarget(lambda: None)
-        self.target.take_beat(Beat(
-            f"i-{number}-{time.time_ns()}", config.upstream, "", config.zone, 4, False,
-            timedelta(), 1))
+        self.target.take_beat(
+            Beat(
+                f"i-{number}-{time.time_ns()}",
+                config.upstream,
+                "",
+                config.zone,
+                4,
+                False,
+                timedelta(),
+                1,
+            )
+        )
         self.target._on_change = lambda: None
         seeds = [inner_address(seed.host, config, REGISTRY) for seed in config.seeds]
         self.follower = RegistryFollower(
-            config.node_name, lambda: seeds, self.view, NoticeMaker(config, self.target).make)
+            config.node_name, lambda: seeds, self.view, NoticeMaker(config, self.target).make
+        )
         self.view.on_own_notice = lambda life: None
         self.suspected_at: dict[str, float] = {}
         self.membership = NodeMembership(watch, "proxy", PROXY, self._on_member)
@@ -100,8 +113,7 @@
     async def start(self) -> None:
         await self.membership.start()
         loop = asyncio.get_running_loop()
-        self.tasks = [loop.create_task(run) for run in (
-            self.membership.run(), self.follower.run())]
+        self.tasks = [loop.create_task(run) for run in (self.membership.run(), self.follower.run())]
 
     async def stop(self) -> None:
         for task in self.tasks:
@@ -121,10 +133,12 @@
         members = list(self.membership._prober.table)
         return {
             "number": self.number,
-            "spec": self.view.table.number if self.view.table else 0,
+            "configuration": self.view.table.number if self.view.table else 0,
             "targets": sum(len(of) for of in self.view._targets.values()),
             "alive": sum(1 for member in members if member.liveness is Liveness.ALIVE),
-            "in-touch": self.follower.is_in_touch, "suspected": len(self.suspected_at)}
+            "in-touch": self.follower.is_in_touch,
+            "suspected": len(self.suspected_at),
+        }
 
 
 class HollowHost:
@@ -134,7 +148,7 @@
         self._layout = layout
         self.nodes = {number: HollowNode(layout, number) for number in numbers}
         self.counts = Counts()
-        self._spec_seen: dict[int, float] = {}
+        self._configuration_seen: dict[int, float] = {}
 
     async def run(self) -> None:
         self.counts.instrument()
@@ -152,8 +166,9 @@
             print(json.dumps(answer), flush=True)
 
     def _watch(self, node: HollowNode) -> None:
-        node.view.on_spec = lambda table: self._spec_seen.__setitem__(
-            node.number, (table.number, time.time()))
+        node.view.on_configuration = lambda table: self._configuration_seen.__setitem__(
+            node.number, (table.number, time.time())
+        )
 
     async def _obey(self, command: dict) -> dict:
         if command["do"] == "restart":
@@ -167,26 +182,34 @@
             hosts = set(command["hosts"])
             for node in self.nodes.values():
                 _cuts[node.host] = hosts if command["on"] else set()
-                for peer in list(node.follower._peers._streams):
+                for peer in list(node.follower._peers._connections):
                     if command["on"] and peer.rpartition(":")[0] in hosts:
                         node.follower._peers.drop(peer)
                 node.follower._peers._shunned_until = {
-                    peer: time.monotonic() + 3600 for peer in node.view.registries
-                    if command["on"] and peer.rpartition(":")[0] in hosts}
+                    peer: time.monotonic() + 3600
+                    for peer in node.view.registries
+                    if command["on"] and peer.rpartition(":")[0] in hosts
+                }
         return {
             "nodes": [node.describe() for node in self.nodes.values()],
-            "spec-seen": {str(node): seen for node, seen in self._spec_seen.items()},
-            "counts": vars(self.counts), "cpu": time.process_time()}
+            "configuration-seen": {
+                str(node): seen for node, seen in self._configuration_seen.items()
+            },
+            "counts": vars(self.counts),
+            "cpu": time.process_time(),
+        }
 
 
-def main(words: list[str]) -> None:
+def main(arguments: list[str]) -> None:
     """hollow NODES CORE SERVICES FIRST_PORT FROM TO."""
-    nodes, core, services, port, first, last = (int(word) for word in words)
+    nodes, core, services, port, first, last = (int(word) for word in arguments)
     layout = Layout(nodes, core, services, port)
-    from marblefold.logs import start_logs
     import logging
+
     import structlog
 
+    from marblefold.logs import start_logs
+
     start_logs("hollow")
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
     asyncio.run(HollowHost(layout, range(first, last)).run())
--- a/tools/scale/hop.py
+++ b/tools/scale/hop.py
@@ -21,8 +21,9 @@
 
 FLAGS = flags.FLAGS
 flags.DEFINE_integer("calls", 1000, "Calls of each sort.", lower_bound=10, upper_bound=100_000)
-flags.DEFINE_float("rate", 60.0, "Calls a second in the second part.", lower_bound=1,
-                   upper_bound=1000)
+flags.DEFINE_float(
+    "rate", 60.0, "Calls a second in the second part.", lower_bound=1, upper_bound=1000
+)
 flags.DEFINE_integer("port", 25000, "The first port.", lower_bound=1024, upper_bound=60000)
 
 _NODES = 2
@@ -39,8 +40,11 @@
             if size:
                 await reader.readexactly(size)
             host = writer.get_extra_info("sockname")[0]
-            more = (f"Attempt-Id: {fields.get('Attempt-Id', '')}\r\nServer-Seal: s\r\n"
-                    if "Attempt-Id" in fields else f"Instance-Id: i-{host}\r\nServer-Load: 0,0,8\r\n")
+            more = (
+                f"Attempt-Id: {fields.get('Attempt-Id', '')}\r\nServer-Seal: s\r\n"
+                if "Attempt-Id" in fields
+                else f"Instance-Id: i-{host}\r\nServer-Load: 0,0,8\r\n"
+            )
             writer.write(f"HTTP/1.1 200 OK\r\n{more}Content-Length: 4\r\n\r\ndone".encode())
     except (asyncio.IncompleteReadError, ConnectionError, asyncio.CancelledError):
         writer.close()
@@ -59,9 +63,12 @@
     async def ask(self, number: int) -> tuple[int, float]:
         """Status and seconds of one call."""
         began = time.perf_counter()
-        self._writer.write((
-            f"GET /p0/x HTTP/1.1\r\nHost: host0.example\r\nAttempt-Id: a{number}\r\n"
-            "Deadline-Ms: 4000\r\n\r\n").encode())
+        self._writer.write(
+            (
+                f"GET /p0/x HTTP/1.1\r\nHost: host0.example\r\nAttempt-Id: a{number}\r\n"
+                "Deadline-Ms: 4000\r\n\r\n"
+            ).encode()
+        )
         head = await self._reader.readuntil(b"\r\n\r\n")
         size = int(head.lower().split(b"content-length: ")[1].split(b"\r\n")[0])
         await self._reader.readexactly(size)
@@ -71,15 +78,19 @@
 async def _measure(layout: Layout, folder: str) -> dict:
     async with Fleet(layout, Path(folder), 1) as fleet:
         hosts = [layout.node_host(number) for number in range(_NODES)]
-        servers = [await asyncio.start_server(_serve_target, host, layout.first_port + 12)
-                   for host in hosts]
+        servers = [
+            await asyncio.start_server(_serve_target, host, layout.first_port + 12)
+            for host in hosts
+        ]
         phases = Phases(fleet, 20, 1.0, 0.0, 60.0)
         await fleet.start_core()
-        await phases._put_spec()
+        await phases._put_configuration()
         for number in range(_NODES):
             await fleet.start_real("proxy", number, True)
-        straight, through = (_Client(hosts[0], layout.first_port + 12),
-                             _Client(hosts[0], layout.first_port + 10))
+        straight, through = (
+            _Client(hosts[0], layout.first_port + 12),
+            _Client(hosts[0], layout.first_port + 10),
+        )
         await straight.open()
         async with asyncio.timeout(30):
             while True:
@@ -99,8 +110,10 @@
             status, seconds = await through.ask(number)
             assert status == 200, status
             meshed.append(seconds)
-        used = {name: fleet.usage()[name].cpu_seconds - usage.cpu_seconds
-                for name, usage in before.items()}
+        used = {
+            name: fleet.usage()[name].cpu_seconds - usage.cpu_seconds
+            for name, usage in before.items()
+        }
         paced = []
         for number in range(FLAGS.calls):
             await asyncio.sleep(1.0 / FLAGS.rate)
@@ -109,15 +122,20 @@
             server.close()
     proxies = sum(seconds for name, seconds in used.items() if name.startswith("proxy"))
     return {
-        "calls": FLAGS.calls, "proxy-cpu-ms-a-call": proxies / FLAGS.calls * 1000,
-        "straight-ms": _describe(plain), "meshed-ms": _describe(meshed),
-        "meshed-paced-ms": _describe(paced)}
+        "calls": FLAGS.calls,
+        "proxy-cpu-ms-a-call": proxies / FLAGS.calls * 1000,
+        "straight-ms": _describe(plain),
+        "meshed-ms": _describe(meshed),
+        "meshed-paced-ms": _describe(paced),
+    }
 
 
 def _describe(seconds: list[float]) -> dict:
     ordered = sorted(seconds)
-    return {name: round(ordered[int(len(ordered) * share)] * 1000, 3)
-            for name, share in (("p50", 0.5), ("p90", 0.9), ("p99", 0.99))}
+    return {
+        name: round(ordered[int(len(ordered) * share)] * 1000, 3)
+        for name, share in (("p50", 0.5), ("p90", 0.9), ("p99", 0.99))
+    }
 
 
 def main(arguments: list[str]) -> int:
--- a/tools/scale/phases.py
+++ b/tools/scale/phases.py
@@ -1,14 +1,14 @@
-"""What is measured: start, rest, one change of the spec, churn, a registry lost, a cut."""
+"""What is measured: start, rest, one change of the configuration, churn, a registry lost, a cut."""
 
 import asyncio
 import json
 import time
-from typing import Callable
+from collections.abc import Callable
 
 import aiohttp
 
 from tools.scale.processes import Fleet, Usage
-from tools.scale.settings import make_spec
+from tools.scale.settings import make_configuration
 
 __all__ = ["Phases"]
 
@@ -20,38 +20,54 @@
     """Runs the phases one after the other; each gives its figures."""
 
     def __init__(
-        self, fleet: Fleet, mappings: int, seconds: float, settle: float, longest: float,
+        self,
+        fleet: Fleet,
+        routes: int,
+        seconds: float,
+        settle: float,
+        longest: float,
     ) -> None:
         self._settle = settle
         self._fleet = fleet
-        self._mappings = mappings
+        self._routes = routes
         self._seconds = seconds
         self._longest = longest
-        self._spec = 0
+        self._configuration = 0
         self._reals = 0
 
     async def start(self, reals: int) -> dict:
-        """From nothing until every node knows every target and the spec."""
+        """From nothing until every node knows every target and the configuration."""
         fleet = self._fleet
         self._reals = reals
         began = time.time()
         await fleet.start_core()
-        acknowledged = await self._put_spec()
+        acknowledged = await self._put_configuration()
         for number in range(reals):
             await fleet.start_real("proxy", number, True)
         nodes_began = time.time()
         await fleet.start_hollows(reals)
         hollow = fleet.layout.nodes - reals
         # Real proxies here have no target: each hollow node tells of one.
-        await self._until(lambda nodes: len(nodes) == hollow and all(
-            node["targets"] >= hollow and node["spec"] == self._spec for node in nodes))
+        await self._until(
+            lambda nodes: (
+                len(nodes) == hollow
+                and all(
+                    node["targets"] >= hollow and node["configuration"] == self._configuration
+                    for node in nodes
+                )
+            )
+        )
         known = time.time() - nodes_began
-        await self._until(lambda nodes: all(
-            node["alive"] >= fleet.layout.nodes - 1 for node in nodes))
+        await self._until(
+            lambda nodes: all(node["alive"] >= fleet.layout.nodes - 1 for node in nodes)
+        )
         return {
-            "spec-acknowledged-s": acknowledged, "targets-known-s": known,
-            "members-known-s": time.time() - nodes_began, "whole-s": time.time() - began,
-            **self._describe_usage(fleet.usage(), None, 1.0)}
+            "configuration-acknowledged-s": acknowledged,
+            "targets-known-s": known,
+            "members-known-s": time.time() - nodes_began,
+            "whole-s": time.time() - began,
+            **self._describe_usage(fleet.usage(), None, 1.0),
+        }
 
     async def rest(self) -> dict:
         """Nothing happens: what control costs by itself."""
@@ -65,12 +81,19 @@
 
         async def act():
             began = time.time()
-            found["acknowledged-s"] = await self._put_spec()
-            await self._until(lambda nodes: all(node["spec"] == self._spec for node in nodes))
-            seen = [at for answer in await self._fleet.ask_all(do="look")
-                    for number, at in answer["spec-seen"].values() if number == self._spec]
+            found["acknowledged-s"] = await self._put_configuration()
+            await self._until(
+                lambda nodes: all(node["configuration"] == self._configuration for node in nodes)
+            )
+            seen = [
+                at
+                for answer in await self._fleet.ask_all(do="look")
+                for number, at in answer["configuration-seen"].values()
+                if number == self._configuration
+            ]
             found["everywhere-s"] = max(seen) - began
             found["median-s"] = sorted(seen)[len(seen) // 2] - began
+
         return {**await self._measure(act()), **found}
 
     async def churn(self, restarts: int, changes: int) -> dict:
@@ -83,10 +106,14 @@
                 host, number = hollows[index * 37 % len(hollows)]
                 await host.ask(do="restart", node=number, down=0.2)
                 if changes and index % max(1, restarts // changes) == 0:
-                    await self._put_spec()
-            await self._until(lambda nodes: all(
-                node["targets"] >= len(hollows) and node["spec"] == self._spec
-                for node in nodes))
+                    await self._put_configuration()
+            await self._until(
+                lambda nodes: all(
+                    node["targets"] >= len(hollows) and node["configuration"] == self._configuration
+                    for node in nodes
+                )
+            )
+
         return {"restarts": restarts, "changes": changes, **await self._measure(act())}
 
     async def lose_registry(self) -> dict:
@@ -105,9 +132,9 @@
             found["nodes"] = len(nodes)
             began = time.time()
             await fleet.start_real("registry", number, False)
-            await self._until_state(
-                number, lambda state: len(state["targets"]) >= len(nodes))
+            await self._until_state(number, lambda state: len(state["targets"]) >= len(nodes))
             found["knows-all-again-s"] = time.time() - began
+
         return {**await self._measure(act()), **found}
 
     async def cut(self) -> dict:
@@ -118,7 +145,8 @@
         core = [layout.core_host(number) for number in range(layout.core)]
         hosts = [
             [layout.node_host(number) for hollows in side for number in hollows.numbers]
-            for side in sides]
+            for side in sides
+        ]
         # The larger part of the core stays with the first half.
         keep = layout.core // 2 + 1
         hosts[0] += core[:keep]
@@ -135,15 +163,21 @@
             found["half-suspected-s"] = time.time() - began
             began = time.time()
             await self._tell_cut(sides, hosts, False)
-            await self._until(lambda nodes: all(
-                node["suspected"] == 0 and node["in-touch"] for node in nodes))
+            await self._until(
+                lambda nodes: all(node["suspected"] == 0 and node["in-touch"] for node in nodes)
+            )
             found["healed-s"] = time.time() - began
+
         return {**await self._measure(act()), **found}
 
     async def _tell_cut(self, sides, hosts, is_on: bool) -> None:
-        await asyncio.gather(*(
-            hollows.ask(do="cut", hosts=hosts[1 - index], on=is_on)
-            for index, side in enumerate(sides) for hollows in side))
+        await asyncio.gather(
+            *(
+                hollows.ask(do="cut", hosts=hosts[1 - index], on=is_on)
+                for index, side in enumerate(sides)
+                for hollows in side
+            )
+        )
 
     async def _measure(self, act) -> dict:
         before, counts, began = self._fleet.usage(), await self._count(), time.time()
@@ -153,14 +187,20 @@
         nodes = sum(len(hollows.numbers) for hollows in self._fleet.hollows)
         per_node = {
             f"{name}-a-node-second": (ended[name] - counts[name]) / nodes / seconds
-            for name in counts}
+            for name in counts
+        }
         return {"seconds": seconds, **per_node, **self._describe_usage(after, before, seconds)}
 
     async def _count(self) -> dict:
         answers = await self._fleet.ask_all(do="look")
         names = answers[0]["counts"]
-        return {**{name.replace("_", "-"): sum(answer["counts"][name] for answer in answers)
-                   for name in names}, "hollow-cpu": sum(answer["cpu"] for answer in answers)}
+        return {
+            **{
+                name.replace("_", "-"): sum(answer["counts"][name] for answer in answers)
+                for name in names
+            },
+            "hollow-cpu": sum(answer["cpu"] for answer in answers),
+        }
 
     def _describe_usage(self, after: dict, before: dict | None, seconds: float) -> dict:
         """The mean and the most of each role."""
@@ -169,8 +209,9 @@
             names = [name for name in after if name.startswith(role)]
             if not names:
                 continue
-            cores = [self._used_since(after[name], (before or {}).get(name)) / seconds
-                     for name in names]
+            cores = [
+                self._used_since(after[name], (before or {}).get(name)) / seconds for name in names
+            ]
             found[f"{role}-cores-mean"] = sum(cores) / len(cores)
             found[f"{role}-cores-most"] = max(cores)
             found[f"{role}-memory-mb-most"] = max(after[name].memory_mb for name in names)
@@ -201,16 +242,16 @@
                     pass
                 await asyncio.sleep(_LOOK_EVERY)
 
-    async def _put_spec(self) -> float:
-        """How long until the next spec was acknowledged."""
-        self._spec += 1
+    async def _put_configuration(self) -> float:
+        """How long until the next configuration was acknowledged."""
+        self._configuration += 1
         layout = self._fleet.layout
-        body = json.dumps(make_spec(layout, self._spec, self._mappings)).encode()
+        body = json.dumps(make_configuration(layout, self._configuration, self._routes)).encode()
         began = time.time()
         async with asyncio.timeout(self._longest), aiohttp.ClientSession() as session:
             while True:
                 try:
-                    url = f"http://{layout.core_host(0)}:{layout.first_port}/mesh/spec"
+                    url = f"http://{layout.core_host(0)}:{layout.first_port}/mesh/configuration"
                     async with session.put(url, data=body) as answer:
                         if answer.status == 200:
                             return time.time() - began
--- a/tools/scale/processes.py
+++ b/tools/scale/processes.py
@@ -35,7 +35,9 @@
         stat = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         peak = next(line for line in status.splitlines() if line.startswith("VmHWM"))
-        return Usage(self.process.pid, (int(stat[11]) + int(stat[12])) / _TICKS, int(peak.split()[1]) / 1024)
+        return Usage(
+            self.process.pid, (int(stat[11]) + int(stat[12])) / _TICKS, int(peak.split()[1]) / 1024
+        )
 
 
 class Hollows:
@@ -93,14 +95,25 @@
         is_proxy = role == "proxy"
         host = self.layout.node_host(number) if is_proxy else self.layout.core_host(number)
         text = make_config(
-            self.layout, host, name, number, "" if is_proxy else str(folder), is_first)
+            self.layout, host, name, number, "" if is_proxy else str(folder), is_first
+        )
         path = self._folder / f"{name}.conf"
         path.write_text(text)
         with open(self._folder / f"{name}.log", "ab") as log:
             process = await asyncio.create_subprocess_exec(
-                sys.executable, "-P", "-m", "marblefold", role, stdout=log, stderr=log,
-                env={"PATH": os.environ["PATH"], "PYTHONPATH": os.getcwd(),
-                     "MARBLEFOLD_NODE_FILE": str(path)})
+                sys.executable,
+                "-P",
+                "-m",
+                "marblefold",
+                role,
+                stdout=log,
+                stderr=log,
+                env={
+                    "PATH": os.environ["PATH"],
+                    "PYTHONPATH": os.getcwd(),
+                    "MARBLEFOLD_NODE_FILE": str(path),
+                },
+            )
         self.reals[name] = Real(role, process)
 
     async def start_hollows(self, first: int) -> None:
@@ -110,10 +123,20 @@
             numbers = range(begin, min(layout.nodes, begin + self._each))
             with open(self._folder / f"hollow-{begin}.log", "ab") as log:
                 process = await asyncio.create_subprocess_exec(
-                    sys.executable, "-m", "tools.scale.hollow", str(layout.nodes),
-                    str(layout.core), str(layout.services), str(layout.first_port),
-                    str(numbers.start), str(numbers.stop), limit=2 ** 24,
-                    stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=log)
+                    sys.executable,
+                    "-m",
+                    "tools.scale.hollow",
+                    str(layout.nodes),
+                    str(layout.core),
+                    str(layout.services),
+                    str(layout.first_port),
+                    str(numbers.start),
+                    str(numbers.stop),
+                    limit=2**24,
+                    stdin=asyncio.subprocess.PIPE,
+                    stdout=asyncio.subprocess.PIPE,
+                    stderr=log,
+                )
             self.hollows.append(Hollows(process, numbers))
 
     async def ask_all(self, **command) -> list[dict]:
@@ -122,5 +145,8 @@
 
     def usage(self) -> dict[str, Usage]:
         """What each real program has used so far."""
-        return {name: real.usage() for name, real in self.reals.items()
-                if real.process.returncode is None}
+        return {
+            name: real.usage()
+            for name, real in self.reals.items()
+            if real.process.returncode is None
+        }
--- a/tools/scale/settings.py
+++ b/tools/scale/settings.py
@@ -1,8 +1,8 @@
-"""What every process of a scale run is told: config files and a spec."""
+"""What every process of a scale run is told: config files and a configuration."""
 
 from typing import NamedTuple
 
-__all__ = ["Layout", "make_config", "make_spec"]
+__all__ = ["Layout", "make_config", "make_configuration"]
 
 ZONES = ("r1-a", "r1-b", "r1-c", "r2-a", "r2-b")
 _BOUNDS = """
@@ -12,7 +12,7 @@
 bounds.drain-timeout-ms=2500
 bounds.grace-period-s=10
 bounds.loss-slack-ms=200
-bounds.spec-apply-ms=2500
+bounds.config-apply-ms=2500
 bounds.retry-budget-ratio=0.2
 bounds.retry-window-s=10
 bounds.retry-budget-slack=430
@@ -21,7 +21,7 @@
 bounds.evacuation-ms=5000
 limits.memory-mb=200
 limits.max-file-descriptors=4100
-beat-wakeup-ms=500
+heartbeat-interval-ms=500
 fault-tolerance.machine-losses={losses}
 """
 
@@ -48,16 +48,25 @@
 
 
 def make_config(
-    layout: Layout, host: str, name: str, number: int, folder: str = "", is_first: bool = True,
+    layout: Layout,
+    host: str,
+    name: str,
+    number: int,
+    folder: str = "",
+    is_first: bool = True,
 ) -> str:
     """The config file of one process."""
     seeds = ",".join(
-        f"{layout.core_host(core)}:{layout.first_port}" for core in range(min(3, layout.core)))
+        f"{layout.core_host(core)}:{layout.first_port}" for core in range(min(3, layout.core))
+    )
     lines = [
-        f"node-name={name}", f"zone={ZONES[number % len(ZONES)]}",
+        f"node-name={name}",
+        f"zone={ZONES[number % len(ZONES)]}",
         f"region={ZONES[number % len(ZONES)][:2]}",
         *(f"zones.{zone}={zone[:2]}" for zone in ZONES),
-        f"ip-address={host}", f"seed-mates={seeds}", f"initial-start={str(is_first).lower()}",
+        f"ip-address={host}",
+        f"seed-nodes={seeds}",
+        f"initial-start={str(is_first).lower()}",
         f"internal-port-range={layout.first_port + 1},{layout.first_port + 8}",
         f"listen-addresses.control-plane={host}:{layout.first_port}",
         f"listen-addresses.outbound={host}:{layout.first_port + 10}",
@@ -72,18 +81,27 @@
     return "\n".join(lines) + _BOUNDS.format(losses=losses)
 
 
-def make_spec(layout: Layout, number: int, mappings: int) -> dict:
-    """A spec with so many mappings, cut evenly over the services."""
+def make_configuration(layout: Layout, number: int, routes: int) -> dict:
+    """A configuration with so many routes, cut evenly over the services."""
     return {
-        "spec-number": number,
-        "mapping-list": [
-            {"name": f"mapping-{index}", "host-name": f"host{index % 40}.example",
-             "path-prefix": f"/p{index}/", "mapping-kind": ("read_only", "mutating")[index % 2],
-             "time-limit-ms": 4000, "target-latency-ms": 800 + number % 7, "attempt-limit": 2,
-             "priority": index % 3, "upstream": layout.service(index)}
-            for index in range(mappings)],
-        "upstream-list": [
-            {"name": layout.service(index), "health-check-path": "/health", "stream-limit": 1200}
-            for index in range(layout.services)],
+        "config-version": number,
+        "route-list": [
+            {
+                "name": f"route-{index}",
+                "host-name": f"host{index % 40}.example",
+                "path-prefix": f"/p{index}/",
+                "route-type": ("read_only", "mutating")[index % 2],
+                "timeout-ms": 4000,
+                "target-latency-ms": 800 + number % 7,
+                "max-attempts": 2,
+                "priority": index % 3,
+                "upstream": layout.service(index),
+            }
+            for index in range(routes)
+        ],
+        "service-list": [
+            {"name": layout.service(index), "health-check-path": "/health", "max-connections": 1200}
+            for index in range(layout.services)
+        ],
         "limits": {},
     }
