--- a/marblefold/errors.py
+++ b/marblefold/errors.py
@@ -1,6 +1,6 @@
 """Errors that carry the step and the peer at which they arose."""
 
-__all__ = ["MeshError"]
+__all__ = ["DiskError", "MeshError"]
 
 
 class MeshError(Exception):
@@ -12,3 +12,7 @@
         self.step = step
         self.reason = reason
         self.peer = peer
+
+
+class DiskError(MeshError):
+    """The operating system could not read or write what must last."""
