--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -3,30 +3,24 @@
 Pure but for the records it writes, so that tests can lose power anywhere.
 """
 
+import contextlib
 import enum
 import json
 import os
-from typing import Protocol
 
+from marblefold.errors import DiskError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NOTHING, Ballot, Holding, pack_holding, read_holding
+from marblefold.register_store.records import DoubtfulRecords, Records
 from marblefold.register_store.view import View, first_view, read_view
 
-__all__ = ["Acceptor", "Records", "Standing", "VIEW_REGISTER"]
+__all__ = ["Acceptor", "META_RECORD", "Standing", "VIEW_REGISTER"]
 
 VIEW_REGISTER = "view"
-_META = "meta"
+META_RECORD = "meta"
 _REGISTER_PREFIX = "register/"
 
 
-class Records(Protocol):
-    """Where records last."""
-
-    def load(self) -> dict[str, bytes]: ...
-
-    def write(self, name: str, data: bytes) -> None: ...
-
-
 class Standing(enum.Enum):
     """Whether this store may vote."""
 
@@ -46,18 +40,21 @@
         self.holdings: dict[str, Holding] = {}
         self.view: View | None = None
         self._retired: set[str] = set()
-        self._records = records
+        self._records = DoubtfulRecords(records)
         loaded = records.load()
         for name, data in loaded.items():
             if name.startswith(_REGISTER_PREFIX):
                 message = kinds.Accepted.FromString(data)
                 self.holdings[message.register] = read_holding(message)
-        if _META in loaded:
-            self._read_meta(loaded[_META])
-        elif is_first and not loaded:
-            self._begin_first(seeds)
-        if self.standing is Standing.READING:
-            self.begin_reading()
+        # What cannot be written now is written before the first answer.
+        with contextlib.suppress(DiskError):
+            # Empty: the disk lost a record, so this store starts as if wiped.
+            if loaded.get(META_RECORD):
+                self._read_meta(loaded[META_RECORD])
+            elif is_first and not loaded:
+                self._begin_first(seeds)
+            if self.standing is Standing.READING:
+                self.begin_reading()
 
     @property
     def is_member(self) -> bool:
@@ -71,6 +68,18 @@
         known = self.view.number if self.view else 0
         return bool(held.value) and read_view(held.value).number > known
 
+    def settle_disk(self) -> None:
+        """Writes again what a failed write left in doubt; DiskError if it fails again.
+
+        To be called before each answer: none may rest on what power loss can change.
+        """
+        for name in sorted(self._records.in_doubt):
+            register = name.removeprefix(_REGISTER_PREFIX)
+            if name == META_RECORD:
+                self._write_meta()
+            else:
+                self._write_register(register, self.holdings.get(register, NOTHING))
+
     def begin_reading(self) -> None:
         """Starts a life that knows nothing: no vote before it has read."""
         self.life = os.urandom(16).hex()
@@ -201,7 +210,7 @@
 
     def _write_meta(self) -> None:
         self._records.write(
-            _META,
+            META_RECORD,
             json.dumps(
                 {
                     "life": self.life,
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -2,7 +2,7 @@
 
 import time
 
-from marblefold.errors import MeshError
+from marblefold.errors import DiskError, MeshError
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
 from marblefold.inner_protocol.peer_book import PeerBook
@@ -16,10 +16,21 @@
 
 
 def answer_call(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
-    """The acceptor's word on a call; None for calls that are not for it."""
+    """The acceptor's word on a call; None for calls that are not for it.
+
+    A disk in trouble makes it a refusal: nothing is promised from memory alone.
+    """
+    try:
+        return _answer_from_disk(acceptor, call)
+    except DiskError as error:
+        return kinds.StoreAnswer(reason=f"disk: {error.reason}")
+
+
+def _answer_from_disk(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
     # Callers name only views that were chosen: the newer one is news for us.
     if call.view:
         acceptor.take_view(read_view(call.view))
+    acceptor.settle_disk()
     if call.kind == "prepare":
         return acceptor.prepare(call)
     if call.kind == "accept":
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -3,8 +3,10 @@
 import asyncio
 import os
 import signal
+import time
+from collections.abc import Callable
 
-from marblefold.errors import MeshError
+from marblefold.errors import DiskError, MeshError
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
@@ -13,7 +15,7 @@
 from marblefold.inner_protocol.ports import STORE, inner_address
 from marblefold.logs import log
 from marblefold.node_config.watching import ConfigWatch
-from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor
+from marblefold.register_store.acceptor import META_RECORD, VIEW_REGISTER, Acceptor
 from marblefold.register_store.ballots import Holding, read_holding
 from marblefold.register_store.changes import (
     Change,
@@ -30,9 +32,10 @@
 from marblefold.register_store.register_files import RegisterFiles
 from marblefold.register_store.upkeep import Upkeep
 
-__all__ = ["StoreProgram"]
+__all__ = ["StoreProgram", "open_acceptor"]
 
 _WORD_SECONDS = 1.3
+_DISK_PAUSE_SECONDS = 0.3
 
 
 class StoreProgram:
@@ -46,8 +49,8 @@
         self._config = config
         self._address = inner_address(config.host, config, STORE)
         seeds = [inner_address(seed.host, config, STORE) for seed in config.seeds]
-        self._acceptor = Acceptor(
-            self._address, RegisterFiles(config.data_directory), seeds, config.is_first_start
+        self._acceptor = open_acceptor(
+            self._address, config.data_directory, seeds, config.is_first_start
         )
         self._peers = StorePeers(self._acceptor, PeerBook(self))
         self._proposer = Proposer(
@@ -163,6 +166,22 @@
             self._peers.tell_chosen(peer, register, holding)
 
 
+def open_acceptor(
+    address: str,
+    folder: str,
+    seeds: list[str],
+    is_first: bool,
+    sleep: Callable[[float], None] = time.sleep,
+) -> Acceptor:
+    """The acceptor of the records in the folder; waits, in silence, for a disk in trouble."""
+    while True:
+        try:
+            return Acceptor(address, RegisterFiles(folder, META_RECORD), seeds, is_first)
+        except DiskError as error:
+            log.warning("records not read", step=error.step, reason=error.reason)
+        sleep(_DISK_PAUSE_SECONDS)
+
+
 def _find_change(call: kinds.RegisterCall) -> Change | None:
     if call.kind == "configuration":
         return hold_configuration(call.number, call.value)
