--- a/marblefold/register_store/chosen_registers.py
+++ b/marblefold/register_store/chosen_registers.py
@@ -1,4 +1,6 @@
-"""What is known to hold, and who wants to hear of it."""
+"""What is known to be chosen, and who wants to hear of it."""
+
+import hashlib
 
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message
@@ -7,6 +9,10 @@
 
 __all__ = ["ChosenRegisters"]
 
+# One answer to a store that is behind: it must get through a slow link within
+# the time that a call has.  A single record is sent whole, whatever its size.
+_MOST_BYTES = 32 * 1024
+
 
 class ChosenRegisters:
     """The newest chosen holding of every register, and its watchers."""
@@ -14,6 +20,7 @@
     def __init__(self) -> None:
         self.holdings: dict[str, Holding] = {}
         self._watchers: set[PeerConnection] = set()
+        self._digest = b""
 
     def put(self, register: str, holding: Holding) -> bool:
         """Takes in a chosen holding; tells whether it was news."""
@@ -21,6 +28,7 @@
         if not holding.value or (held is not None and holding.ballot <= held.ballot):
             return False
         self.holdings[register] = holding
+        self._digest = b""
         payload = pack_message(pack_holding(register, holding))
         for connection in self._watchers:
             connection.send(FrameKind.TELL, 0, payload)
@@ -36,18 +44,31 @@
         """A watcher is gone."""
         self._watchers.discard(connection)
 
+    def digest(self) -> bytes:
+        """Tells whether two stores know the same: 16 bytes over registers and ballots."""
+        if not self._digest:
+            marks = sorted((name, *holding.ballot) for name, holding in self.holdings.items())
+            self._digest = hashlib.blake2b(repr(marks).encode(), digest_size=16).digest()
+        return self._digest
+
     def ballots(self) -> list[kinds.Accepted]:
-        """The ballots of all that holds, for peers to compare."""
+        """The ballots of all that is chosen, for peers to compare."""
         return [
             kinds.Accepted(register=register, ballot=holding.ballot.pack())
             for register, holding in self.holdings.items()
         ]
 
     def newer_than(self, ballots: list[kinds.Accepted]) -> list[kinds.Accepted]:
-        """What holds here and is newer than a peer's."""
+        """What is newer here than at a peer: as much of it as one answer may hold."""
         theirs = {message.register: Ballot.read(message.ballot) for message in ballots}
-        return [
-            pack_holding(register, holding)
-            for register, holding in self.holdings.items()
-            if register not in theirs or holding.ballot > theirs[register]
-        ]
+        newer: list[kinds.Accepted] = []
+        size = 0
+        for register, holding in self.holdings.items():
+            if register in theirs and holding.ballot <= theirs[register]:
+                continue
+            message = pack_holding(register, holding)
+            size += message.ByteSize()
+            if newer and size > _MOST_BYTES:
+                break
+            newer.append(message)
+        return newer
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -27,6 +27,7 @@
     replace_at,
 )
 from marblefold.register_store.chosen_registers import ChosenRegisters
+from marblefold.register_store.comparing import answer_comparison
 from marblefold.register_store.peer_calls import StorePeers, answer_call
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.register_files import RegisterFiles
@@ -118,9 +119,7 @@
             return answer
         view = self._acceptor.pack_view()
         if call.kind == "compare":
-            return kinds.StoreAnswer(
-                agreed=True, view=view, accepted=self._words.newer_than(list(call.chosen))
-            )
+            return answer_comparison(self._words, call)
         if call.kind == "opinion":
             return kinds.StoreAnswer(agreed=self._upkeep.opinion(call.register), view=view)
         if call.kind == "join":
--- a/marblefold/register_store/upkeep.py
+++ b/marblefold/register_store/upkeep.py
@@ -10,9 +10,9 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, Standing
-from marblefold.register_store.ballots import read_holding
 from marblefold.register_store.changes import change_view, keep
 from marblefold.register_store.chosen_registers import ChosenRegisters
+from marblefold.register_store.comparing import Comparing
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.view import read_view
@@ -40,7 +40,7 @@
         self._acceptor = acceptor
         self._peers = peers
         self._proposer = proposer
-        self._words = words
+        self._comparing = Comparing(acceptor, words, self._ask_each)
         self._seeds = seeds
         # A majority must be left when that many lose their disks at once; the
         # first view has no more members than there are seeds.
@@ -66,13 +66,14 @@
         acceptor = self._acceptor
         if acceptor.standing is Standing.READING:
             await self._read()
+        # Before settling: whatever a peer knows to be chosen is settled.
+        await self._comparing.run_round()
         if acceptor.standing is Standing.VOTING:
             if acceptor.has_open_view:
                 await self._settle(VIEW_REGISTER)
             await self._settle_all()
             await self._grow()
             await self._swap_lost()
-        await self._compare()
 
     async def _read(self) -> None:
         """Reads all registers from enough others, then votes."""
@@ -99,33 +100,24 @@
         """After a start, finds out which of the words held here hold at all."""
         if self._unsettled is None:
             self._unsettled = set(self._acceptor.holdings)
-        for register in list(self._unsettled):
-            await self._settle(register)
+        # Each member in an order of its own, or all would try for the same one.
+        for register in random.sample(sorted(self._unsettled), len(self._unsettled)):
+            if not self._comparing.is_settled(register):
+                await self._settle(register)
             self._unsettled.discard(register)
 
     async def _settle(self, register: str) -> None:
         holding = await self._proposer.change(register, keep, _SETTLE_SECONDS)
         self.take_chosen(register, holding)
+        # After a start of all, each register is settled by one and not by every one.
+        view = self._acceptor.view
+        for peer in view.members if view and holding.value else ():
+            if peer != self._acceptor.address:
+                self._peers.tell_chosen(peer, register, holding)
 
     def take_chosen(self, register: str, holding) -> None:
         """Something is known to hold."""
-        if not holding.value:
-            return
-        self._acceptor.take_chosen(register, holding)
-        self._words.put(register, holding)
-
-    async def _compare(self) -> None:
-        """Compares with every other member; whoever is behind takes a frame."""
-        acceptor = self._acceptor
-        if acceptor.view is None:
-            return
-        call = kinds.StoreCall(
-            kind="compare", view=acceptor.pack_view(), chosen=self._words.ballots()
-        )
-        others = [peer for peer in acceptor.view.members if peer != acceptor.address]
-        for answer in await self._ask_all(others, call):
-            for message in answer.accepted:
-                self.take_chosen(message.register, read_holding(message))
+        self._comparing.take(register, holding)
 
     async def _grow(self) -> None:
         """Takes a store that waits into a view with too few members."""
@@ -202,6 +194,11 @@
         return self._peers.silence(peer, self._began) > _GONE_SECONDS
 
     async def _ask_all(self, peers: list[str], call: kinds.StoreCall) -> list[kinds.StoreAnswer]:
+        return [answer for answer in await self._ask_each(peers, call) if answer is not None]
+
+    async def _ask_each(
+        self, peers: list[str], call: kinds.StoreCall
+    ) -> list[kinds.StoreAnswer | None]:
         results = await asyncio.gather(
             *(
                 self._peers.call(peer, kinds.StoreCall.FromString(call.SerializeToString()))
@@ -209,14 +206,10 @@
             ),
             return_exceptions=True,
         )
-        answers = []
         for result in results:
-            if isinstance(result, MeshError):
-                continue
-            if isinstance(result, BaseException):
+            if isinstance(result, BaseException) and not isinstance(result, MeshError):
                 raise result
-            answers.append(result)
-        return answers
+        return [None if isinstance(result, MeshError) else result for result in results]
 
 
 def _rank(key: str, peer: str) -> tuple[int, str]:
--- /dev/null
+++ b/tests/simulated_core.py
@@ -0,0 +1,111 @@
+"""Whole stores in memory: the real acceptor, proposer, upkeep and comparing.
+
+Calls reach a peer at once or not at all; rounds of upkeep are run by the test.
+Every byte that goes between stores, and every call by its kind, is counted.
+"""
+
+import asyncio
+import collections
+
+from marblefold.errors import MeshError
+from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
+from marblefold.register_store.acceptor import Acceptor
+from marblefold.register_store.ballots import pack_holding, read_holding
+from marblefold.register_store.chosen_registers import ChosenRegisters
+from marblefold.register_store.comparing import answer_comparison
+from marblefold.register_store.peer_calls import answer_call
+from marblefold.register_store.proposer import Proposer
+from marblefold.register_store.upkeep import Upkeep
+from tests.simulated_stores import MemoryRecords
+
+
+class Core:
+    """The machines of the core, and the link between them."""
+
+    def __init__(self, size, make_records=MemoryRecords):
+        self.addresses = [f"10.0.0.{number}:7103" for number in range(1, size + 1)]
+        self.away = set()
+        self.calls = collections.Counter()
+        self.bytes = self.largest = 0
+        self.members = {
+            address: Member(self, address, make_records(), True) for address in self.addresses
+        }
+
+    async def change(self, by, register, change):
+        """A change as an operator has it made: acknowledged, or a MeshError."""
+        member = self.members[by]
+        holding = await member.proposer.change(register, change, 1.0)
+        member.upkeep.take_chosen(register, holding)
+        for peer in self.addresses:
+            member.tell_chosen(peer, register, holding)
+        await asyncio.sleep(0)
+        return holding
+
+    async def run_round(self, *addresses):
+        """One round of upkeep, of those named or of all that are here."""
+        for address in addresses or self.addresses:
+            if address not in self.away:
+                await self.members[address].upkeep._round()
+
+    def restart(self, address, records=None, is_first=False):
+        """The process starts again, on its disk or on another one."""
+        old = self.members[address]
+        self.members[address] = Member(self, address, records or old.records, is_first)
+        return self.members[address]
+
+    def reset_counts(self):
+        self.calls.clear()
+        self.bytes = self.largest = 0
+
+
+class Member:
+    """One store, and the calls it makes."""
+
+    def __init__(self, core, address, records, is_first):
+        self.core, self.address, self.records = core, address, records
+        self.acceptor = Acceptor(address, records, core.addresses, is_first)
+        self.chosen = ChosenRegisters()
+        self.proposer = Proposer(
+            self, f"{address}/{self.acceptor.life}/1", sleep=lambda _seconds: asyncio.sleep(0)
+        )
+        self.upkeep = Upkeep(self.acceptor, self, self.proposer, self.chosen, core.addresses, 2)
+
+    def current_view(self):
+        return self.acceptor.view
+
+    def learn_view(self, view):
+        self.acceptor.take_view(view)
+
+    def silence(self, peer, since):
+        return 0.0
+
+    def answer(self, call):
+        answer = answer_call(self.acceptor, call)
+        if answer is not None:
+            return answer
+        if call.kind == "join":
+            return kinds.StoreAnswer(view=self.acceptor.pack_view(), reason="wait")
+        assert call.kind == "compare"
+        return answer_comparison(self.chosen, call)
+
+    async def call(self, peer, call):
+        if peer == self.address:
+            return answer_call(self.acceptor, call)
+        if peer in self.core.away or self.address in self.core.away:
+            raise MeshError("call", "out of reach", peer)
+        call.sender, call.sender_life = self.address, self.acceptor.life
+        payload = pack_message(call)
+        answer = pack_message(self.core.members[peer].answer(unpack_message(payload)))
+        self.core.calls[call.kind] += 1
+        self.core.bytes += len(payload) + len(answer)
+        self.core.largest = max(self.core.largest, len(answer))
+        return unpack_message(answer)
+
+    def tell_chosen(self, peer, register, holding):
+        if peer == self.address or {peer, self.address} & self.core.away:
+            return
+        payload = pack_message(pack_holding(register, holding))
+        self.core.bytes += len(payload)
+        message = unpack_message(payload)
+        assert isinstance(message, kinds.Accepted)
+        self.core.members[peer].upkeep.take_chosen(message.register, read_holding(message))
