--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -3,13 +3,12 @@
 Pure but for the records it writes, so that tests can lose power anywhere.
 """
 
-import enum
-import json
-import os
-from typing import Protocol
-
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NOTHING, Ballot, Holding, pack_holding, read_holding
+from marblefold.register_store.calls import Refusal
+from marblefold.register_store.lives import NO_LIFE, first_life, is_past, life_above, may_follow
+from marblefold.register_store.reading import find_unproven, merge_holdings, merge_lives
+from marblefold.register_store.store_records import Records, Standing, StoreMeta
 from marblefold.register_store.view import View, first_view, read_view
 
 __all__ = ["Acceptor", "Records", "Standing", "VIEW_REGISTER"]
@@ -19,33 +18,19 @@
 _REGISTER_PREFIX = "register/"
 
 
-class Records(Protocol):
-    """Where records last."""
-
-    def load(self) -> dict[str, bytes]: ...
-
-    def write(self, name: str, data: bytes) -> None: ...
-
-
-class Standing(enum.Enum):
-    """Whether this store may vote."""
-
-    # Its disk may miss what it once promised or accepted.
-    READING = "reading"
-    VOTING = "voting"
-
-
 class Acceptor:
     """Holds the registers of one store."""
 
     def __init__(self, address: str, records: Records, seeds: list[str], is_first: bool) -> None:
         self.address = address
         self.standing = Standing.READING
-        self.life = ""
+        self.life = NO_LIFE
         self.lives: dict[str, str] = {}
         self.holdings: dict[str, Holding] = {}
         self.view: View | None = None
-        self._retired: set[str] = set()
+        # Copied while reading although a higher ballot was promised: no proof
+        # that a majority accepted the value under its ballot.
+        self._unproven: set[str] = set()
         self._records = records
         loaded = records.load()
         for name, data in loaded.items():
@@ -73,9 +58,20 @@
 
     def begin_reading(self) -> None:
         """Starts a life that knows nothing: no vote before it has read."""
-        self.life = os.urandom(16).hex()
+        self.life = life_above([self.life, self.lives.get(self.address, NO_LIFE)])
         self._change_standing(Standing.READING)
 
+    def outlive(self, known: str) -> bool:
+        """Begins a later life if one not before ours is known; tells whether it did.
+
+        A lost disk does not know its epoch: those that noted it say so.
+        """
+        if may_follow(self.life, known):
+            return False
+        self.lives[self.address] = known
+        self.begin_reading()
+        return True
+
     def prepare(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """Promises to take no lower ballot, if none higher was promised."""
         refusal = self._find_refusal(call)
@@ -84,9 +80,11 @@
         held = self.holdings.get(call.register, NOTHING)
         ballot = Ballot.read(call.ballot)
         if ballot <= held.promised:
-            return self._refuse("promised higher", call.register)
+            return self._refuse(Refusal.PROMISED_HIGHER, call.register)
         self._hold(call.register, held._replace(promised=ballot))
-        return self._agree([pack_holding(call.register, held)])
+        # A promise above the ballot tells the proposer not to count it as accepted.
+        shown = held if call.register in self._unproven else held._replace(promised=held.ballot)
+        return self._agree([pack_holding(call.register, shown)])
 
     def accept(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """Accepts a value under a ballot that is not below the promised one."""
@@ -95,8 +93,9 @@
             return self._refuse(refusal, call.register)
         ballot = Ballot.read(call.ballot)
         if ballot < self.holdings.get(call.register, NOTHING).promised:
-            return self._refuse("promised higher", call.register)
+            return self._refuse(Refusal.PROMISED_HIGHER, call.register)
         self._hold(call.register, Holding(ballot, ballot, call.number, call.value))
+        self._unproven.discard(call.register)
         return self._agree([])
 
     def take_chosen(self, register: str, holding: Holding) -> bool:
@@ -111,6 +110,7 @@
             return False
         promised = max(held.promised, holding.ballot)
         self._hold(register, holding._replace(promised=promised))
+        self._unproven.discard(register)
         return True
 
     def take_view(self, view: View) -> bool:
@@ -120,6 +120,12 @@
         # Only who was a member all along knows what was held meanwhile.
         follows = self.is_member and view.number == self.view.number + 1
         self.view = view
+        # Calls of earlier views are refused as such, whatever life they count on.
+        self.lives = {
+            member: life
+            for member, life in self.lives.items()
+            if member in view.members or member == self.address
+        }
         if self.standing is Standing.VOTING and not (follows and self.is_member):
             self.begin_reading()
         else:
@@ -129,15 +135,13 @@
     def answer_read(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """Gives all that is held, and knows the reader's new life from then on."""
         if self.standing is not Standing.VOTING or self.has_open_view:
-            return self._refuse("cannot be read now", "")
+            return self._refuse(Refusal.UNREADABLE, "")
         if call.view and read_view(call.view) != self.view:
-            return self._refuse("another view", "")
-        known = self.lives.get(call.sender, "")
-        if call.sender_life in self._retired:
-            return self._refuse("a past life", "")
+            return self._refuse(Refusal.ANOTHER_VIEW, "")
+        known = self.lives.get(call.sender, NO_LIFE)
+        if not may_follow(call.sender_life, known):
+            return self._refuse(Refusal.READER_OF_PAST_LIFE, "", {call.sender: known})
         if known != call.sender_life:
-            if known:
-                self._retired.add(known)
             self.lives[call.sender] = call.sender_life
             # On disk first: an accept that counts on the past life of the
             # reader must be refused from here on, whatever happens to us.
@@ -146,36 +150,37 @@
 
     def finish_reading(self, answers: list[kinds.StoreAnswer]) -> None:
         """Takes over what enough others hold; from here on this store votes."""
-        for answer in answers:
-            for message in answer.accepted:
-                self._merge(message.register, read_holding(message))
-            for member, life in answer.lives.items():
-                self.lives.setdefault(member, life)
+        merge_holdings(self.holdings, answers)
+        merge_lives(self.lives, answers)
         for register, holding in self.holdings.items():
             self._write_register(register, holding)
+        self._unproven = find_unproven(self.holdings)
         self._change_standing(Standing.VOTING)
 
-    def _merge(self, register: str, other: Holding) -> None:
-        held = self.holdings.get(register, NOTHING)
-        newer = other if other.ballot > held.ballot else held
-        self.holdings[register] = newer._replace(promised=max(held.promised, other.promised))
-
-    def _find_refusal(self, call: kinds.StoreCall) -> str:
+    def _find_refusal(self, call: kinds.StoreCall) -> Refusal:
         if self.standing is not Standing.VOTING or not self.is_member:
-            return "does not vote"
+            return Refusal.DOES_NOT_VOTE
         if read_view(call.view) != self.view:
-            return "another view"
+            return Refusal.ANOTHER_VIEW
         # A view that may be chosen already ends all else in this one.
         if self.has_open_view and call.register != VIEW_REGISTER:
-            return "view is changing"
-        return ""
+            return Refusal.VIEW_IS_CHANGING
+        return Refusal.NONE
 
-    def _find_past_life(self, call: kinds.StoreCall) -> str:
-        for member, life in call.lives.items():
-            known = self.life if member == self.address else self.lives.get(member, life)
-            if known != life:
-                return "counts on a past life"
-        return "" if self.address in call.lives else "counts on no promise"
+    def _find_past_life(self, call: kinds.StoreCall) -> Refusal:
+        """Whether the accept counts on a promise that was lost with a disk.
+
+        A later life than the one noted here is no reason: it has read, though
+        not from us.
+        """
+        if self.address not in call.lives:
+            return Refusal.NO_PROMISE
+        if call.lives[self.address] != self.life:
+            return Refusal.PAST_LIFE
+        is_lost = any(
+            is_past(life, self.lives.get(member, NO_LIFE)) for member, life in call.lives.items()
+        )
+        return Refusal.PAST_LIFE if is_lost else Refusal.NONE
 
     def _hold(self, register: str, holding: Holding) -> None:
         self._write_register(register, holding)
@@ -188,7 +193,7 @@
 
     def _begin_first(self, seeds: list[str]) -> None:
         view = first_view(seeds)
-        self.life = os.urandom(16).hex()
+        self.life = first_life()
         self.view = view
         # A store that no seed names waits to be swapped in.
         if self.is_member:
@@ -202,35 +207,38 @@
     def _write_meta(self) -> None:
         self._records.write(
             _META,
-            json.dumps(
-                {
-                    "life": self.life,
-                    "standing": self.standing.value,
-                    "lives": self.lives,
-                    "retired": sorted(self._retired),
-                    "view": self.view.pack().decode() if self.view else "",
-                }
-            ).encode(),
+            StoreMeta(
+                self.life, self.standing, self.lives, frozenset(self._unproven), self.view
+            ).pack(),
         )
 
     def _read_meta(self, data: bytes) -> None:
-        meta = json.loads(data)
-        self.life = meta["life"]
-        self.standing = Standing(meta["standing"])
-        self.lives = meta["lives"]
-        self._retired = set(meta["retired"])
-        if meta["view"]:
-            self.view = read_view(meta["view"].encode())
+        meta = StoreMeta.read(data)
+        self.life, self.standing, self.view = meta.life, meta.standing, meta.view
+        self.lives, self._unproven = dict(meta.lives), set(meta.unproven)
 
     def _agree(self, accepted: list[kinds.Accepted]) -> kinds.StoreAnswer:
         return kinds.StoreAnswer(
-            agreed=True, life=self.life, view=self.pack_view(), accepted=accepted, lives=self.lives
+            agreed=True,
+            life=self.life,
+            view=self.pack_view(),
+            accepted=accepted,
+            lives={**self.lives, self.address: self.life},
         )
 
-    def _refuse(self, reason: str, register: str) -> kinds.StoreAnswer:
-        held = self.holdings.get(register, NOTHING)
+    def _refuse(
+        self,
+        reason: Refusal,
+        register: str,
+        lives: dict[str, str] | None = None,
+    ) -> kinds.StoreAnswer:
+        promised = self.holdings.get(register, NOTHING).promised
         return kinds.StoreAnswer(
-            reason=reason, life=self.life, view=self.pack_view(), promised=held.promised.pack()
+            reason=reason,
+            life=self.life,
+            view=self.pack_view(),
+            lives=lives,
+            promised=promised.pack(),
         )
 
     def pack_view(self) -> bytes:
--- /dev/null
+++ b/marblefold/register_store/lives.py
@@ -0,0 +1,52 @@
+"""Lives: each empty disk of a store begins a new one, and lives are ordered.
+
+A life is written as its epoch and a random part.  A store whose disk was lost
+chooses an epoch above each one that the members it reads have noted for it, so
+of two lives of a store everybody can tell the later one.
+"""
+
+import os
+from collections.abc import Iterable
+
+__all__ = ["NO_LIFE", "first_life", "is_past", "later_life", "life_above", "may_follow"]
+
+# Older than every life: of a store that nothing is known about.
+NO_LIFE = ""
+
+
+def first_life() -> str:
+    """The life of a store at the first start of the whole system."""
+    return _make(0)
+
+
+def life_above(known: Iterable[str]) -> str:
+    """A fresh life, later than each of the known ones."""
+    return _make(max(0, *(_epoch(life) for life in known)) + 1)
+
+
+def is_past(life: str, known: str) -> bool:
+    """Whether the life ended before the known one of the same store began.
+
+    Of two lives of one epoch at most one has ever voted: to vote it must have
+    been noted by so many members that the other one is refused by one of them.
+    """
+    return _epoch(life) < _epoch(known)
+
+
+def may_follow(life: str, known: str) -> bool:
+    """Whether a store may read under the life where the other one is noted for it."""
+    return life == known or _epoch(life) > _epoch(known)
+
+
+def later_life(one: str, other: str) -> str:
+    """The later of two lives of one store."""
+    return other if is_past(one, other) else one
+
+
+def _make(epoch: int) -> str:
+    return f"{epoch}-{os.urandom(16).hex()}"
+
+
+def _epoch(life: str) -> int:
+    epoch, sign, _mark = life.partition("-")
+    return int(epoch) if sign else -1
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -9,7 +9,9 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NO_BALLOT, Ballot, Holding, read_holding
+from marblefold.register_store.calls import CallKind
 from marblefold.register_store.changes import Change, Held
+from marblefold.register_store.lives import NO_LIFE, is_past, later_life
 from marblefold.register_store.view import View, read_view
 
 __all__ = ["PeerCaller", "Proposer"]
@@ -80,11 +82,15 @@
         held = Held(newest.number, newest.value)
         wanted = change(held)
         # Held by a whole majority under one ballot already: nothing to settle.
-        is_settled = all(holding.ballot == newest.ballot for holding in promises.holdings)
+        # One that was copied below a promise is no acceptance that counts.
+        is_settled = all(
+            holding.ballot == newest.ballot and holding.promised <= holding.ballot
+            for holding in promises.holdings
+        )
         if wanted == held and is_settled:
             return newest
         call = kinds.StoreCall(
-            kind="accept",
+            kind=CallKind.ACCEPT,
             view=view.pack(),
             register=register,
             ballot=ballot.pack(),
@@ -99,9 +105,9 @@
 
     async def _prepare(self, view: View, register: str, ballot: Ballot) -> _Promises | None:
         call = kinds.StoreCall(
-            kind="prepare", view=view.pack(), register=register, ballot=ballot.pack()
+            kind=CallKind.PREPARE, view=view.pack(), register=register, ballot=ballot.pack()
         )
-        answers = await self._ask(list(view.members), call, view.majority)
+        answers = _drop_past_lives(await self._ask(list(view.members), call, view.majority))
         if len(answers) < view.majority:
             return None
         return _Promises(
@@ -152,6 +158,24 @@
             self._peers.learn_view(read_view(answer.view))
 
 
+def _drop_past_lives(answers: dict[str, kinds.StoreAnswer]) -> dict[str, kinds.StoreAnswer]:
+    """Without the promises that were lost with a disk, as another one shows.
+
+    Whoever lost its disk has read some member of every majority: either that
+    one promised first, and the reader knows the ballot, or its answer tells
+    the reader's later life.
+    """
+    known: dict[str, str] = {}
+    for answer in answers.values():
+        for member, life in answer.lives.items():
+            known[member] = later_life(life, known.get(member, NO_LIFE))
+    return {
+        peer: answer
+        for peer, answer in answers.items()
+        if not is_past(answer.life, known.get(peer, NO_LIFE))
+    }
+
+
 def _forget(task: asyncio.Task) -> None:
     if not task.cancelled():
         task.exception()
--- a/marblefold/register_store/upkeep.py
+++ b/marblefold/register_store/upkeep.py
@@ -85,6 +85,11 @@
         for answer in answers:
             if answer.view:
                 acceptor.take_view(read_view(answer.view))
+        life = acceptor.life
+        for answer in answers:
+            acceptor.outlive(answer.lives.get(acceptor.address, ""))
+        if acceptor.life != life:
+            return
         # Another view than the one we asked under: ask again under that.
         if acceptor.view != known or not acceptor.is_member or kind != "read":
             return
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -132,6 +132,10 @@
                 answers.append(answer)
             if answer.view:
                 acceptor.take_view(read_view(answer.view))
+            # A lost disk hears here that an earlier life of its own was noted.
+            acceptor.outlive(answer.lives.get(address, ""))
+        if acceptor.life != life:
+            return
         same = {answer.view for answer in answers} == {acceptor.pack_view()}
         if acceptor.is_member and same and len(answers) >= acceptor.view.reading:
             acceptor.finish_reading(answers)
