--- a/marblefold/rehearsal/calls.py
+++ b/marblefold/rehearsal/calls.py
@@ -67,7 +67,7 @@
     async def _play(self, regions: list[str], zones: list[str], clients: list[str]) -> Answer:
         # Nothing else in a registry needs these.
         from marblefold.rehearsal.forecast import find_lost, rehearse_slowly
-        from marblefold.rehearsal.playing import PlayConfig
+        from marblefold.rehearsal.play_config import PlayConfig
         from marblefold.rehearsal.reporting import to_plain
         from marblefold.rehearsal.snapshot import read_snapshot
 
--- a/marblefold/rehearsal/command.py
+++ b/marblefold/rehearsal/command.py
@@ -11,7 +11,7 @@
 from marblefold.errors import MeshError
 from marblefold.registry_client import ask_one
 from marblefold.rehearsal.forecast import find_lost, rehearse
-from marblefold.rehearsal.playing import PlayConfig
+from marblefold.rehearsal.play_config import PlayConfig
 from marblefold.rehearsal.reporting import to_plain, to_text
 from marblefold.rehearsal.snapshot import is_old, read_snapshot
 
--- a/marblefold/rehearsal/flight.py
+++ b/marblefold/rehearsal/flight.py
@@ -1,33 +1,39 @@
 """One request of a rehearsal, from its arrival to its final answer."""
 
-from typing import TYPE_CHECKING
+from typing import NamedTuple
 
 from marblefold import wire_names
+from marblefold.circuit_breaker.work_tracker import Ticket
 from marblefold.configuration.rows import Route
 from marblefold.http_connections.answer import Answer
 from marblefold.rehearsal.guards import RehearsedGuard
 from marblefold.rehearsal.origins import Origin
+from marblefold.rehearsal.stage import Stage
 from marblefold.rehearsal.tally import Ending
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult
 from marblefold.request_path.slot_queue import Turn
 from marblefold.request_path.upstream_limits import find_cold_most
 
-if TYPE_CHECKING:
-    from marblefold.rehearsal.playing import Play
-
 __all__ = ["Flight"]
 
 _DONE = Answer(200)
 _REFUSED_RETRY = 0.1
 
 
+class _Hop(NamedTuple):
+    """The offer under way; a callback that holds an older one is stale."""
+
+    offer: Offer
+    ticket: Ticket
+
+
 class Flight:
     """Asks the real decision, and obeys it in the time of the play."""
 
     def __init__(
         self,
-        play: "Play",
+        play: Stage,
         origin: Origin,
         route: Route,
         upstream: str,
@@ -52,9 +58,7 @@
             origin.surroundings,
         )
         self._deadline = deadline
-        self._hop = 0
-        self._offer: Offer | None = None
-        self._ticket = None
+        self._hop: _Hop | None = None
         self._offers = 0
         self._was_dark = False
         self._is_slot_held = False
@@ -71,59 +75,62 @@
             # Its client is gone too, and will ask what became of it.
             self._was_dark = self._decision.may_have_run or self._is_slot_held
             self._end("gone", "origin lost", "")
-        elif self._offer is not None and self._play.is_lost(self._offer.target.zone):
-            self._go_dark()
+        elif self._hop is not None and self._play.is_lost(self._hop.offer.target.zone):
+            self._go_dark(self._hop)
 
     def _step(self) -> None:
         step = self._decision.next_step(self._play.now)
         if isinstance(step, Conclude):
             self._conclude(step)
             return
-        self._hop += 1
-        self._offer = step
         surroundings = self._origin.surroundings
         self._offers = step.attempt_number
         if step.attempt_number > 1:
             surroundings.note_repeat(self._upstream, self._play.now)
-        self._ticket = surroundings.begin(step.target, self._decision.weight, "rehearsed")
-        hop = self._hop
+        ticket = surroundings.begin(step.target, self._decision.weight, "rehearsed")
+        hop = self._begin_hop(step, ticket)
         delay = self._play.delay(self._origin.zone, step.target)
         self._play.after(delay, lambda: self._reach(hop))
 
-    def _reach(self, hop: int) -> None:
+    def _begin_hop(self, offer: Offer, ticket: Ticket) -> _Hop:
+        """Makes a hop the one under way: callbacks of earlier ones do nothing from now on."""
+        self._hop = _Hop(offer, ticket)
+        return self._hop
+
+    def _reach(self, hop: _Hop) -> None:
         """The hop has come to the guard, or into the dark."""
-        if hop != self._hop:
+        if hop is not self._hop:
             return
-        play, offer = self._play, self._offer
+        play, offer = self._play, hop.offer
         if play.is_lost(offer.target.zone):
-            self._go_dark()
+            self._go_dark(hop)
             return
         guard = play.guards[offer.target.node]
         if self._upstream in play.lapsed:
-            self._refuse("another owner", _REFUSED_RETRY)
+            self._refuse(hop, "another owner", _REFUSED_RETRY)
             return
         end = self._arrived + self._route.target_latency.total_seconds()
         turn = Turn(1 + max(0, self._route.priority), end)
         number = guard.take(turn, offer.queue_seconds, lambda: self._start(hop))
         if number is None:
-            self._refuse(NO_SLOT, max(_REFUSED_RETRY, guard.expected_wait(turn)))
+            self._refuse(hop, NO_SLOT, max(_REFUSED_RETRY, guard.expected_wait(turn)))
         elif number >= 0:
             play.after(offer.queue_seconds, lambda: self._leave_queue(hop, guard, number))
 
-    def _leave_queue(self, hop: int, guard: RehearsedGuard, number: int) -> None:
-        if guard.leave(number) and hop == self._hop:
-            self._refuse(NO_SLOT, _REFUSED_RETRY)
+    def _leave_queue(self, hop: _Hop, guard: RehearsedGuard, number: int) -> None:
+        if guard.leave(number) and hop is self._hop:
+            self._refuse(hop, NO_SLOT, _REFUSED_RETRY)
 
-    def _start(self, hop: int) -> None:
+    def _start(self, hop: _Hop) -> None:
         """A slot was had."""
-        play, target = self._play, self._offer.target
+        play, target = self._play, hop.offer.target
         guard = play.guards[target.node]
         most = find_cold_most(play.view, self._origin.surroundings.bounds, target.upstream)
-        if hop != self._hop or not guard.cold.may_offer(play.now, most):
+        if hop is not self._hop or not guard.cold.may_offer(play.now, most):
             # Given back behind this call: the guard is in the midst of handing out.
             play.after(0.0, guard.give_back)
-            if hop == self._hop:
-                self._refuse("cold", guard.cold.retry_after(play.now))
+            if hop is self._hop:
+                self._refuse(hop, "cold", guard.cold.retry_after(play.now))
             return
         self._is_slot_held = True
         spread = play.config.spread
@@ -131,18 +138,18 @@
         seconds *= play.random.uniform(1 - spread, 1 + spread)
         play.after(seconds, lambda: self._finish(hop, guard, seconds))
 
-    def _finish(self, hop: int, guard: RehearsedGuard, seconds: float) -> None:
+    def _finish(self, hop: _Hop, guard: RehearsedGuard, seconds: float) -> None:
         """The target is done with it, whoever still waits."""
         guard.give_back()
-        if hop != self._hop:
+        if hop is not self._hop:
             return
         play, target = self._play, guard.target
         self._is_slot_held = False
         result = HopResult(HopOutcome.ANSWERED, _DONE, load=guard.load, service_seconds=seconds)
         play.after(play.delay(self._origin.zone, target), lambda: self._take(hop, result))
 
-    def _refuse(self, step: str, retry_after: float) -> None:
-        hop, play, target = self._hop, self._play, self._offer.target
+    def _refuse(self, hop: _Hop, step: str, retry_after: float) -> None:
+        play, target = self._play, hop.offer.target
         result = HopResult(
             HopOutcome.NEVER_OFFERED,
             retry_after=retry_after,
@@ -151,14 +158,13 @@
         )
         play.after(play.delay(self._origin.zone, target), lambda: self._take(hop, result))
 
-    def _go_dark(self) -> None:
+    def _go_dark(self, lost: _Hop) -> None:
         """Nothing will come back: how the sender finds out."""
         play = self._play
-        self._hop += 1
         self._is_slot_held = False
         is_first = not self._was_dark
         self._was_dark = True
-        hop, target = self._hop, self._offer.target
+        hop, target = self._begin_hop(lost.offer, lost.ticket), lost.offer.target
         surroundings = self._origin.surroundings
         if play.now > play.loss_at + play.config.unheard_seconds:
             # By now the connection there is given up, and no new one comes up.
@@ -176,20 +182,19 @@
         result = HopResult(HopOutcome.UNKNOWN, step=step)
         play.after(wait, lambda: self._take(hop, result))
 
-    def _take(self, hop: int, result: HopResult) -> None:
+    def _take(self, hop: _Hop, result: HopResult) -> None:
         """The hop's end has come back to the sender."""
-        if hop != self._hop or self._play.is_lost(self._origin.zone):
+        if hop is not self._hop or self._play.is_lost(self._origin.zone):
             return
-        self._origin.surroundings.end(
-            self._offer.target, self._ticket, result, self._decision.weight
-        )
-        self._decision.note(self._offer.target, result)
+        target = hop.offer.target
+        self._origin.surroundings.end(target, hop.ticket, result, self._decision.weight)
+        self._decision.note(target, result)
         self._step()
 
     def _conclude(self, step: Conclude) -> None:
         status = step.answer.status
-        if status < 400:
-            self._end("carried", "", self._offer.target.zone)
+        if status < 400 and self._hop is not None:
+            self._end("carried", "", self._hop.offer.target.zone)
         elif status in (429, 503):
             self._end("stalled", step.step, "")
         else:
@@ -199,7 +204,7 @@
     def _end(self, what: str, step: str, zone: str) -> None:
         play = self._play
         play.flights.pop(self, None)
-        self._hop += 1
+        self._hop = None
         phase = play.phase(self._arrived)
         if phase is None:
             return
--- /dev/null
+++ b/marblefold/rehearsal/forecast_summary.py
@@ -0,0 +1,158 @@
+"""Makes the forecast out of the tally of the plays."""
+
+import math
+from collections.abc import Iterator
+
+from marblefold.configuration.rows import Route
+from marblefold.leases.held_leases import LEASE_SECONDS
+from marblefold.planner.comparing import count_slots
+from marblefold.rehearsal.forecast_model import Capacity, Control, Forecast, Kind
+from marblefold.rehearsal.playing import Play
+from marblefold.rehearsal.snapshot import Snapshot
+from marblefold.rehearsal.tally import Phase, Row
+from marblefold.request_path.eligibility import is_eligible
+from marblefold.request_path.outcome import NO_SLOT
+
+__all__ = ["summarize"]
+
+
+def summarize(
+    snapshot: Snapshot,
+    lost: frozenset[str],
+    play: Play,
+    plays: int,
+) -> Forecast:
+    """The forecast that the tally of so many plays adds up to; `play` is any one of them."""
+    kinds_of = {route.name: route for route in snapshot.facts.rows.routes}
+    pairs = sorted({(route, upstream) for route, upstream, _phase in play.tally.rows})
+    kinds = []
+    for name, upstream in pairs:
+        rows = {phase: play.tally.rows.get((name, upstream, phase), Row()) for phase in Phase}
+        kinds.append(_make_kind(snapshot, lost, play, plays, kinds_of[name], upstream, rows))
+    return Forecast(
+        tuple(sorted(lost)),
+        play.settled_at - play.loss_at,
+        tuple(kinds),
+        tuple(_find_capacity(snapshot, lost, play, kinds)),
+        _find_control(snapshot, lost, play),
+        snapshot.gaps,
+    )
+
+
+def _make_kind(
+    snapshot: Snapshot,
+    lost: frozenset[str],
+    play: Play,
+    plays: int,
+    route: Route,
+    upstream: str,
+    rows: dict[Phase, Row],
+) -> Kind:
+    def rate(phase: Phase, count: int) -> float:
+        return count / play.phase_seconds(phase) / plays
+
+    before, unsettled, after = (rows[phase] for phase in Phase)
+    zones_before = {zone: rate(Phase.BEFORE, n) for zone, n in sorted(before.zones.items())}
+    zones_after = {zone: rate(Phase.AFTER, n) for zone, n in sorted(after.zones.items())}
+    total = rate(Phase.BEFORE, before.count)
+    going_on = rate(Phase.AFTER, after.count)
+    lost_share = sum(zones_before.get(zone, 0.0) for zone in lost) / max(
+        1e-9, sum(zones_before.values())
+    )
+    stalls = {phase: rate(phase, rows[phase].endings.get("stalled", 0)) for phase in Phase}
+    reasons: dict[str, int] = {}
+    for row in (unsettled, after):
+        for step, count in row.steps.items():
+            reason = _explain(snapshot, lost, route, upstream, step)
+            reasons[reason] = reasons.get(reason, 0) + math.ceil(count / plays)
+    return Kind(
+        route.name,
+        upstream,
+        route.kind,
+        total,
+        zones_before,
+        zones_after,
+        min(sum(zones_after.values()), going_on * lost_share),
+        max(0.0, total - going_on),
+        stalls[Phase.BEFORE],
+        stalls[Phase.UNSETTLED],
+        stalls[Phase.AFTER],
+        reasons,
+        before.late / max(1, before.count),
+        after.late / max(1, after.count),
+        math.ceil((unsettled.repeated + after.repeated) / plays),
+        math.ceil(play.tally.may_double.get((route.name, upstream), 0) / plays),
+    )
+
+
+def _explain(
+    snapshot: Snapshot, lost: frozenset[str], route: Route, upstream: str, step: str
+) -> str:
+    """The reason shown to the operator for a request that was not carried."""
+    left = [
+        target
+        for target in snapshot.facts.targets
+        if target.upstream == upstream and target.zone not in lost
+    ]
+    owner = snapshot.owners.get(upstream)
+    if step == NO_SLOT:
+        return "capacity short"
+    if not left:
+        return "no target left"
+    # Whatever it ended by: there was nothing for it to go to.
+    if not [target for target in left if is_eligible(target, (), route.allowed_regions, owner)]:
+        return "homes or owner forbid what is left"
+    if all(target.zone in snapshot.facts.evacuated for target in left):
+        return "what is left is evacuated"
+    return {
+        "select": "no target that was not tried",
+        "retry budget": "retry budget spent",
+        "silent": "sent into the dark",
+        "connection": "sent into the dark",
+        "connect": "out of reach",
+    }.get(step, step)
+
+
+def _find_capacity(
+    snapshot: Snapshot, lost: frozenset[str], play: Play, kinds: list[Kind]
+) -> Iterator[Capacity]:
+    facts = snapshot.facts
+    after = facts._replace(
+        targets=tuple(target for target in facts.targets if target.zone not in lost)
+    )
+    service = {guard.target.upstream: guard.service_seconds for guard in play.guards.values()}
+    for upstream in sorted({target.upstream for target in facts.targets}):
+        rates = [
+            (sum(kind.zones_before.values()), sum(kind.zones_after.values()))
+            for kind in kinds
+            if kind.upstream == upstream
+        ]
+        seconds = service.get(upstream, 0.0)
+        yield Capacity(
+            upstream,
+            count_slots(facts, upstream),
+            count_slots(after, upstream),
+            seconds * sum(before for before, _after in rates),
+            seconds * sum(left for _before, left in rates),
+        )
+
+
+def _find_control(snapshot: Snapshot, lost: frozenset[str], play: Play) -> Control:
+    count = len(snapshot.registries)
+    left = sum(1 for zone in snapshot.registries.values() if zone not in lost)
+    has_majority = not count or left * 2 > count
+    notes = []
+    if not has_majority:
+        notes.append(
+            "no majority of the stores is left: no change of configuration or orders is "
+            "acknowledged; nodes go on with what they hold"
+        )
+        if snapshot.has_partners:
+            notes.append(f"partner routes lapse after {LEASE_SECONDS:g} s")
+    for upstream, owner in sorted(snapshot.owners.items()):
+        if snapshot.registries.get(owner.agent) in lost:
+            notes.append(
+                f"{upstream}: the agent of its owner {owner.site} is lost; after "
+                f"{LEASE_SECONDS:g} s it is refused until a site takes it over"
+            )
+    return Control(count, left, has_majority, tuple(notes))
--- a/marblefold/rehearsal/playing.py
+++ b/marblefold/rehearsal/playing.py
@@ -11,7 +11,7 @@
 import random
 import time
 from collections.abc import Callable, Iterator
-from typing import NamedTuple
+from functools import partial
 
 from marblefold.configuration.rows import Route
 from marblefold.leases.held_leases import LEASE_SECONDS
@@ -20,39 +20,17 @@
 from marblefold.rehearsal.flight import Flight
 from marblefold.rehearsal.guards import RehearsedGuard
 from marblefold.rehearsal.origins import make_origins, make_view
+from marblefold.rehearsal.play_config import PlayConfig
 from marblefold.rehearsal.snapshot import ASSUMED_KILOBYTES, Snapshot
+from marblefold.rehearsal.stage import LossListener
 from marblefold.rehearsal.tally import Phase, Tally
 from marblefold.request_path.mesh_view import KnownTarget
 
-__all__ = ["Play", "PlayConfig"]
+__all__ = ["Play", "detection_seconds"]
 
 _PASS_ON_SECONDS = 0.2
 
 
-class PlayConfig(NamedTuple):
-    """How long is played, and what is assumed of links and targets."""
-
-    warm_seconds: float = 3.0
-    after_seconds: float = 6.0
-    most_requests: int = 60_000
-    # What is forecast is the mean of so many plays.
-    plays: int = 4
-    seed: int = 1
-    # One way.
-    in_zone: float = 0.0002
-    cross_zone: float = 0.001
-    cross_region: float = 0.012
-    # Service times lie within this part of their mean, either way.
-    spread: float = 0.5
-    # What a dark machine's silence costs, as connections between proxies find out.
-    silent_seconds: float = 0.45
-    unheard_seconds: float = 2.0
-    connect_seconds: float = 0.5
-    # Clients of a lost place come in elsewhere, in this while; else they are lost too.
-    clients_move: bool = True
-    clients_move_seconds: float = 2.0
-
-
 class Play:
     """One rehearsal; run() gives the processor back after each slice."""
 
@@ -87,7 +65,7 @@
             for target in self.view.targets(name)
         }
         # In the order in which they began: a play is the same again.
-        self.flights: dict[Flight, None] = {}
+        self.flights: dict[LossListener, None] = {}
 
     @property
     def expected_requests(self) -> float:
@@ -100,7 +78,7 @@
         for flow in self._snapshot.flows:
             route = self._routes.get(flow.route)
             if route is not None and flow.per_second > 0:
-                self.after(self._pause(flow), lambda f=flow, m=route: self._arrive(f, m))
+                self.after(self._pause(flow), partial(self._arrive, flow, route))
         self.at(self.loss_at, self._lose)
         end = self.loss_at + self.config.after_seconds
         played = 0
@@ -227,7 +205,7 @@
         for upstream, owner in self._snapshot.owners.items():
             zone = self._snapshot.registries.get(owner.agent)
             if zone in self._lost:
-                self.after(LEASE_SECONDS, lambda name=upstream: self.lapsed.add(name))
+                self.after(LEASE_SECONDS, partial(self.lapsed.add, upstream))
 
     def _learn_of_loss(self) -> None:
         # By now the probes of others have told every node.
--- a/marblefold/rehearsal/reporting.py
+++ b/marblefold/rehearsal/reporting.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterator
 
-from marblefold.rehearsal.forecast import Forecast, Kind
+from marblefold.rehearsal.forecast_model import Forecast, Kind
 
 __all__ = ["to_plain", "to_text"]
 
--- a/marblefold/rehearsal/snapshot.py
+++ b/marblefold/rehearsal/snapshot.py
@@ -112,7 +112,8 @@
         fields.fault("zones", "none")
     elif facts is not None and not facts.targets:
         fields.fault("state.targets", "none: there is nothing to rehearse with")
-    if fields.faults:
+    # Facts are missing only where a fault says why.
+    if fields.faults or facts is None:
         raise _refuse(fields.faults)
     return Snapshot(
         taken_at,
--- /dev/null
+++ b/marblefold/rehearsal/stage.py
@@ -0,0 +1,53 @@
+"""What a request of a rehearsal uses of the play, so that neither imports the other."""
+
+import random
+from collections.abc import Callable, Mapping
+from typing import Protocol
+
+from marblefold.rehearsal.guards import RehearsedGuard
+from marblefold.rehearsal.play_config import PlayConfig
+from marblefold.rehearsal.tally import Phase, Tally
+from marblefold.request_path.mesh_view import KnownTarget, MeshView
+
+__all__ = ["LossListener", "Stage"]
+
+
+class LossListener(Protocol):
+    """A request under way."""
+
+    def note_loss(self) -> None:
+        """The lost zones have just gone dark."""
+
+
+class Stage(Protocol):
+    """What a flight uses of the play it is part of; times in seconds on the play's clock."""
+
+    config: PlayConfig
+    tally: Tally
+    view: MeshView
+    random: random.Random
+    now: float
+    loss_at: float
+    # What is under way, oldest first.
+    flights: dict[LossListener, None]
+    # Services whose owner's lease has run out.
+    lapsed: set[str]
+
+    @property
+    def guards(self) -> Mapping[str, RehearsedGuard]:
+        """The guard beside each target, by node name."""
+
+    def after(self, seconds: float, act: Callable[[], None]) -> None:
+        """Runs the callback that many seconds from now."""
+
+    def is_lost(self, zone: str) -> bool:
+        """Whether the zone has gone dark."""
+
+    def delay(self, zone: str, target: KnownTarget) -> float:
+        """One-way delay from the zone to the target."""
+
+    def work_seconds(self, route: str, upstream: str) -> float:
+        """How long a target of the service works on a request of the route."""
+
+    def phase(self, arrived: float) -> Phase | None:
+        """The phase that a request of that arrival time counts to, if any."""
--- a/tests/test_region_loss.py
+++ b/tests/test_region_loss.py
@@ -6,7 +6,8 @@
 import pytest
 
 from marblefold.rehearsal.forecast import rehearse
-from marblefold.rehearsal.playing import PlayConfig, detection_seconds
+from marblefold.rehearsal.play_config import PlayConfig
+from marblefold.rehearsal.playing import detection_seconds
 from marblefold.rehearsal.snapshot import read_snapshot
 from tests.region_document import EAST, make_document
 from tests.simulated_clock import run_simulated
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -5,7 +5,8 @@
 import json
 
 from marblefold.rehearsal.forecast import find_lost, rehearse, rehearse_slowly
-from marblefold.rehearsal.playing import Play, PlayConfig
+from marblefold.rehearsal.play_config import PlayConfig
+from marblefold.rehearsal.playing import Play
 from marblefold.rehearsal.reporting import to_plain, to_text
 from marblefold.rehearsal.snapshot import read_snapshot
 from tests.region_document import EAST, make_document
