--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -10,14 +10,14 @@
 import sys
 import time
 from datetime import timedelta
-from types import SimpleNamespace
+from typing import NamedTuple
 
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.inner_protocol.ports import PROXY, REGISTRY, inner_address
 from marblefold.membership.datagrams import MembershipSocket
 from marblefold.membership.members import Liveness
 from marblefold.membership.node import NodeMembership
-from marblefold.node_config.reading import parse_config
+from marblefold.node_config.reading import NodeConfig, parse_config
 from marblefold.proxy.notices import NoticeMaker
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.request_path.local_target import Beat, LocalTarget
@@ -64,8 +64,10 @@
             self.datagrams += len(kept)
             send_all(membership, kept)
 
-        PeerConnection.data_received, PeerConnection.send = count_taken, count_sent
-        MembershipSocket.datagram_received, MembershipSocket._send = count_received, count_out
+        PeerConnection.data_received = count_taken  # type: ignore[method-assign]
+        PeerConnection.send = count_sent  # type: ignore[method-assign]
+        MembershipSocket.datagram_received = count_received  # type: ignore[method-assign]
+        MembershipSocket._send = count_out  # type: ignore[method-assign]
 
 
 # Hosts that a node cannot reach just now, by the node's own address.
@@ -77,6 +79,12 @@
     return host in _cuts.get(own, ())
 
 
+class _FixedConfig(NamedTuple):
+    """Stands for a ConfigWatch whose file never changes."""
+
+    config: NodeConfig
+
+
 class HollowNode:
     """The control side of one proxy."""
 
@@ -84,7 +92,7 @@
         self.number = number
         host = layout.node_host(number)
         config = parse_config(make_config(layout, host, f"node-{number}", number))
-        watch = SimpleNamespace(config=config)
+        watch = _FixedConfig(config)
         self.host = host
         self.view = MeshView(config.node_name)
         self.target = LocalTarget(lambda: None)
@@ -120,7 +128,8 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.follower._peers.close()
-        self.membership._socket._transport.close()
+        if self.membership._socket._transport is not None:
+            self.membership._socket._transport.close()
 
     def _on_member(self, member) -> None:
         if member.liveness is Liveness.ALIVE:
@@ -148,7 +157,8 @@
         self._layout = layout
         self.nodes = {number: HollowNode(layout, number) for number in numbers}
         self.counts = Counts()
-        self._configuration_seen: dict[int, float] = {}
+        # By node: number of the configuration and when it was seen.
+        self._configuration_seen: dict[int, tuple[int, float]] = {}
 
     async def run(self) -> None:
         self.counts.instrument()
--- a/tools/scale/phases.py
+++ b/tools/scale/phases.py
@@ -1,20 +1,18 @@
-"""What is measured: start, rest, one change of the configuration, churn, a registry lost, a cut."""
+"""The phases of a scale run: start, rest, one change of the configuration, churn, loss of a
+registry, and a cut between two halves."""
 
 import asyncio
 import json
 import time
-from collections.abc import Callable
 
 import aiohttp
 
-from tools.scale.processes import Fleet, Usage
+from tools.scale.observing import LOOK_EVERY, Observer, describe_usage
+from tools.scale.processes import Fleet
 from tools.scale.settings import make_configuration
 
 __all__ = ["Phases"]
 
-_LOOK_EVERY = 0.1
-_ROLES = ("store", "registry", "proxy")
-
 
 class Phases:
     """Runs the phases one after the other; each gives its figures."""
@@ -32,6 +30,7 @@
         self._routes = routes
         self._seconds = seconds
         self._longest = longest
+        self._observer = Observer(fleet, longest)
         self._configuration = 0
         self._reals = 0
 
@@ -48,7 +47,7 @@
         await fleet.start_hollows(reals)
         hollow = fleet.layout.nodes - reals
         # Real proxies here have no target: each hollow node tells of one.
-        await self._until(
+        await self._observer.until(
             lambda nodes: (
                 len(nodes) == hollow
                 and all(
@@ -58,7 +57,7 @@
             )
         )
         known = time.time() - nodes_began
-        await self._until(
+        await self._observer.until(
             lambda nodes: all(node["alive"] >= fleet.layout.nodes - 1 for node in nodes)
         )
         return {
@@ -66,23 +65,23 @@
             "targets-known-s": known,
             "members-known-s": time.time() - nodes_began,
             "whole-s": time.time() - began,
-            **self._describe_usage(fleet.usage(), None, 1.0),
+            **describe_usage(fleet.usage(), None, 1.0),
         }
 
     async def rest(self) -> dict:
         """Nothing happens: what control costs by itself."""
         # News of who has come is passed on for a while.
         await asyncio.sleep(self._settle)
-        return await self._measure(asyncio.sleep(self._seconds))
+        return await self._observer.measure(asyncio.sleep(self._seconds))
 
     async def change(self) -> dict:
         """One configuration, until it is in force everywhere."""
-        found = {}
+        found: dict[str, float] = {}
 
-        async def act():
+        async def act() -> None:
             began = time.time()
             found["acknowledged-s"] = await self._put_configuration()
-            await self._until(
+            await self._observer.until(
                 lambda nodes: all(node["configuration"] == self._configuration for node in nodes)
             )
             seen = [
@@ -94,36 +93,36 @@
             found["everywhere-s"] = max(seen) - began
             found["median-s"] = sorted(seen)[len(seen) // 2] - began
 
-        return {**await self._measure(act()), **found}
+        return {**await self._observer.measure(act()), **found}
 
     async def churn(self, restarts: int, changes: int) -> dict:
         """Restarts and changes of a day, one after the other in a short while."""
         fleet = self._fleet
         hollows = [(host, number) for host in fleet.hollows for number in host.numbers]
 
-        async def act():
+        async def act() -> None:
             for index in range(restarts):
                 host, number = hollows[index * 37 % len(hollows)]
                 await host.ask(do="restart", node=number, down=0.2)
                 if changes and index % max(1, restarts // changes) == 0:
                     await self._put_configuration()
-            await self._until(
+            await self._observer.until(
                 lambda nodes: all(
                     node["targets"] >= len(hollows) and node["configuration"] == self._configuration
                     for node in nodes
                 )
             )
 
-        return {"restarts": restarts, "changes": changes, **await self._measure(act())}
+        return {"restarts": restarts, "changes": changes, **await self._observer.measure(act())}
 
     async def lose_registry(self) -> dict:
         """A registry is killed, and started again with nothing in its memory."""
         fleet = self._fleet
         number = fleet.layout.core - 1
         process = fleet.reals[f"registry-{number}"].process
-        found = {}
+        found: dict[str, float] = {}
 
-        async def act():
+        async def act() -> None:
             process.kill()
             await process.wait()
             await asyncio.sleep(3.0)
@@ -132,10 +131,12 @@
             found["nodes"] = len(nodes)
             began = time.time()
             await fleet.start_real("registry", number, False)
-            await self._until_state(number, lambda state: len(state["targets"]) >= len(nodes))
+            await self._observer.until_state(
+                number, lambda state: len(state["targets"]) >= len(nodes)
+            )
             found["knows-all-again-s"] = time.time() - began
 
-        return {**await self._measure(act()), **found}
+        return {**await self._observer.measure(act()), **found}
 
     async def cut(self) -> dict:
         """Two halves that cannot meet, then can again."""
@@ -153,22 +154,24 @@
         hosts[1] += core[keep:]
         # The real proxies stand on the second side: they must not speak for both.
         hosts[1] += [layout.node_host(number) for number in range(self._reals)]
-        found = {}
+        found: dict[str, float] = {}
 
-        async def act():
+        async def act() -> None:
             began = time.time()
             await self._tell_cut(sides, hosts, True)
             lost = min(len(hosts[0]), len(hosts[1])) // 2
-            await self._until(lambda nodes: all(node["suspected"] >= lost for node in nodes))
+            await self._observer.until(
+                lambda nodes: all(node["suspected"] >= lost for node in nodes)
+            )
             found["half-suspected-s"] = time.time() - began
             began = time.time()
             await self._tell_cut(sides, hosts, False)
-            await self._until(
+            await self._observer.until(
                 lambda nodes: all(node["suspected"] == 0 and node["in-touch"] for node in nodes)
             )
             found["healed-s"] = time.time() - began
 
-        return {**await self._measure(act()), **found}
+        return {**await self._observer.measure(act()), **found}
 
     async def _tell_cut(self, sides, hosts, is_on: bool) -> None:
         await asyncio.gather(
@@ -179,69 +182,6 @@
             )
         )
 
-    async def _measure(self, act) -> dict:
-        before, counts, began = self._fleet.usage(), await self._count(), time.time()
-        await act
-        seconds = time.time() - began
-        after, ended = self._fleet.usage(), await self._count()
-        nodes = sum(len(hollows.numbers) for hollows in self._fleet.hollows)
-        per_node = {
-            f"{name}-a-node-second": (ended[name] - counts[name]) / nodes / seconds
-            for name in counts
-        }
-        return {"seconds": seconds, **per_node, **self._describe_usage(after, before, seconds)}
-
-    async def _count(self) -> dict:
-        answers = await self._fleet.ask_all(do="look")
-        names = answers[0]["counts"]
-        return {
-            **{
-                name.replace("_", "-"): sum(answer["counts"][name] for answer in answers)
-                for name in names
-            },
-            "hollow-cpu": sum(answer["cpu"] for answer in answers),
-        }
-
-    def _describe_usage(self, after: dict, before: dict | None, seconds: float) -> dict:
-        """The mean and the most of each role."""
-        found = {}
-        for role in _ROLES:
-            names = [name for name in after if name.startswith(role)]
-            if not names:
-                continue
-            cores = [
-                self._used_since(after[name], (before or {}).get(name)) / seconds for name in names
-            ]
-            found[f"{role}-cores-mean"] = sum(cores) / len(cores)
-            found[f"{role}-cores-most"] = max(cores)
-            found[f"{role}-memory-mb-most"] = max(after[name].memory_mb for name in names)
-        return found
-
-    def _used_since(self, after: Usage, before: Usage | None) -> float:
-        # One that was started again has used only what it used since.
-        is_same = before is not None and before.process == after.process
-        return after.cpu_seconds - (before.cpu_seconds if is_same else 0.0)
-
-    async def _until(self, holds: Callable[[list[dict]], bool]) -> None:
-        async with asyncio.timeout(self._longest):
-            while True:
-                answers = await self._fleet.ask_all(do="look")
-                if holds([node for answer in answers for node in answer["nodes"]]):
-                    return
-                await asyncio.sleep(_LOOK_EVERY)
-
-    async def _until_state(self, number: int, holds: Callable[[dict], bool]) -> None:
-        url = f"http://{self._fleet.layout.core_host(number)}:{self._fleet.layout.first_port}"
-        async with asyncio.timeout(self._longest), aiohttp.ClientSession() as session:
-            while True:
-                try:
-                    async with session.get(f"{url}/mesh/state") as answer:
-                        if answer.status == 200 and holds(await answer.json()):
-                            return
-                except aiohttp.ClientError:
-                    pass
-                await asyncio.sleep(_LOOK_EVERY)
-
     async def _put_configuration(self) -> float:
         """How long until the next configuration was acknowledged."""
         self._configuration += 1
@@ -257,4 +197,4 @@
                             return time.time() - began
                 except aiohttp.ClientError:
                     pass
-                await asyncio.sleep(_LOOK_EVERY)
+                await asyncio.sleep(LOOK_EVERY)
--- a/tools/scale/processes.py
+++ b/tools/scale/processes.py
@@ -50,10 +50,13 @@
 
     async def ask(self, **command) -> dict:
         """Its answer to a command."""
+        commands, answers = self.process.stdin, self.process.stdout
+        if commands is None or answers is None:
+            raise RuntimeError(f"hollow process {self.process.pid} was started without pipes")
         async with self._turn, asyncio.timeout(_CALL_SECONDS):
-            self.process.stdin.write(json.dumps(command).encode() + b"\n")
-            await self.process.stdin.drain()
-            line = await self.process.stdout.readline()
+            commands.write(json.dumps(command).encode() + b"\n")
+            await commands.drain()
+            line = await answers.readline()
         if not line:
             raise RuntimeError(f"hollow process {self.process.pid} ended")
         return json.loads(line)
