--- a/marblefold/membership/datagrams.py
+++ b/marblefold/membership/datagrams.py
@@ -92,6 +92,8 @@
         """A dead port says so; the probes find out all the same."""
 
     def _send(self, messages: list[Message]) -> None:
+        if self._transport is None:
+            raise RuntimeError("membership socket used before it was started")
         for message in messages:
             host, _sign, port = message.peer.rpartition(":")
             self._transport.sendto(_pack(message), (host, int(port)))
--- a/marblefold/membership/members.py
+++ b/marblefold/membership/members.py
@@ -93,7 +93,7 @@
 
     def pick_news(self, most: int) -> list[Member]:
         """The news passed on least often so far."""
-        addresses = heapq.nsmallest(most, self._news, key=self._news.get)
+        addresses = heapq.nsmallest(most, self._news, key=self._news.__getitem__)
         passed_on = max(_PASSED_ON, math.ceil(_PASSED_ON_EACH_DOUBLING * self.doublings))
         picked = []
         for address in addresses:
--- a/marblefold/membership/node.py
+++ b/marblefold/membership/node.py
@@ -2,14 +2,23 @@
 
 import time
 from collections.abc import Callable
+from typing import Protocol
 
 from marblefold.inner_protocol.ports import REGISTRY, inner_address
 from marblefold.membership.datagrams import MembershipSocket
 from marblefold.membership.members import Liveness, Member
 from marblefold.membership.prober import Prober
-from marblefold.node_config.watching import ConfigWatch
+from marblefold.node_config.model import NodeConfig
 
-__all__ = ["NodeMembership"]
+__all__ = ["ConfigSource", "NodeMembership"]
+
+
+class ConfigSource(Protocol):
+    """Where the config in force is read; it may be another after each wait."""
+
+    @property
+    def config(self) -> NodeConfig:
+        """The config in force now."""
 
 
 class NodeMembership:
@@ -17,7 +26,7 @@
 
     def __init__(
         self,
-        watch: ConfigWatch,
+        watch: ConfigSource,
         role: str,
         port: int,
         on_change: Callable[[Member], None] = lambda member: None,
--- a/marblefold/partners/orders.py
+++ b/marblefold/partners/orders.py
@@ -2,6 +2,7 @@
 
 import json
 from datetime import timedelta
+from typing import Any
 
 import attrs
 import cattrs
@@ -48,7 +49,7 @@
     exports: tuple[Export, ...]
 
 
-def _strict(kind: type):
+def _strict(kind: type | tuple[type, ...]):
     def structure(value, _kind):
         # A text that looks like a number, or a truth, is a mistake.
         if isinstance(value, bool) or not isinstance(value, kind):
@@ -66,7 +67,8 @@
     converter.register_structure_hook(int, _strict(int))
     converter.register_structure_hook(float, _strict((int, float)))
     for kind in (Export, Exports, Grant):
-        names = {
+        # Any: the function's other keyword arguments have types of their own.
+        names: dict[str, Any] = {
             field.name: override(rename=field.name.replace("_", "-"))
             for field in kind.__attrs_attrs__
         }
--- a/marblefold/tracing/calls.py
+++ b/marblefold/tracing/calls.py
@@ -86,7 +86,7 @@
             skip = int(_read_number(asked, "skip", 0, 1e9, 0))
         except ValueError as fault:
             return _bad(*fault.args)
-        rows = []
+        rows: list[dict] = []
         is_more = False
         for trace_id in self._collector.newest():
             requests = [
@@ -126,7 +126,7 @@
         )
 
     async def _doubles(self, _call: Call) -> Answer:
-        groups = []
+        groups: list[dict] = []
         for doubled in self._collector.doubled():
             if len(groups) == _MOST_ROWS:
                 break
--- a/marblefold/tracing/node_tracing.py
+++ b/marblefold/tracing/node_tracing.py
@@ -77,15 +77,17 @@
 
     def _on_mark(self, trace_id: bytes, peers: list[str]) -> None:
         """What the hops of this trace touched keeps its part too."""
+        if self._peers is None:
+            return
         for peer in peers:
-            if self._peers is not None and peer != self._address:
-                self._tasks.start(self._tell(peer, trace_id))
+            if peer != self._address:
+                self._tasks.start(self._tell(self._peers, peer, trace_id))
 
-    async def _tell(self, peer: str, trace_id: bytes) -> None:
+    async def _tell(self, peers: PeerBook, peer: str, trace_id: bytes) -> None:
         payload = pack_message(kinds.TraceMark(trace_id=trace_id))
         for _ in range(_MARK_TRIES):
             try:
-                connection = await self._peers.reach(peer)
+                connection = await peers.reach(peer)
             except MeshError:
                 # It may be dark: its part is then shown as missing.
                 await asyncio.sleep(_MARK_PAUSE.total_seconds())
--- a/marblefold/tracing/showing.py
+++ b/marblefold/tracing/showing.py
@@ -41,7 +41,7 @@
     from opentelemetry.proto.trace.v1 import trace_pb2
 
     data = trace_pb2.TracesData()
-    scopes: dict[str, object] = {}
+    scopes: dict[str, trace_pb2.ScopeSpans] = {}
 
     def attribute(key: str, value: object) -> KeyValue:
         kept = (
