--- a/marblefold/membership/datagrams.py
+++ b/marblefold/membership/datagrams.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import time
+from typing import Any, cast
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
@@ -77,10 +78,10 @@
             # A node wakes for what is due, and not to look whether anything is.
             await asyncio.sleep(max(_TICK_SECONDS, self._prober.next_due(now) - now))
 
-    def connection_made(self, transport) -> None:
-        self._transport = transport
+    def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        self._transport = cast(asyncio.DatagramTransport, transport)
 
-    def datagram_received(self, data: bytes, address) -> None:
+    def datagram_received(self, data: bytes, address: tuple[str | Any, int]) -> None:
         try:
             message = _unpack(data, f"{address[0]}:{address[1]}")
         except Exception as error:
--- a/marblefold/membership/members.py
+++ b/marblefold/membership/members.py
@@ -3,7 +3,7 @@
 import enum
 import heapq
 import math
-from collections.abc import Callable
+from collections.abc import Callable, Iterator
 from typing import NamedTuple
 
 __all__ = ["Liveness", "Member", "MemberTable"]
@@ -49,7 +49,7 @@
         self._news: dict[str, int] = {own.address: 0}
         self._on_change = on_change
 
-    def __iter__(self):
+    def __iter__(self) -> Iterator[Member]:
         return iter(self._members.values())
 
     def __len__(self) -> int:
--- a/marblefold/partners/orders.py
+++ b/marblefold/partners/orders.py
@@ -50,7 +50,7 @@
 
 
 def _strict(kind: type | tuple[type, ...]):
-    def structure(value, _kind):
+    def structure(value: Any, _kind: object) -> Any:
         # A text that looks like a number, or a truth, is a mistake.
         if isinstance(value, bool) or not isinstance(value, kind):
             raise ValueError(f"not of the right kind: {value!r}")
