--- a/marblefold/partners/orders.py
+++ b/marblefold/partners/orders.py
@@ -52,7 +52,8 @@
 def _strict(kind: type | tuple[type, ...]):
     def structure(value: Any, _kind: object) -> Any:
         # A text that looks like a number, or a truth, is a mistake.
-        if isinstance(value, bool) or not isinstance(value, kind):
+        is_of_kind = isinstance(value, kind) and not isinstance(value, bool)
+        if not is_of_kind:
             raise ValueError(f"not of the right kind: {value!r}")
         if not isinstance(value, str) and not 0 <= value < 1e15:
             raise ValueError(f"out of range: {value!r}")
