--- a/marblefold/maintenance/command.py
+++ b/marblefold/maintenance/command.py
@@ -8,6 +8,8 @@
 from absl import flags
 
 from marblefold import wire_names
+from marblefold.errors import MeshError
+from marblefold.registry_client import call_for_document
 
 __all__ = ["run_windows"]
 
@@ -20,20 +22,23 @@
 flags.DEFINE_multi_string("floor", [], "Slots that must remain, UPSTREAM=SLOTS.")
 
 _FINE, _REFUSED, _USAGE = 0, 1, 2
-_CALL_SECONDS = 5.0
-_WORDS = "list | set NAME | withdraw NAME | floors"
+_FORMS = "list | set NAME | withdraw NAME | floors"
 
 
 def run_windows(arguments: list[str]) -> int:
     """Does what the arguments ask; the exit status of the process."""
     call = _make_call(arguments)
     if call is None or not FLAGS.system:
-        print(f"usage: python3 -m marblefold windows --system=HOST:PORT {_WORDS}", file=sys.stderr)
+        print(
+            f"usage: python3 -m marblefold windows --system=HOST:PORT {_FORMS}",
+            file=sys.stderr,
+        )
         return _USAGE
     return asyncio.run(_call(*call))
 
 
-def _make_call(arguments: list[str]):
+def _make_call(arguments: list[str]) -> tuple[str, str, dict | None] | None:
+    """Method, path and document of the call; None where the arguments are wrong."""
     if arguments == ["list"]:
         return "GET", wire_names.MAINTENANCE_PATH, None
     if arguments == ["floors"]:
@@ -63,19 +68,12 @@
     return None
 
 
-async def _call(method: str, path: str, document: object) -> int:
-    import aiohttp
-
-    timeout = aiohttp.ClientTimeout(total=_CALL_SECONDS)
+async def _call(method: str, path: str, document: dict | None) -> int:
+    sent = None if document is None else json.dumps(document).encode()
     try:
-        async with (
-            aiohttp.ClientSession(timeout=timeout) as session,
-            session.request(method, f"http://{FLAGS.system}{path}", json=document) as answer,
-        ):
-            body = json.loads(await answer.read())
-            status = answer.status
-    except (aiohttp.ClientError, TimeoutError, ValueError) as error:
-        print(f"{FLAGS.system}: {error or 'no answer in time'}", file=sys.stderr)
+        status, body = await call_for_document(FLAGS.system, method, path, sent)
+    except MeshError as error:
+        print(f"{FLAGS.system}: {error.reason}", file=sys.stderr)
         return _USAGE
     if status != 200:
         print(json.dumps(body, indent=2), file=sys.stderr)
--- a/marblefold/planner/command.py
+++ b/marblefold/planner/command.py
@@ -13,6 +13,7 @@
 from marblefold.planner.facts import Facts, read_configuration_rows, read_floors, read_state
 from marblefold.planner.proposing import Proposal, propose
 from marblefold.planner.reporting import to_json, to_text
+from marblefold.registry_client import call_registry
 
 __all__ = ["run_planner"]
 
@@ -31,7 +32,6 @@
 flags.DEFINE_bool("json", False, "Print JSON instead of text.")
 
 _HARMLESS, _HARMFUL, _USAGE = 0, 1, 2
-_CALL_SECONDS = 5.0
 
 
 def run_planner() -> int:
@@ -67,19 +67,13 @@
 
 
 async def _ask_system(address: str) -> tuple[bytes, bytes]:
-    import aiohttp
-
-    timeout = aiohttp.ClientTimeout(total=_CALL_SECONDS)
+    """Bodies of the configuration and of the state."""
     answers = []
-    try:
-        async with aiohttp.ClientSession(timeout=timeout) as session:
-            for path in (wire_names.CONFIGURATION_PATH, wire_names.STATE_PATH):
-                async with session.get(f"http://{address}{path}") as answer:
-                    if answer.status != 200:
-                        raise MeshError("ask system", f"{path}: status {answer.status}", address)
-                    answers.append(await answer.read())
-    except (aiohttp.ClientError, TimeoutError, ValueError) as error:
-        raise MeshError("ask system", str(error) or "no answer in time", address) from error
+    for path in (wire_names.CONFIGURATION_PATH, wire_names.STATE_PATH):
+        status, body = await call_registry(address, "GET", path)
+        if status != 200:
+            raise MeshError("ask registry", f"{path}: status {status}", address)
+        answers.append(body)
     return answers[0], answers[1]
 
 
--- a/marblefold/site_command.py
+++ b/marblefold/site_command.py
@@ -9,12 +9,14 @@
 from absl import flags
 
 from marblefold import wire_names
+from marblefold.errors import MeshError
+from marblefold.registry_client import call_for_document
 
 __all__ = ["run_owners", "run_partners"]
 
 FLAGS = flags.FLAGS
 flags.DEFINE_string("registry", "", "Registry to call, HOST:PORT.")
-flags.DEFINE_string("file", "", "File with the word, as JSON.")
+flags.DEFINE_string("file", "", "File with the body of the call, as JSON.")
 
 _FINE, _REFUSED, _USAGE = 0, 1, 2
 # A withdrawal is answered once it is enforced everywhere.
@@ -71,24 +73,16 @@
 
 
 async def _call(method: str, path: str, body: bytes | None) -> int:
-    import aiohttp
-
     headers = {}
-    # Not a flag: flags are seen by everybody on the machine.
+    # Not a flag: command lines can be read by every user of the machine.
     if os.environ.get(_CREDENTIAL_VARIABLE):
         headers["Authorization"] = f"Bearer {os.environ[_CREDENTIAL_VARIABLE]}"
-    timeout = aiohttp.ClientTimeout(total=_CALL_SECONDS)
     try:
-        async with (
-            aiohttp.ClientSession(timeout=timeout) as session,
-            session.request(
-                method, f"http://{FLAGS.registry}{path}", data=body, headers=headers
-            ) as answer,
-        ):
-            document = json.loads(await answer.read())
-            status = answer.status
-    except (aiohttp.ClientError, TimeoutError, ValueError) as error:
-        print(f"{FLAGS.registry}: {error or 'no answer in time'}", file=sys.stderr)
+        status, document = await call_for_document(
+            FLAGS.registry, method, path, body, headers, _CALL_SECONDS
+        )
+    except MeshError as error:
+        print(f"{FLAGS.registry}: {error.reason}", file=sys.stderr)
         return _USAGE
     is_fine = status == 200
     print(json.dumps(document, indent=2), file=sys.stdout if is_fine else sys.stderr)
