--- a/marblefold/circuit_breaker/breaker.py
+++ b/marblefold/circuit_breaker/breaker.py
@@ -1,4 +1,4 @@
-"""The breaker of one upstream, as DESIGN asks for it.
+"""The circuit breaker of one upstream.
 
 It learns what is normal from successful calls and looks at the calls in
 flight: when these, without the oldest, are on average older than the
@@ -15,7 +15,7 @@
 
 
 class BreakerConfig(NamedTuple):
-    """Starting values; the operator's configuration carries none of them."""
+    """Settings; times in seconds. The operator's configuration holds none of them."""
 
     deviations: float = 5.0
     trusted_hits: int = 100
@@ -23,7 +23,7 @@
     window: int = 1000
     # One call in this many passes while the circuit is open.
     probe_every: int = 5
-    # No call is tracked for longer: the deadline of its request is far behind.
+    # No call is tracked for longer: its deadline is long past.
     longest_seconds: float = 60.0
 
 
@@ -35,7 +35,7 @@
 
 
 class Passage(NamedTuple):
-    """The breaker's word on a call, with when to come back if refused."""
+    """Whether a call is admitted, and if not, after how many seconds to try again."""
 
     allowed: bool
     retry_after: float
@@ -68,17 +68,17 @@
 
     @property
     def threshold(self) -> float | None:
-        """The learned threshold, once there is reason to trust it."""
+        """Seconds per unit of weight; None until enough successes were recorded."""
         if len(self._statistics) < self._config.trusted_hits:
             return None
         return self._statistics.mean + self._config.deviations * self._statistics.deviation
 
     def begin(self, now: float, weight: float, what: str) -> Ticket:
-        """A call leaves toward the upstream."""
+        """A call leaves at `now`, in seconds; its times are divided by `weight`."""
         return self._tracker.take(now, weight, what)
 
     def end(self, ticket: Ticket, now: float, success: bool) -> None:
-        """A call ended; only successes teach what is normal."""
+        """A call ended; only successes enter the statistics."""
         if self._tracker.give_back(ticket) and success:
             self._statistics.record((now - ticket.started) / ticket.weight)
 
@@ -96,7 +96,7 @@
         return Passage(False, self._retry_after(now))
 
     def overdue(self, now: float, longest: float) -> list[Ticket]:
-        """Calls that have gone on for longer than is sane, for the log."""
+        """The calls in flight for longer than `longest` seconds, for the log."""
         found = []
         for ticket in self._tracker.oldest_first():
             if now - ticket.started <= longest:
@@ -107,13 +107,13 @@
     def _judge(self, now: float) -> BreakerState:
         threshold = self.threshold
         outstanding = len(self._tracker)
-        # Too little knowledge or too few calls: let the deadlines deal with it.
+        # Too few successes or calls in flight to judge by: deadlines bound them.
         if threshold is None or outstanding < self._config.least_outstanding:
             return BreakerState.CLOSED
         total = 0.0
         oldest = True
         for ticket in self._tracker.oldest_first():
-            # The oldest may be one poisoned or rightly long call.
+            # The oldest may be a single stuck or legitimately long call.
             if oldest:
                 oldest = False
                 continue
@@ -129,7 +129,7 @@
         self._refused_since_probe = 0
 
     def _retry_after(self, now: float) -> float:
-        # As the source says: as long as the longest call that goes on now.
+        # As in the source: the age of the oldest call in flight, within bounds.
         for ticket in self._tracker.oldest_first():
             return max(0.1, min(5.0, now - ticket.started))
         return 0.1
--- a/marblefold/circuit_breaker/concurrency_limit.py
+++ b/marblefold/circuit_breaker/concurrency_limit.py
@@ -1,7 +1,7 @@
-"""Turns away requests of one sort when they concurrency_limiter out all others.
+"""Limits the requests of one sort so that they do not crowd out all others.
 
-The source calls them tribbles: requests like any other, but too many of them
-too fast.  Spikes are allowed while there is room for what the other sorts
+The source calls them tribbles: ordinary requests, but too many of them too
+fast.  Spikes are admitted while there is room for what the other sorts
 normally need, and some headroom.
 """
 
@@ -16,18 +16,18 @@
 
 
 class ConcurrencyLimits(NamedTuple):
-    """What part of the resources may be used up, and how much stays free."""
+    """How many requests fit (`resources`) and which share of that stays free."""
 
     resources: int
     usable: float = 0.9
     headroom: float = 0.1
-    # Each rank below the first leaves a little more room for those before it.
+    # Additional free share for each rank below the first.
     headroom_per_rank: float = 0.03
     most_ranks: int = 5
 
 
 class _Sort:
-    """Requests that are alike: those of one route."""
+    """The requests of one route."""
 
     __slots__ = ("tracker", "normal")
 
@@ -37,7 +37,7 @@
 
 
 class ConcurrencyLimiter:
-    """Counts the requests in this process by their sort."""
+    """Counts the requests in this process by sort, which is their route."""
 
     def __init__(self, config: ConcurrencyLimits) -> None:
         self._config = config
@@ -50,7 +50,7 @@
         return self._total
 
     def allowed(self, sort: str, rank: int) -> float:
-        """How many of the sort may be here at once."""
+        """How many requests of the sort may be in progress at once."""
         config = self._config
         others = sum(known.normal for name, known in self._sorts.items() if name != sort)
         ranks = min(max(0, rank), config.most_ranks)
@@ -58,23 +58,23 @@
         return max(1.0, config.resources * (1.0 - headroom) - others)
 
     def ask(self, sort: str, rank: int, now: float) -> Passage:
-        """Whether one more of the sort may come in."""
+        """Whether one more request of the sort is admitted; `now` in seconds."""
         known = self._find(sort)
         count = len(known.tracker)
         is_full = self._total >= self._config.resources * self._config.usable
         if is_full or count + 1 > self.allowed(sort, rank):
             return Passage(False, self._retry_after(known, now))
-        # Only what was let in is normal; a flood must not make itself so.
+        # Only admitted requests count as normal load: a flood must not raise its own limit.
         known.normal += _LEARN * (count + 1 - known.normal)
         return Passage(True, 0.0)
 
     def begin(self, sort: str, now: float, what: str) -> Ticket:
-        """A request of the sort came in."""
+        """Starts to count an admitted request."""
         self._total += 1
         return self._find(sort).tracker.take(now, 1.0, what)
 
     def end(self, sort: str, ticket: Ticket) -> None:
-        """A request of the sort is over."""
+        """Stops counting a request; a second call for one ticket changes nothing."""
         if self._find(sort).tracker.give_back(ticket):
             self._total -= 1
 
@@ -85,7 +85,7 @@
         return known
 
     def _retry_after(self, known: _Sort, now: float) -> float:
-        # As the source says: as long as the longest of them has gone on.
+        # As in the source: the age of the oldest request of the sort, within bounds.
         for ticket in known.tracker.oldest_first():
             return max(0.1, min(5.0, now - ticket.started))
         return 0.1
--- a/marblefold/circuit_breaker/latency_statistics.py
+++ b/marblefold/circuit_breaker/latency_statistics.py
@@ -20,7 +20,7 @@
         return len(self._values)
 
     def record(self, value: float) -> None:
-        """Takes in one weighted elapsed time."""
+        """Adds one elapsed time, in seconds per unit of weight."""
         self._values.append(value)
         self._sum += value
         self._square_sum += value * value
@@ -29,7 +29,7 @@
             self._sum -= gone
             self._square_sum -= gone * gone
         self._since_resum += 1
-        # Sums that only add and subtract drift; one pass a window rights them.
+        # Running sums accumulate rounding errors: they are recomputed once a window.
         if self._since_resum >= self._window:
             self._since_resum = 0
             self._sum = math.fsum(self._values)
--- a/marblefold/circuit_breaker/work_tracker.py
+++ b/marblefold/circuit_breaker/work_tracker.py
@@ -1,4 +1,4 @@
-"""Tracks the calls in flight: take a ticket, return it, connection them by age."""
+"""Tracks the calls in flight: take a ticket, return it, list them by age."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Ticket(NamedTuple):
-    """The mark of one call in flight."""
+    """One call in flight; `started` is in seconds on the caller's clock."""
 
     number: int
     started: float
@@ -18,8 +18,8 @@
 class WorkTracker:
     """Holds tickets oldest first; each comes out without a search.
 
-    A dict keeps its order of insertion and removes by key in constant time,
-    which is the collection that the source of the design misses.
+    A dict keeps its insertion order and removes by key in constant time, so no
+    collection of our own is needed.
     """
 
     def __init__(self) -> None:
@@ -30,14 +30,14 @@
         return len(self._tickets)
 
     def take(self, now: float, weight: float, what: str) -> Ticket:
-        """Starts to track a call."""
+        """Starts to track a call that leaves at `now`, in seconds."""
         self._next_number += 1
         ticket = Ticket(self._next_number, now, weight, what)
         self._tickets[ticket.number] = ticket
         return ticket
 
     def give_back(self, ticket: Ticket) -> bool:
-        """Ends the tracking of a call; a second return changes nothing."""
+        """Stops tracking a call. False if it was no longer tracked."""
         return self._tickets.pop(ticket.number, None) is not None
 
     def oldest_first(self) -> Iterator[Ticket]:
@@ -45,10 +45,10 @@
         return iter(self._tickets.values())
 
     def clean(self, now: float, longest: float) -> list[Ticket]:
-        """Drops the tickets that nobody can still come to return."""
+        """Drops and returns the tickets older than `longest` seconds, which nobody will return."""
         forgotten = []
         for ticket in self._tickets.values():
-            # The first one young enough ends the look: the rest are younger.
+            # Tickets are ordered by age: all that follow are younger.
             if now - ticket.started <= longest:
                 break
             forgotten.append(ticket)
--- a/marblefold/command_line.py
+++ b/marblefold/command_line.py
@@ -8,13 +8,13 @@
 
 import marblefold
 
-# Its flags are those of several programs.
+# Defines the flags that several programs share.
 import marblefold.program_flags
 from marblefold.errors import MeshError
 
 __all__ = ["main"]
 
-# Each program is imported only when it is the one to run: starting is dear.
+# Only the program that runs is imported: imports dominate the time of a start.
 _PROGRAMS = {
     "gateway": ("marblefold.gateway.program", "GatewayProgram"),
     "proxy": ("marblefold.proxy.program", "ProxyProgram"),
@@ -47,9 +47,13 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Runs what the arguments ask for; the exit status of the process."""
+    """Runs the program or tool named by the arguments (argv); the exit status.
+
+    0 success, 1 a program that cannot run, 2 a wrong command line; tools have
+    statuses of their own.
+    """
     if _PLANNER in arguments[1:]:
-        # Its flags are defined only where it is asked for.
+        # Each tool defines its flags at import: only the one that was asked for is imported.
         from marblefold.planner.command import run_planner
     if _WINDOWS in arguments[1:]:
         from marblefold.maintenance.command import run_windows
--- a/marblefold/errors.py
+++ b/marblefold/errors.py
@@ -1,10 +1,10 @@
-"""Errors that carry the step and the peer at which they arose."""
+"""The error type of the mesh."""
 
 __all__ = ["MeshError"]
 
 
 class MeshError(Exception):
-    """Something broke down at a step, perhaps in talk with a peer."""
+    """A failure at a step, such as "connect", for a reason, perhaps with a peer (HOST:PORT)."""
 
     def __init__(self, step: str, reason: str, peer: str = "") -> None:
         place = f" with {peer}" if peer else ""
--- a/marblefold/lean_imports.py
+++ b/marblefold/lean_imports.py
@@ -1,8 +1,8 @@
-"""Leaves out what no program of ours uses but libraries import all the same.
+"""Keeps libraries from importing modules that no program here uses.
 
-Memory is priced at its peak for every process, and starting counts against
-recovery.  Each part left out below was measured; docs/architecture.md has
-the figures.  Nothing here changes what the libraries do for us.
+The peak memory of each process has a price, and the time of a start delays
+recovery.  Each replaced module was measured (docs/architecture.md has the
+figures).  The functions of the libraries that are used here do not change.
 """
 
 import importlib.util
@@ -13,19 +13,21 @@
 
 
 def leave_out() -> None:
-    """To be called before anything else is imported."""
-    # No program speaks TLS; asyncio and aiohttp do without ssl where it is
-    # missing.
+    """Replaces the modules; call it before anything else is imported.
+
+    Raises ImportError where aiohttp is not installed.
+    """
+    # No program uses TLS; asyncio and aiohttp work without the ssl module.
     sys.modules["ssl"] = None  # type: ignore[assignment]
-    # The package file of aiohttp imports its whole client; only the parsers,
-    # which stand in modules of their own, are used here.
+    # The __init__ of aiohttp imports its whole client; only its parsers, which
+    # are modules of their own, are used here.
     found = importlib.util.find_spec("aiohttp")
     if found is None or found.submodule_search_locations is None:
         raise ImportError("aiohttp is not installed", name="aiohttp")
     package = types.ModuleType("aiohttp")
     package.__path__ = list(found.submodule_search_locations)
     sys.modules["aiohttp"] = package
-    # aiohttp's helpers look up proxies of the environment for its client.
+    # aiohttp's helpers import this only to look up proxies for its client.
     request = types.ModuleType("urllib.request")
     vars(request).update(getproxies=dict, proxy_bypass=lambda host: False)
     sys.modules["urllib.request"] = request
--- a/marblefold/logs.py
+++ b/marblefold/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON line an event on standard output."""
+"""Logs: one JSON line for each event on standard output."""
 
 import logging
 import sys
@@ -11,7 +11,7 @@
 
 
 def start_logs(program: str) -> None:
-    """Sets how every event of this process is written."""
+    """Configures the log of this process; every line names the program."""
 
     def name_program(_logger, _method, event):
         event["program"] = program
@@ -25,7 +25,7 @@
             structlog.processors.format_exc_info,
             structlog.processors.JSONRenderer(),
         ],
-        # Filtering by level costs nothing for events that are not written.
+        # Events below the level are dropped without running the processors.
         wrapper_class=structlog.make_filtering_bound_logger(logging.INFO),
         logger_factory=structlog.WriteLoggerFactory(file=sys.stdout),
         cache_logger_on_first_use=True,
--- a/marblefold/membership/datagrams.py
+++ b/marblefold/membership/datagrams.py
@@ -1,4 +1,4 @@
-"""Carries the prober's messages as datagrams."""
+"""Sends and receives the prober's messages as UDP datagrams."""
 
 import asyncio
 import time
@@ -65,17 +65,17 @@
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, address: str) -> None:
-        """Begins to listen."""
+        """Binds to HOST:PORT. Raises OSError where the port is taken."""
         own = Address.parse(address)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(own.host, own.port))
 
     async def run(self) -> None:
-        """Lets the prober act, for ever."""
+        """Calls the prober when something is due, for ever."""
         while True:
             now = time.monotonic()
             self._send(self._prober.tick(now))
-            # A node wakes for what is due, and not to look whether anything is.
+            # Sleeps until something is due instead of polling.
             await asyncio.sleep(max(_TICK_SECONDS, self._prober.next_due(now) - now))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -90,7 +90,7 @@
         self._send(self._prober.receive(message, time.monotonic()))
 
     def error_received(self, error: Exception) -> None:
-        """A dead port says so; the probes find out all the same."""
+        """Ignored: an unreachable port shows in unanswered probes as well."""
 
     def _send(self, messages: list[Message]) -> None:
         if self._transport is None:
--- a/marblefold/membership/members.py
+++ b/marblefold/membership/members.py
@@ -1,4 +1,4 @@
-"""What one node thinks of the others, and what it still has to pass on."""
+"""The members known to one node, and the updates it still has to pass on."""
 
 import enum
 import heapq
@@ -8,14 +8,14 @@
 
 __all__ = ["Liveness", "Member", "MemberTable"]
 
-# How often a piece of news is passed on by one node, at the least; with many
-# nodes it takes this for each doubling to reach them all.
+# How often one node passes an update on: at least so many times, and so many
+# for each doubling of the number of nodes, as spreading takes longer then.
 _PASSED_ON = 6
 _PASSED_ON_EACH_DOUBLING = 2
 
 
 class Liveness(enum.IntEnum):
-    """Ordered: of one incarnation the graver word holds."""
+    """Ordered: of two updates of one incarnation the higher one holds."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -23,7 +23,7 @@
 
 
 class Member(NamedTuple):
-    """One node as gossip tells of it; address is where its datagrams go."""
+    """One node as described by an update; datagrams go to `address` (HOST:PORT)."""
 
     address: str
     node: str
@@ -35,12 +35,12 @@
 
     @property
     def order(self) -> tuple[int, int, int]:
-        """Of two words on one address the higher holds."""
+        """Of two updates on one address the one with the higher order holds."""
         return self.life, self.incarnation, int(self.liveness)
 
 
 class MemberTable:
-    """The members known, and the news of them that is still young."""
+    """The members known, and the updates that are still being passed on."""
 
     def __init__(self, own: Member, on_change: Callable[[Member], None]) -> None:
         self.own = own
@@ -57,7 +57,7 @@
 
     @property
     def doublings(self) -> float:
-        """What the spreading of news grows with."""
+        """Logarithm to base 2 of the number of nodes: updates spread in so many steps."""
         return math.log2(len(self._members) + 2)
 
     def find(self, address: str) -> Member | None:
@@ -65,13 +65,13 @@
         return self._members.get(address)
 
     def take(self, member: Member, now: float) -> bool:
-        """Takes in a word on a member; tells whether it was news."""
+        """Merges an update; whether it changed anything. `now` in seconds, steady clock."""
         if member.address == self.own.address:
             return self._refute(member)
         held = self._members.get(member.address)
         if held is not None and member.order <= held.order:
             return False
-        # Of a node that we never knew to be there it is no news that it is gone.
+        # That a node which was never known here is gone changes nothing.
         if held is None and member.liveness is Liveness.GONE:
             return False
         self._members[member.address] = member
@@ -82,17 +82,17 @@
         return True
 
     def judge(self, member: Member, liveness: Liveness, now: float) -> None:
-        """Our own finding on a member."""
+        """Records what this node found out about a member by itself."""
         self.take(member._replace(liveness=liveness), now)
 
     def forget(self, address: str) -> None:
-        """Drops a member that is long gone."""
+        """Removes a member that has been gone for long."""
         self._members.pop(address, None)
         self._news.pop(address, None)
         self.since.pop(address, None)
 
     def pick_news(self, most: int) -> list[Member]:
-        """The news passed on least often so far."""
+        """At most `most` updates to send, those passed on least often first."""
         addresses = heapq.nsmallest(most, self._news, key=self._news.__getitem__)
         passed_on = max(_PASSED_ON, math.ceil(_PASSED_ON_EACH_DOUBLING * self.doublings))
         picked = []
@@ -104,12 +104,12 @@
                 del self._news[address]
         return picked
 
-    def _refute(self, word: Member) -> bool:
+    def _refute(self, update: Member) -> bool:
         own = self.own
-        # A word on us that outranks what we say of ourselves must be outbid.
-        if word.order <= own.order:
+        # An update about this node that outranks its own state is refuted by a higher one.
+        if update.order <= own.order:
             return False
-        life = own.life if word.life == own.life else word.life + 1
-        self.own = own._replace(life=life, incarnation=word.incarnation + 1)
+        life = own.life if update.life == own.life else update.life + 1
+        self.own = own._replace(life=life, incarnation=update.incarnation + 1)
         self._news[own.address] = 0
         return True
--- a/marblefold/membership/node.py
+++ b/marblefold/membership/node.py
@@ -1,4 +1,4 @@
-"""A node's membership, put together from its config."""
+"""The membership of a node: prober and socket, set up from its config."""
 
 import time
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 class NodeMembership:
-    """Tells who lives, as far as this node knows."""
+    """The other nodes that this node believes to be alive."""
 
     def __init__(
         self,
@@ -47,15 +47,15 @@
         self._socket = MembershipSocket(self._prober)
 
     async def start(self) -> None:
-        """Begins to listen for datagrams."""
+        """Binds the datagram socket. Raises OSError where the port is taken."""
         await self._socket.start(self._address)
 
     async def run(self) -> None:
-        """Takes part, for ever."""
+        """Probes for ever."""
         await self._socket.run()
 
     def members(self, role: str) -> list[Member]:
-        """The other members of a role that are not thought gone."""
+        """The other members of a role, suspected ones included, removed ones not."""
         return [
             member
             for member in self._prober.table
--- a/marblefold/membership/prober.py
+++ b/marblefold/membership/prober.py
@@ -1,6 +1,6 @@
-"""Probes a few peers in turn, asks others for a second opinion, and suspects
-before it removes.  Pure: it is told the time and what came, and says what to
-send.
+"""Failure detection by probing: a few peers in turn, indirectly through others
+before a peer is suspected, and suspicion before removal (as in SWIM).  Pure:
+time and received messages are arguments, messages to send are results.
 """
 
 import random
@@ -13,7 +13,7 @@
 
 
 class ProberConfig(NamedTuple):
-    """How patient the probing is, in seconds."""
+    """Periods and timeouts in seconds, and counts of peers and updates."""
 
     period: float = 0.4
     direct: float = 0.25
@@ -22,17 +22,17 @@
     helpers: int = 3
     gone_probe: float = 1.0
     forget: float = 60.0
-    # In a datagram; more where there are more nodes to tell of, up to what one
-    # datagram can carry without being cut in pieces.
+    # Updates in a datagram; more with more nodes, up to what one datagram
+    # carries without fragmentation.
     news: int = 8
     most_news: int = 13
-    # Suspicion lasts for its time at so many doublings of the nodes, and longer
-    # beyond, for a refutation takes longer to come round.
+    # The suspicion timeout holds up to so many doublings of the number of nodes
+    # and grows beyond, as a refutation takes longer to spread.
     usual_doublings: float = 5.0
 
 
 class Message(NamedTuple):
-    """A datagram to send, or one that came."""
+    """A datagram to send to `peer`, or one received from it (HOST:PORT)."""
 
     peer: str
     kind: str
@@ -50,14 +50,14 @@
 
 
 class _Relay(NamedTuple):
-    """A probe made for somebody else."""
+    """A probe made on behalf of another node."""
 
     asker: str
     number: int
 
 
 class Prober:
-    """One node's part in finding out who lives."""
+    """The failure detector of one node; all times in seconds on its steady clock."""
 
     def __init__(
         self,
@@ -79,15 +79,15 @@
         self._next_gone_probe = 0.0
 
     def tick(self, now: float) -> list[Message]:
-        """What is to be sent now."""
+        """The messages to send now; ends probes and suspicions that timed out."""
         out = self._check_pending(now)
         self._end_suspicions(now)
         if now >= self._next_probe:
             self._next_probe = now + self._config.period
             out.extend(self._probe_next(now))
-            # Whoever is suspected must hear of it more than once, for the word of
-            # it may be lost like any other.  All others do the same: a few each
-            # are enough, and a zone that is lost does not flood who is left.
+            # A suspect must learn of it more than once, as any datagram may be
+            # lost.  All nodes do this, so a few suspects each are enough and a
+            # lost zone does not flood the remaining nodes.
             suspects = [
                 member.address for member in self.table if member.liveness is Liveness.SUSPECT
             ]
@@ -99,7 +99,7 @@
         return out
 
     def next_due(self, now: float) -> float:
-        """When there is something to do again, if nothing comes."""
+        """When tick() has to be called next if nothing is received."""
         config = self._config
         due = min(self._next_probe, self._next_gone_probe)
         for pending in self._pending.values():
@@ -108,7 +108,7 @@
         return due
 
     def receive(self, message: Message, now: float) -> list[Message]:
-        """Takes in a datagram; the answers to it."""
+        """Processes a datagram; the messages to send in answer."""
         for member in message.members:
             self.table.take(member, now)
         self._note_sign_of_life(message.peer, now)
@@ -119,7 +119,7 @@
             self._relays[self._number] = _Relay(message.peer, message.number)
             return [self._make(message.subject, "ping", self._number, "")]
         relay = self._relays.pop(message.number, None)
-        # Somebody asked us about this peer: it lives.
+        # Another node asked for this probe: the peer is alive.
         if relay is not None:
             return [self._make(relay.asker, "acknowledgement", relay.number, message.peer)]
         self._pending.pop(message.number, None)
@@ -129,8 +129,8 @@
         member = self.table.find(address)
         if member is None or member.liveness is Liveness.ALIVE:
             return
-        # It speaks, so it lives; only its own word counts with the others,
-        # so the answer tells it what is thought of it.
+        # It sends, so it is alive here. Others accept only its own refutation:
+        # the answer shows it how it is judged (_make), so that it can refute.
         self.table.take(
             member._replace(incarnation=member.incarnation + 1, liveness=Liveness.ALIVE), now
         )
@@ -153,7 +153,7 @@
         return []
 
     def _probe_gone(self, now: float) -> list[Message]:
-        """A cut may heal: the gone, and seeds nobody knows, are tried at times."""
+        """A partition may heal: removed members and unknown seeds are probed at times."""
         out = [
             self._ping(address)
             for address in self._seeds()
@@ -196,7 +196,7 @@
             if other.liveness is Liveness.ALIVE and other.address != member.address
         ]
         picked = self._random.sample(helpers, min(len(helpers), self._config.helpers))
-        # The loss of one datagram is likely enough to ask once more ourselves.
+        # A single lost datagram is likely enough to send one more direct ping.
         return [self._make(member.address, "ping", number, "")] + [
             self._make(helper.address, "ping_request", number, member.address) for helper in picked
         ]
@@ -221,7 +221,7 @@
     def _make(self, peer: str, kind: str, number: int, subject: str) -> Message:
         members = [self.table.own]
         known = self.table.find(peer)
-        # A peer must hear what is thought of it, to refute it.
+        # A peer must learn how it is judged to be able to refute it.
         if known is not None and known.liveness is not Liveness.ALIVE:
             members.append(known)
         members.extend(
--- a/marblefold/node_config/model.py
+++ b/marblefold/node_config/model.py
@@ -1,4 +1,4 @@
-"""What a node is told of itself and of the deployment."""
+"""The settings of a node: about itself and about the deployment."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Address(NamedTuple):
-    """Where something listens."""
+    """An IPv4 host and a port."""
 
     host: str
     port: int
@@ -17,7 +17,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """Reads host:port; raises ValueError on anything else."""
+        """Reads HOST:PORT. Raises ValueError on anything else."""
         host, separator, port = text.rpartition(":")
         if not separator or not host or not 0 < int(port) < 65536:
             raise ValueError(f"not an address: {text!r}")
@@ -25,7 +25,7 @@
 
 
 class Bounds(NamedTuple):
-    """The figures of the rules in force."""
+    """The bounds of the rules in force."""
 
     contact_window: timedelta
     acknowledgement_time: timedelta
@@ -44,7 +44,7 @@
 
 
 class Limits(NamedTuple):
-    """What the machine grants this process."""
+    """The limits of this process."""
 
     memory_mb: float
     file_descriptors: int
@@ -52,14 +52,14 @@
 
 
 class Cloud(NamedTuple):
-    """Where the platform keeps its list of targets, if it does."""
+    """The platform API that lists the targets, where there is one."""
 
     address: Address
     rate_per_second: float
 
 
 class NodeConfig(NamedTuple):
-    """All that a process is told when it starts."""
+    """All settings of a process."""
 
     node_name: str
     zone: str
@@ -78,10 +78,10 @@
     app_address: Address | None
     upstream: str
     cloud: Cloud | None = None
-    # How many machines that count may be lost at once.
+    # How many counted machines may be lost at the same time.
     machine_losses: int = 1
-    # The site that this node belongs to, and the registry that claims for it.
+    # The site of this node, and the inner address of the registry that claims services for it.
     site: str = ""
     site_agent: str = ""
-    # What digests of orders are keyed with in traces.
+    # Key of the digests of orders in traces.
     trace_key: str = ""
--- a/marblefold/node_config/reading.py
+++ b/marblefold/node_config/reading.py
@@ -1,7 +1,7 @@
-"""Reads and checks the config file that a node is given.
+"""Reads and checks the config file of a node.
 
-Each line is a.b=value.  Fields we do not know are skipped, fields we need
-are checked for type and range, and every fault names its field.
+Each line is a.b=value.  Unknown fields are skipped, required ones are checked
+for type and range, and every error names its field.
 """
 
 import os
@@ -61,18 +61,21 @@
 
 
 class _Lines:
-    """The lines of a config file, asked for by name."""
+    """The lines of a config file by field name."""
 
     def __init__(self, text: str) -> None:
         self._values = {}
         for line in text.splitlines():
             name, separator, value = line.strip().partition("=")
-            # A line without a sign of equality is no field we could know.
+            # A line without an equals sign holds no field.
             if separator and not name.startswith("#"):
                 self._values[name.strip()] = value.strip()
 
     def get(self, name: str, convert: Callable, default: object = None):
-        """The converted field; without a default a missing one is a error."""
+        """The converted field, or the default.
+
+        Raises MeshError where it is missing without a default or cannot be converted.
+        """
         text = self._values.get(name)
         if text is None:
             if default is None:
@@ -87,7 +90,7 @@
         return name in self._values
 
     def under(self, prefix: str) -> dict:
-        """All fields that begin with the prefix, by what follows it."""
+        """All fields that begin with the prefix, by the rest of their names."""
         return {
             name[len(prefix) :]: value
             for name, value in self._values.items()
@@ -125,7 +128,7 @@
 
 
 def parse_config(text: str) -> NodeConfig:
-    """The checked config of a node, or a MeshError that names the bad field."""
+    """The checked config of a node. Raises MeshError that names the bad field."""
     lines = _Lines(text)
     listen = {}
     for name in lines.under("listen-addresses."):
@@ -160,7 +163,10 @@
 
 
 def read_config(environment: Mapping[str, str]) -> NodeConfig:
-    """Reads the file that the environment names."""
+    """Reads the file named by MARBLEFOLD_NODE_FILE.
+
+    Raises MeshError where the variable, the file or a field is missing or bad.
+    """
     path = environment.get(wire_names.CONFIG_FILE_VARIABLE)
     if not path:
         raise MeshError("config", f"variable {wire_names.CONFIG_FILE_VARIABLE} is not set")
--- a/marblefold/node_config/watching.py
+++ b/marblefold/node_config/watching.py
@@ -1,4 +1,4 @@
-"""Takes up a changed config file, with a signal or without one."""
+"""Reloads a changed config file, on a signal or without one."""
 
 import asyncio
 import os
@@ -12,7 +12,7 @@
 
 __all__ = ["ConfigWatch"]
 
-_LOOK_EVERY = timedelta(seconds=1)
+_CHECK_EVERY = timedelta(seconds=1)
 
 
 class ConfigWatch:
@@ -25,16 +25,16 @@
         self._mark = self._read_mark()
 
     def listen(self, listener: Callable[[NodeConfig], None]) -> None:
-        """Calls the listener with every config taken up from now on."""
+        """Calls the listener with every config reloaded from now on."""
         self._listeners.append(listener)
 
     def reread(self) -> None:
-        """Takes up the file as it stands; a bad one changes nothing."""
+        """Loads the file as it is now. A bad file is logged and changes nothing."""
         self._mark = self._read_mark()
         try:
             config = read_config(self._environment)
         except MeshError as error:
-            # What was in force serves on: a half-written file must not end us.
+            # The config in force stays: a half-written file must not end the process.
             log.warning("config kept", reason=error.reason)
             return
         if config == self.config:
@@ -45,9 +45,9 @@
             listener(config)
 
     async def run(self) -> None:
-        """Looks for a change without a signal, for ever."""
+        """Reloads the file when it has changed, looking once a second, for ever."""
         while True:
-            await asyncio.sleep(_LOOK_EVERY.total_seconds())
+            await asyncio.sleep(_CHECK_EVERY.total_seconds())
             if self._read_mark() != self._mark:
                 self.reread()
 
--- a/marblefold/site_command.py
+++ b/marblefold/site_command.py
@@ -1,4 +1,4 @@
-"""The command line over the calls for partners and owners of a running system."""
+"""The tools `partners` and `owners`: calls to a registry of a running system."""
 
 import asyncio
 import json
@@ -25,7 +25,10 @@
 
 
 def run_partners(arguments: list[str]) -> int:
-    """partners list | grant NAME | withdraw NAME | export NAME."""
+    """partners list | grant NAME | withdraw NAME | export NAME; the exit status.
+
+    0 done, 1 refused by the registry, 2 wrong usage or no answer.
+    """
     return _run(
         arguments,
         "partners list | grant NAME | withdraw NAME | export NAME",
@@ -39,7 +42,7 @@
 
 
 def run_owners(arguments: list[str]) -> int:
-    """owners list | set."""
+    """owners list | set; the exit status, as run_partners."""
     return _run(
         arguments,
         "owners list | set",
