--- a/marblefold/planner/command.py
+++ b/marblefold/planner/command.py
@@ -1,4 +1,4 @@
-"""The planner's command line: shows what a change would move before it is made."""
+"""The tool `plan`: shows the effects of a change before it is made."""
 
 import asyncio
 import json
@@ -35,7 +35,10 @@
 
 
 def run_planner() -> int:
-    """Plans as the flags say; the exit status of the process."""
+    """Plans as the flags say; the exit status.
+
+    0 nothing harmful, 1 harmful or invalid, 2 wrong usage, unreadable input or no answer.
+    """
     if bool(FLAGS.from_system) == bool(FLAGS.current):
         return _complain(["give either --from_system or --current"], _USAGE)
     try:
--- a/marblefold/planner/comparing.py
+++ b/marblefold/planner/comparing.py
@@ -1,4 +1,4 @@
-"""What a change would move: a pure comparison of the mesh before and after."""
+"""The effects of a change: a pure comparison of the mesh before and after it."""
 
 from collections import defaultdict
 from collections.abc import Collection
@@ -13,7 +13,7 @@
 
 
 class RouteChange(NamedTuple):
-    """One thing that differs in a route that stays."""
+    """One field that differs in a route which both states have."""
 
     route: str
     field: str
@@ -22,7 +22,7 @@
 
 
 class Share(NamedTuple):
-    """The part of the traffic that goes somewhere, 0 to 1."""
+    """The share of the traffic (0 to 1) of an upstream or zone."""
 
     name: str
     before: float
@@ -30,7 +30,7 @@
 
 
 class Capacity(NamedTuple):
-    """The slots of an upstream, and the floor that was agreed for it."""
+    """The slots of an upstream, and its floor: the slots that must remain."""
 
     upstream: str
     before: int
@@ -44,7 +44,7 @@
 
 
 class Moved(NamedTuple):
-    """Everything that a change would move, and what would break."""
+    """All differences, and as `faults` what would be harmful."""
 
     added: tuple[str, ...]
     removed: tuple[str, ...]
@@ -61,7 +61,11 @@
     floors: dict[str, int],
     traffic: dict[str, float],
 ) -> Moved:
-    """Compares two states of the mesh; traffic is by route, evenly if empty."""
+    """Compares two states of the mesh.
+
+    `floors` are slots by upstream, `traffic` requests per second by route; without
+    traffic all routes count alike.
+    """
     old = {(route.host, route.prefix): route for route in before.rows.routes}
     new = {(route.host, route.prefix): route for route in after.rows.routes}
     capacity = _compare_capacity(before, after, floors)
@@ -111,10 +115,10 @@
 
 
 def _share_zones(facts: Facts, traffic: dict[str, float]) -> dict[str, float]:
-    """Where the traffic would run, if slots are used evenly."""
+    """Traffic by zone, spread evenly over the slots."""
     shares: dict[str, float] = defaultdict(float)
     for route, upstream, part in _flows(facts.rows, traffic):
-        targets = _nominable(facts, upstream, route.allowed_regions)
+        targets = _selectable(facts, upstream, route.allowed_regions)
         slots = sum(target.slots for target in targets)
         for target in targets:
             shares[target.zone] += part * target.slots / slots
@@ -123,8 +127,8 @@
     return shares
 
 
-def _nominable(facts: Facts, upstream: str, homes: Collection[str]) -> list[KnownTarget]:
-    """The targets that proxies would select, by their own rules."""
+def _selectable(facts: Facts, upstream: str, homes: Collection[str]) -> list[KnownTarget]:
+    """The targets that proxies would select, by the rules of the request path."""
     eligible = [
         target
         for target in facts.targets
@@ -134,7 +138,7 @@
 
 
 def count_slots(facts: Facts, upstream: str) -> int:
-    """The slots that count: cold, draining and leaving targets do not."""
+    """The slots of an upstream, without those of cold, draining and leaving targets."""
     return sum(
         target.slots
         for target in facts.targets
@@ -160,6 +164,6 @@
             yield f"{row.upstream}: {row.after} slots left, the floor is {row.floor}"
     for route in after.rows.routes:
         for upstream in route.upstreams:
-            # Where no targets are known at all, none can be missed.
-            if after.targets and not _nominable(after, upstream, route.allowed_regions):
+            # Without any known targets (no state given) nothing can be said.
+            if after.targets and not _selectable(after, upstream, route.allowed_regions):
                 yield f"route {route.name}: no target of {upstream} is left"
--- a/marblefold/planner/facts.py
+++ b/marblefold/planner/facts.py
@@ -1,4 +1,4 @@
-"""What a plan starts from: a configuration, the targets there are, and the agreed floors."""
+"""The input of a plan: configuration, targets and floors, read and checked."""
 
 import json
 from typing import NamedTuple
@@ -23,12 +23,18 @@
 
 
 def read_configuration_rows(body: bytes) -> Rows:
-    """The rows of a configuration, read and checked as the registries do it."""
+    """The rows of a configuration, checked as the registries check it.
+
+    Raises InvalidConfiguration with every fault.
+    """
     return read_rows(lay_out(read_configuration(body)))
 
 
 def read_state(body: bytes) -> tuple[tuple[KnownTarget, ...], frozenset[str], tuple[str, ...]]:
-    """Targets, evacuated zones and members, as a registry tells them."""
+    """Targets, evacuated zones and store members of a registry's state document.
+
+    Raises MeshError that names the bad field.
+    """
     document = _read_object(body, "state")
     targets = []
     for index, row in enumerate(_list(document, "targets", "state")):
@@ -56,7 +62,7 @@
 
 
 def read_floors(body: bytes) -> dict[str, int]:
-    """The slots that must remain, by upstream."""
+    """The slots that must remain, by upstream. Raises MeshError that names the bad one."""
     document = _read_object(body, "floors")
     floors = {}
     for upstream, slots in document.items():
--- a/marblefold/planner/proposing.py
+++ b/marblefold/planner/proposing.py
@@ -1,4 +1,4 @@
-"""Makes the state that a proposal would lead to, or says what is wrong with it."""
+"""Applies a proposed change to a known state, or lists what is wrong with it."""
 
 from typing import NamedTuple
 
@@ -10,7 +10,7 @@
 
 
 class Proposal(NamedTuple):
-    """What somebody would like to change."""
+    """A change: a configuration, targets to drain, zones to evacuate, stores to swap (OLD=NEW)."""
 
     rows: Rows | None = None
     drains: tuple[str, ...] = ()
@@ -19,7 +19,10 @@
 
 
 def propose(facts: Facts, proposal: Proposal) -> Facts:
-    """The mesh after the change; an ExceptionGroup of all that cannot be."""
+    """The mesh after the change.
+
+    Raises an ExceptionGroup of MeshError, one for each part that is not possible.
+    """
     faults: list[MeshError] = []
     instances = {target.instance for target in facts.targets}
     zones = {target.zone for target in facts.targets}
--- a/marblefold/planner/reporting.py
+++ b/marblefold/planner/reporting.py
@@ -1,4 +1,4 @@
-"""Shows a plan, as text for people or as JSON for programs."""
+"""Prints a plan as text or JSON."""
 
 import json
 from collections.abc import Iterator
@@ -39,7 +39,7 @@
 
 
 def to_text(moved: Moved) -> str:
-    """The plan as lines."""
+    """The plan as lines of text."""
     return "\n".join(_lines(moved)) + "\n"
 
 
--- a/marblefold/rehearsal/calls.py
+++ b/marblefold/rehearsal/calls.py
@@ -1,7 +1,7 @@
-"""The read-only calls: the snapshot of a system, and a rehearsal from it.
+"""The read-only calls for a snapshot of the system and for a rehearsal from it.
 
-Neither changes anything.  One rehearsal runs at a time, in slices between
-which the registry does its own work; a second one is refused for now.
+One rehearsal runs at a time, in slices between which the registry does its
+other work; a second one is answered 503.
 """
 
 import asyncio
@@ -24,14 +24,14 @@
 __all__ = ["RehearsalCalls"]
 
 _MOST_REQUESTS = 8_000
-# Between slices the registry's own work goes first.
+# Seconds between slices, for the registry's other work.
 _PAUSE_SECONDS = 0.01
 _LONGEST_SECONDS = 20.0
 _BUSY_RETRY = 2.0
 
 
 class RehearsalCalls:
-    """Answers from what the registry knows; touches no node."""
+    """Answers from the state of this registry; sends nothing to other nodes."""
 
     def __init__(self, words, make_parts: Callable[[], dict]) -> None:
         self._words = words
@@ -39,7 +39,7 @@
         self._is_busy = False
 
     def add_to(self, router: CallRouter) -> None:
-        """Serves these calls at the router."""
+        """Adds these calls to the router."""
         router.add("GET", wire_names.SNAPSHOT_PATH, self._snapshot)
         router.add("GET", wire_names.REHEARSAL_PATH, self._rehearse)
 
@@ -65,7 +65,7 @@
             self._is_busy = False
 
     async def _play(self, regions: list[str], zones: list[str], clients: list[str]) -> Answer:
-        # Nothing else in a registry needs these.
+        # Imported here, as nothing else in a registry needs them.
         from marblefold.rehearsal.forecast import find_lost, rehearse_slowly
         from marblefold.rehearsal.play_config import PlayConfig
         from marblefold.rehearsal.reporting import to_plain
--- a/marblefold/rehearsal/command.py
+++ b/marblefold/rehearsal/command.py
@@ -1,4 +1,4 @@
-"""The rehearsal's command line: what the loss of a region or of zones would do."""
+"""The tool `rehearse`: the effects of losing a region or zones."""
 
 import asyncio
 import json
@@ -38,7 +38,10 @@
 
 
 def run_rehearsal(arguments: list[str]) -> int:
-    """rehearse, as the flags say; the exit status of the process."""
+    """Rehearses as the flags say; the exit status.
+
+    0 all is carried, 1 something is not, 2 wrong usage, bad snapshot or no answer.
+    """
     loses = bool(FLAGS.lose_region or FLAGS.lose_zone)
     if arguments or bool(FLAGS.registry) == bool(FLAGS.snapshot) or not (loses or FLAGS.save):
         return _complain(
--- a/marblefold/rehearsal/flight.py
+++ b/marblefold/rehearsal/flight.py
@@ -29,7 +29,7 @@
 
 
 class Flight:
-    """Asks the real decision, and obeys it in the time of the play."""
+    """Runs the real RequestDecision on the clock of the play."""
 
     def __init__(
         self,
@@ -64,15 +64,15 @@
         self._is_slot_held = False
 
     def begin(self) -> None:
-        """It has come in."""
+        """The request arrives."""
         self._play.flights[self] = None
         self._origin.surroundings.note_request(self._upstream, self._play.now)
         self._step()
 
     def note_loss(self) -> None:
-        """A place went dark in the midst of it."""
+        """The lost zones went dark while this request was in progress."""
         if self._play.is_lost(self._origin.zone):
-            # Its client is gone too, and will ask what became of it.
+            # The client lost its node: it does not know whether the request ran.
             self._was_dark = self._decision.may_have_run or self._is_slot_held
             self._end("gone", "origin lost", "")
         elif self._hop is not None and self._play.is_lost(self._hop.offer.target.zone):
@@ -98,7 +98,7 @@
         return self._hop
 
     def _reach(self, hop: _Hop) -> None:
-        """The hop has come to the guard, or into the dark."""
+        """The hop arrives at the guard, unless its zone is lost."""
         if hop is not self._hop:
             return
         play, offer = self._play, hop.offer
@@ -122,12 +122,12 @@
             self._refuse(hop, NO_SLOT, _REFUSED_RETRY)
 
     def _start(self, hop: _Hop) -> None:
-        """A slot was had."""
+        """A slot was obtained."""
         play, target = self._play, hop.offer.target
         guard = play.guards[target.node]
         most = find_cold_most(play.view, self._origin.surroundings.bounds, target.upstream)
         if hop is not self._hop or not guard.cold.may_offer(play.now, most):
-            # Given back behind this call: the guard is in the midst of handing out.
+            # Returned after this call, as the guard is still assigning slots.
             play.after(0.0, guard.give_back)
             if hop is self._hop:
                 self._refuse(hop, "cold", guard.cold.retry_after(play.now))
@@ -139,7 +139,7 @@
         play.after(seconds, lambda: self._finish(hop, guard, seconds))
 
     def _finish(self, hop: _Hop, guard: RehearsedGuard, seconds: float) -> None:
-        """The target is done with it, whoever still waits."""
+        """The target has finished, whether or not anybody still waits."""
         guard.give_back()
         if hop is not self._hop:
             return
@@ -159,7 +159,7 @@
         play.after(play.delay(self._origin.zone, target), lambda: self._take(hop, result))
 
     def _go_dark(self, lost: _Hop) -> None:
-        """Nothing will come back: how the sender finds out."""
+        """No answer will come: schedules how and when the sender notices."""
         play = self._play
         self._is_slot_held = False
         is_first = not self._was_dark
@@ -167,7 +167,7 @@
         hop, target = self._begin_hop(lost.offer, lost.ticket), lost.offer.target
         surroundings = self._origin.surroundings
         if play.now > play.loss_at + play.config.unheard_seconds:
-            # By now the connection there is given up, and no new one comes up.
+            # The connection has been closed by now and a new one cannot be opened.
             self._was_dark = not is_first
             result = HopResult(HopOutcome.NEVER_OFFERED, step="connect")
             play.after(play.config.connect_seconds, lambda: self._take(hop, result))
@@ -183,7 +183,7 @@
         play.after(wait, lambda: self._take(hop, result))
 
     def _take(self, hop: _Hop, result: HopResult) -> None:
-        """The hop's end has come back to the sender."""
+        """The result of the hop arrives at the sender."""
         if hop is not self._hop or self._play.is_lost(self._origin.zone):
             return
         target = hop.offer.target
@@ -198,7 +198,7 @@
         elif status in (429, 503):
             self._end("stalled", step.step, "")
         else:
-            # A read whose outcome nobody knows only stalls: it may be asked again.
+            # A read of unknown outcome counts as stalled: it may be repeated.
             self._end("stalled" if self._is_repeatable else "unknown", step.step, "")
 
     def _end(self, what: str, step: str, zone: str) -> None:
--- a/marblefold/rehearsal/forecast_model.py
+++ b/marblefold/rehearsal/forecast_model.py
@@ -6,7 +6,7 @@
 
 
 class Kind(NamedTuple):
-    """The requests of one route to one service; rates are a second."""
+    """The requests of one route to one service; rates per second, `late_*` as shares."""
 
     route: str
     upstream: str
@@ -15,7 +15,7 @@
     # Where it is answered, by zone.
     zones_before: dict[str, float]
     zones_after: dict[str, float]
-    # Of what goes on, the rate that the lost places answered before.
+    # The part of what the lost zones answered that is now answered elsewhere.
     carried_elsewhere: float
     gone_with_clients: float
     stalls_before: float
@@ -29,7 +29,7 @@
 
 
 class Capacity(NamedTuple):
-    """A service's slots, and how many are in use in the mean."""
+    """The slots of a service, and their mean use."""
 
     upstream: str
     slots_before: int
@@ -39,7 +39,7 @@
 
 
 class Control(NamedTuple):
-    """What becomes of those that hold the operator's words."""
+    """The stores: how many are left, and what follows for control."""
 
     stores: int
     stores_left: int
@@ -48,7 +48,7 @@
 
 
 class Forecast(NamedTuple):
-    """The whole of it."""
+    """The forecast; `settles_after` is the time until all nodes know of the loss."""
 
     lost: tuple[str, ...]
     settles_after: float
@@ -59,7 +59,8 @@
 
     @property
     def is_harmless(self) -> bool:
-        """Whether all is carried: nothing stalls that did not before, nothing may double."""
+        """Whether nothing stalls beyond what did before, nothing may run twice, and a majority
+        of the stores is left."""
         return (
             not any(
                 kind.may_go_twice
--- a/marblefold/rehearsal/forecast_summary.py
+++ b/marblefold/rehearsal/forecast_summary.py
@@ -99,7 +99,7 @@
         return "capacity short"
     if not left:
         return "no target left"
-    # Whatever it ended by: there was nothing for it to go to.
+    # Whichever step it ended at: no target was eligible.
     if not [target for target in left if is_eligible(target, (), route.allowed_regions, owner)]:
         return "homes or owner forbid what is left"
     if all(target.zone in snapshot.facts.evacuated for target in left):
--- a/marblefold/rehearsal/guards.py
+++ b/marblefold/rehearsal/guards.py
@@ -1,4 +1,4 @@
-"""A guard in a rehearsal: slots and a queue, as the real one hands them out."""
+"""A guard in a rehearsal: slots and a queue, assigned as the real guard does."""
 
 import heapq
 import itertools
@@ -13,7 +13,7 @@
 
 
 class RehearsedGuard:
-    """Knows no clock: it is told the time."""
+    """Slots and queue of one target; `service_seconds` is its mean time for a request."""
 
     def __init__(self, target: KnownTarget, service_seconds: float) -> None:
         self.target = target
@@ -27,16 +27,16 @@
 
     @property
     def load(self) -> TargetLoad:
-        """What it tells with every answer."""
+        """The load that goes with every answer."""
         return TargetLoad(self.running, self.waiting, self.target.slots)
 
     @property
     def waiting(self) -> int:
-        """How many wait for a slot."""
+        """How many requests wait for a slot."""
         return len(self._waiting) - len(self._left)
 
     def expected_wait(self, turn: Turn) -> float:
-        """How long a request of that turn would likely wait."""
+        """Expected wait in seconds of a request with that turn."""
         if self.running < self.target.slots:
             return 0.0
         ahead = sum(
@@ -47,7 +47,10 @@
         return (ahead + 1) * self.service_seconds / self.target.slots
 
     def take(self, turn: Turn, longest: float, start: Callable[[], None]) -> int | None:
-        """Starts it now or puts it in the queue; None if it is refused."""
+        """Starts the request now (-1), queues it (its number), or refuses it (None).
+
+        `longest` is the longest acceptable wait in seconds.
+        """
         if self.running < self.target.slots:
             self.running += 1
             start()
@@ -59,7 +62,7 @@
         return number
 
     def leave(self, number: int) -> bool:
-        """It waited for too long; tells whether it was still in the queue."""
+        """Takes a request out of the queue; whether it was still there."""
         if any(number == other for _turn, other, _start in self._waiting) and (
             number not in self._left
         ):
@@ -68,7 +71,7 @@
         return False
 
     def give_back(self) -> None:
-        """A slot is free: the next in order has it."""
+        """Frees a slot and starts the next request in order."""
         self.running -= 1
         while self._waiting and self.running < self.target.slots:
             _turn, number, start = heapq.heappop(self._waiting)
--- a/marblefold/rehearsal/origins.py
+++ b/marblefold/rehearsal/origins.py
@@ -1,4 +1,4 @@
-"""The nodes of a rehearsal: each with the surroundings that a proxy has."""
+"""The nodes of a rehearsal, each with the Surroundings of a real proxy."""
 
 from collections.abc import Callable
 
@@ -13,7 +13,7 @@
 
 __all__ = ["Origin", "make_origins", "make_view"]
 
-# Nothing in a rehearsal is held up by descriptors or memory.
+# Descriptors and memory are not limited in a rehearsal.
 _LIMITS = Limits(memory_mb=1e6, file_descriptors=1_000_000)
 _COLD_SECONDS = 3.0
 
@@ -27,7 +27,7 @@
 
 
 def make_view(snapshot: Snapshot) -> MeshView:
-    """The view that all nodes share when the rehearsal begins, by the real entries."""
+    """The MeshView that all nodes share, built from real catalogue entries."""
     view = MeshView("rehearsal")
     view.table = RouteTable(snapshot.facts.rows)
     for target in snapshot.facts.targets:
@@ -63,7 +63,7 @@
     clock: Callable[[], float],
     seed: int,
 ) -> dict[str, list[Origin]]:
-    """The nodes of each zone; a zone whose nodes are not known has one."""
+    """The nodes by zone; a zone without known nodes gets one. `clock` in seconds."""
     view.proxies = max(1, len(snapshot.origins))
     bounds = _make_bounds(snapshot)
     origins: dict[str, list[Origin]] = {zone: [] for zone in snapshot.zone_regions}
@@ -79,7 +79,7 @@
 
 
 def _tell_nobody(*_event, **_more) -> None:
-    """What a rehearsed node finds is no event of the system's."""
+    """Events of rehearsed nodes are not logged."""
 
 
 def _make_bounds(snapshot: Snapshot) -> Bounds:
--- a/marblefold/rehearsal/play_config.py
+++ b/marblefold/rehearsal/play_config.py
@@ -6,24 +6,25 @@
 
 
 class PlayConfig(NamedTuple):
-    """How long is played, and what is assumed of links and targets."""
+    """Times and delays in seconds."""
 
     warm_seconds: float = 3.0
     after_seconds: float = 6.0
     most_requests: int = 60_000
-    # What is forecast is the mean of so many plays.
+    # The forecast is the mean of so many runs.
     plays: int = 4
     seed: int = 1
-    # One way.
+    # One-way delays.
     in_zone: float = 0.0002
     cross_zone: float = 0.001
     cross_region: float = 0.012
-    # Service times lie within this part of their mean, either way.
+    # Service times are spread evenly over this share below and above their mean.
     spread: float = 0.5
-    # What a dark machine's silence costs, as connections between proxies find out.
+    # When a silent machine is noticed: a read is repeated, a connection is closed,
+    # an attempt to connect is given up.
     silent_seconds: float = 0.45
     unheard_seconds: float = 2.0
     connect_seconds: float = 0.5
-    # Clients of a lost place come in elsewhere, in this while; else they are lost too.
+    # Clients of a lost zone move to others after this time; else they are lost too.
     clients_move: bool = True
     clients_move_seconds: float = 2.0
--- a/marblefold/rehearsal/playing.py
+++ b/marblefold/rehearsal/playing.py
@@ -1,8 +1,7 @@
-"""Plays traffic through a mesh that loses a place, without a mesh.
+"""A discrete-event simulation of traffic through a mesh that loses zones.
 
-Every node decides with the real decision, target_selection, breaker and budget; only
-time, links and targets are stood in for.  It touches nothing: no clock is
-waited for, no byte is sent.
+Every node runs the real decision, target selection, breaker and retry budget;
+only time, links and targets are simulated.  Nothing is sent or waited for.
 """
 
 import heapq
@@ -32,7 +31,7 @@
 
 
 class Play:
-    """One rehearsal; run() gives the processor back after each slice."""
+    """One simulated run; times in seconds on its own clock, which starts at the real one's time."""
 
     def __init__(
         self,
@@ -51,7 +50,7 @@
         self._began = self.now
         self.loss_at = self.now + config.warm_seconds
         self.is_dark = False
-        # Services whose owner's agent is lost: their leases run out.
+        # Services whose owner's agent is lost and whose lease has expired.
         self.lapsed: set[str] = set()
         self.settled_at = self.loss_at + detection_seconds(len(snapshot.origins))
         self._origins = make_origins(snapshot, self.view, lambda: self.now, config.seed)
@@ -64,17 +63,17 @@
             for name in {target.upstream for target in snapshot.facts.targets}
             for target in self.view.targets(name)
         }
-        # In the order in which they began: a play is the same again.
+        # In order of arrival, so that one seed always gives the same run.
         self.flights: dict[LossListener, None] = {}
 
     @property
     def expected_requests(self) -> float:
-        """How many requests this plays, about."""
+        """The expected number of requests of the run."""
         rate = sum(flow.per_second for flow in self._snapshot.flows)
         return rate * (self.config.warm_seconds + self.config.after_seconds)
 
     def run(self, slice_events: int = 100) -> Iterator[None]:
-        """Plays to the end; yields after each slice of events."""
+        """Runs to the end; yields after each slice of events."""
         for flow in self._snapshot.flows:
             route = self._routes.get(flow.route)
             if route is not None and flow.per_second > 0:
@@ -90,11 +89,11 @@
                 yield
 
     def at(self, when: float, act: Callable[[], None]) -> None:
-        """Something is to happen at a time."""
+        """Schedules a callback at a time."""
         heapq.heappush(self._events, (max(when, self.now), next(self._order), act))
 
     def after(self, seconds: float, act: Callable[[], None]) -> None:
-        """Something is to happen in a while."""
+        """Schedules a callback in so many seconds."""
         self.at(self.now + seconds, act)
 
     def is_lost(self, zone: str) -> bool:
@@ -102,7 +101,7 @@
         return self.is_dark and zone in self._lost
 
     def phase(self, arrived: float) -> Phase | None:
-        """What a request of that time counts to; the first ones count to nothing."""
+        """The phase of a request by its arrival; None for the warm-up, which is not counted."""
         if arrived < self._began + self.config.warm_seconds / 3:
             return None
         if arrived < self.loss_at:
@@ -110,7 +109,7 @@
         return Phase.UNSETTLED if arrived < self.settled_at else Phase.AFTER
 
     def phase_seconds(self, phase: Phase) -> float:
-        """How long the phase is played."""
+        """Length of the phase in seconds."""
         unsettled = self.settled_at - self.loss_at
         return {
             Phase.BEFORE: self.config.warm_seconds * 2 / 3,
@@ -119,7 +118,7 @@
         }[phase]
 
     def delay(self, zone: str, target: KnownTarget) -> float:
-        """One way from a zone to a target."""
+        """One-way delay in seconds from a zone to a target."""
         if zone == target.zone:
             return self.config.in_zone
         regions = self._snapshot.zone_regions
@@ -131,7 +130,7 @@
         known = self._snapshot.service_seconds.get(upstream)
         if known is not None:
             return known
-        # Without the targets' own figure the whole time stands in for it.
+        # Without the targets' own figure the whole time of a request is used.
         routes = {
             route.name for route in self._snapshot.facts.rows.routes if upstream in route.upstreams
         }
@@ -142,11 +141,11 @@
         return max(1e-4, sum(flow.per_second * flow.seconds for flow in flows) / rate)
 
     def work_seconds(self, route: str, upstream: str) -> float:
-        """How long a target of the service works on a request of the route."""
+        """Mean service time in seconds of a request of the route at the service."""
         return self._works.get((route, upstream)) or self._service_seconds(upstream)
 
     def _find_works(self) -> dict[tuple[str, str], float]:
-        """Service times by route: the services' own, divided as whole times are."""
+        """Service times by route: a service's mean, scaled by the whole times of its routes."""
         sums: dict[tuple[str, str], list[float]] = {}
         for flow in self._snapshot.flows:
             route = self._routes.get(flow.route)
@@ -168,14 +167,14 @@
         return works
 
     def _pause(self, flow: Flow) -> float:
-        # Clients come at random, and near the edge of capacity that is what counts.
+        # Poisson arrivals: near full capacity the randomness matters.
         return self.random.expovariate(flow.per_second)
 
     def _arrive(self, flow: Flow, route: Route) -> None:
         self.after(self._pause(flow), lambda: self._arrive(flow, route))
         zone = flow.zone
         if self.is_lost(zone):
-            # Clients of a dark place are dark too, until somebody moves them.
+            # Clients of a lost zone are lost too, until the platform moves them.
             since = self.now - self.loss_at
             if not self.config.clients_move or since < self.config.clients_move_seconds:
                 return
@@ -186,7 +185,7 @@
         Flight(self, origin, route, upstream, kilobytes).begin()
 
     def _move(self, flow: Flow) -> str:
-        """Where a client of a lost zone comes in: as the others of its route do."""
+        """The zone that a client of a lost zone moves to: as the other clients of its route."""
         left = [
             other
             for other in self._snapshot.flows
@@ -197,7 +196,7 @@
         return self.random.choices(left, [other.per_second for other in left])[0].zone
 
     def _lose(self) -> None:
-        """The places go dark: what is under way there is lost with them."""
+        """The lost zones go dark, with all that is in progress there."""
         self.is_dark = True
         for flight in list(self.flights):
             flight.note_loss()
@@ -208,14 +207,14 @@
                 self.after(LEASE_SECONDS, partial(self.lapsed.add, upstream))
 
     def _learn_of_loss(self) -> None:
-        # By now the probes of others have told every node.
+        # By now membership has spread the suspicion to every node.
         self.view.suspects.update(
             guard.target.node for guard in self.guards.values() if self.is_lost(guard.target.zone)
         )
 
 
 def detection_seconds(nodes: int) -> float:
-    """How long until all nodes suspect what went dark, by how members are probed."""
+    """Seconds until all nodes suspect the lost ones, from the settings of the prober."""
     config = ProberConfig()
     hops = math.log2(max(2, nodes))
     return config.period + config.direct + config.indirect + hops * _PASS_ON_SECONDS
--- a/marblefold/rehearsal/reporting.py
+++ b/marblefold/rehearsal/reporting.py
@@ -1,4 +1,4 @@
-"""Shows a forecast, as text for people or as plain objects for programs."""
+"""Prints a forecast as text, or turns it into plain objects for JSON."""
 
 from collections.abc import Iterator
 
@@ -10,7 +10,7 @@
 
 
 def to_plain(forecast: Forecast) -> dict:
-    """The forecast as one object."""
+    """The forecast as one JSON object."""
     return {
         "lost": list(forecast.lost),
         "harmless": forecast.is_harmless,
--- a/marblefold/rehearsal/snapshot.py
+++ b/marblefold/rehearsal/snapshot.py
@@ -1,7 +1,7 @@
-"""The state that a rehearsal starts from: one file of a documented, versioned form.
+"""The state that a rehearsal starts from: one file in a documented, versioned form.
 
-Taken from a running registry, kept, compared and rehearsed later; what it
-lacks is said, and so is its age.
+It is taken from a running registry and may be kept and rehearsed later.  What
+it lacks is listed as gaps; its age is known.
 """
 
 import json
@@ -24,7 +24,7 @@
 
 
 class RetryBounds(NamedTuple):
-    """The budget of further tries that all nodes share."""
+    """The retry budget that all nodes share."""
 
     ratio: float
     window: timedelta
@@ -32,7 +32,7 @@
 
 
 class Snapshot(NamedTuple):
-    """Everything that a rehearsal knows."""
+    """A checked snapshot; `service_seconds` by upstream, `registries` address to zone."""
 
     taken_at: datetime
     facts: Facts
@@ -48,12 +48,12 @@
     gaps: tuple[str, ...]
 
     def age(self, now: datetime) -> timedelta:
-        """How old it is."""
+        """Time since the snapshot was taken."""
         return now - self.taken_at
 
 
 class _Fields:
-    """A document's fields, with every fault kept under its place."""
+    """The fields of a document; collects every fault with its place."""
 
     def __init__(self, document: dict) -> None:
         self.document = document
@@ -69,13 +69,13 @@
     def fault(self, place: str, reason: str) -> None:
         self.faults.append(MeshError("snapshot", f"{place}: {reason}"))
 
-    def words(self, name: str) -> dict[str, str]:
+    def texts(self, name: str) -> dict[str, str]:
         found = self.get(name, dict, {}) or {}
         return {str(key): str(value) for key, value in found.items()}
 
 
 def read_snapshot(body: bytes) -> Snapshot:
-    """The checked snapshot; an ExceptionGroup of all that is wrong with it."""
+    """The checked snapshot. Raises an ExceptionGroup of MeshError, one for each fault."""
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
@@ -89,7 +89,7 @@
     fields = _Fields(document)
     facts = _read_facts(fields)
     taken_at = _read_time(fields)
-    zone_regions = fields.words("zones")
+    zone_regions = fields.texts("zones")
     flows = _read_flows(fields, zone_regions)
     retry = _read_retry(fields)
     service = {}
@@ -119,10 +119,10 @@
         taken_at,
         facts,
         zone_regions,
-        fields.words("origins"),
+        fields.texts("origins"),
         flows,
         service,
-        fields.words("registries"),
+        fields.texts("registries"),
         owners,
         bool(document.get("partners")),
         retry,
@@ -223,9 +223,10 @@
         yield f"{upstream}: how long its targets take is not known, and taken from the whole time"
     known = {route.name for route in facts.rows.routes}
     for name in sorted({flow.route for flow in flows} - known):
-        yield f"traffic of {name or 'routes told as one'} belongs to no route of the configuration"
+        shown = name or "routes counted as one"
+        yield f"traffic of {shown} belongs to no route of the configuration"
 
 
 def is_old(snapshot: Snapshot, now: datetime) -> bool:
-    """Whether it may say little of now."""
+    """Whether the snapshot is too old to describe the present state."""
     return snapshot.age(now) > _OLD
--- a/marblefold/rehearsal/stage.py
+++ b/marblefold/rehearsal/stage.py
@@ -13,14 +13,14 @@
 
 
 class LossListener(Protocol):
-    """A request under way."""
+    """A request in progress."""
 
     def note_loss(self) -> None:
         """The lost zones have just gone dark."""
 
 
 class Stage(Protocol):
-    """What a flight uses of the play it is part of; times in seconds on the play's clock."""
+    """What a Flight uses of the Play it is part of; times in seconds on the play's clock."""
 
     config: PlayConfig
     tally: Tally
@@ -28,7 +28,7 @@
     random: random.Random
     now: float
     loss_at: float
-    # What is under way, oldest first.
+    # Requests in progress, in order of arrival.
     flights: dict[LossListener, None]
     # Services whose owner's lease has run out.
     lapsed: set[str]
@@ -41,7 +41,7 @@
         """Runs the callback that many seconds from now."""
 
     def is_lost(self, zone: str) -> bool:
-        """Whether the zone has gone dark."""
+        """Whether the zone is lost."""
 
     def delay(self, zone: str, target: KnownTarget) -> float:
         """One-way delay from the zone to the target."""
--- a/marblefold/rehearsal/tally.py
+++ b/marblefold/rehearsal/tally.py
@@ -1,4 +1,4 @@
-"""Counts what became of the requests of a rehearsal, before and after the loss."""
+"""Counts how the requests of a rehearsal ended, before and after the loss."""
 
 import enum
 from typing import NamedTuple
@@ -7,10 +7,10 @@
 
 
 class Phase(enum.Enum):
-    """When a request came, seen from the loss."""
+    """When a request arrived, relative to the loss."""
 
     BEFORE = "before"
-    # Until all nodes know of the loss.
+    # From the loss until all nodes know of it.
     UNSETTLED = "unsettled"
     AFTER = "after"
 
@@ -27,7 +27,7 @@
     step: str
     is_late: bool
     is_repeated: bool
-    # Whether a target that is now dark had it.
+    # Whether it had been sent to a target that is now lost.
     was_dark: bool
 
 
@@ -43,7 +43,7 @@
         self.repeated = 0
 
     def add(self, ending: Ending) -> None:
-        """One more request."""
+        """Counts one request."""
         self.count += 1
         self.endings[ending.what] = self.endings.get(ending.what, 0) + 1
         self.late += ending.is_late
@@ -55,16 +55,16 @@
 
 
 class Tally:
-    """All rows of a play."""
+    """The rows of one or more runs."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str, Phase], Row] = {}
-        # Mutating requests whose outcome nobody knows, of those under way or
-        # sent into the dark.
+        # Requests that must not be repeated and whose outcome is unknown, because
+        # they were in progress at, or sent to, a lost zone.
         self.may_double: dict[tuple[str, str], int] = {}
 
     def add(self, ending: Ending, phase: Phase, is_repeatable: bool) -> None:
-        """Takes in how a request ended."""
+        """Counts how a request ended."""
         key = (ending.route, ending.upstream)
         self.rows.setdefault((*key, phase), Row()).add(ending)
         if not is_repeatable and ending.was_dark and ending.what in ("unknown", "gone"):
--- a/marblefold/tracing/assembling.py
+++ b/marblefold/tracing/assembling.py
@@ -1,8 +1,8 @@
-"""Puts a trace together from what several registries hold of it.  Pure.
+"""Assembles a trace from the spans that several registries hold.  Pure.
 
-Clocks of machines disagree, so order comes from parents; what a clock is off
-by is shown.  A step that another one speaks of and that is not there makes
-the trace incomplete, and whose it is is named.
+Clocks of machines differ, so order comes from parent spans; the skew is shown.
+A span that another one refers to and that is absent makes the trace
+incomplete, and its node is named.
 """
 
 from collections.abc import Iterable
@@ -14,21 +14,21 @@
 __all__ = ["Step", "Trace", "assemble"]
 
 _NO_SPAN = "0" * 16
-# Hops that ended so never came to a guard.
+# Hops that ended at these steps never reached a guard.
 _UNSENT_STEPS = ("connect", "no descriptor", "not allowed any more")
 
 
 class Step(NamedTuple):
-    """A span and what was done for it."""
+    """A span with its child spans."""
 
     row: dict
     children: tuple["Step", ...]
-    # How far ahead this node's clock seems to be of its parent's, at the least.
+    # Least microseconds by which this node's clock is ahead of its parent's.
     skew_us: int
 
 
 class Trace(NamedTuple):
-    """A trace as a tree, and what is known to be missing of it."""
+    """A trace as a tree, and the parts known to be missing."""
 
     trace_id: str
     roots: tuple[Step, ...]
@@ -37,12 +37,12 @@
 
     @property
     def is_whole(self) -> bool:
-        """Whether every step that is spoken of is there."""
+        """Whether every span that is referred to is present."""
         return bool(self.roots) and not self.missing and not self.is_shed
 
 
 def assemble(trace_id: str, rows: Iterable[dict], is_shed: bool = False) -> Trace:
-    """The trace in the rows; copies of one span count once."""
+    """The trace in the rows (spans as JSON objects); copies of one span count once."""
     spans = {row["span_id"]: row for row in rows}
     children: dict[str, list[dict]] = {}
     roots, missing = [], []
@@ -91,7 +91,7 @@
     if parent is not None:
         early = parent["start_us"] - row["start_us"]
         late = (row["start_us"] + row["duration_us"]) - (parent["start_us"] + parent["duration_us"])
-        # A step lies within its parent's: what sticks out is the clock.
+        # A span lies within its parent's time: what exceeds it is clock skew.
         if early > 0 or (late > 0 and parent["duration_us"] >= row["duration_us"]):
             skew = -early if early > 0 else late
     return Step(
--- a/marblefold/tracing/calls.py
+++ b/marblefold/tracing/calls.py
@@ -1,4 +1,4 @@
-"""The read-only calls on the traces that a registry holds."""
+"""The read-only calls for the traces that a registry holds."""
 
 from collections.abc import Callable
 from urllib.parse import parse_qs
@@ -38,14 +38,14 @@
 
 
 class TraceCalls:
-    """Answers from memory; bounded whatever is asked."""
+    """Answers from memory; the size of every answer is bounded."""
 
     def __init__(self, collector: Collector, now: Callable[[], float]) -> None:
         self._collector = collector
         self._now = now
 
     def add_to(self, router: CallRouter) -> None:
-        """Serves these calls at the router."""
+        """Adds these calls to the router."""
         router.add("GET", wire_names.TRACES_PATH, self._list)
         router.add("GET", wire_names.TRACE_PATH, self._show)
         router.add("GET", wire_names.DOUBLES_PATH, self._doubles)
--- a/marblefold/tracing/collector.py
+++ b/marblefold/tracing/collector.py
@@ -1,7 +1,7 @@
-"""The traces that fall to one registry, in bounded memory.
+"""The traces assigned to one registry, in bounded memory.
 
-Spans are held as they came; a trace that is shed anywhere is dropped whole
-here, and stays dropped.
+Spans are held as received; a trace that any node shed is dropped as a whole
+and stays dropped.
 """
 
 import itertools
@@ -17,7 +17,7 @@
 __all__ = ["CollectedSpan", "Collector", "Doubled"]
 
 _REMEMBERED_SHED = 4096
-# So many of the oldest traces are compared when one has to go.
+# How many of the oldest traces are compared when one is evicted.
 _LOOKED_AT = 64
 
 
@@ -31,29 +31,29 @@
 
 
 class Doubled(NamedTuple):
-    """One order that came under several ids, and the trace of each."""
+    """One order that came under several Attempt-Ids, and the trace of each."""
 
     digest: bytes
     tries: dict[str, bytes]
 
 
 class Collector:
-    """Owned by the registry's loop; nothing here waits."""
+    """Spans by trace; used only in the registry's event loop, never waits."""
 
     def __init__(self, most_spans: int = 20_000) -> None:
         self.most_spans = most_spans
         self.spans = 0
         self.dropped = 0
-        # What each node said it could not keep.
+        # By node: how many spans it had to drop.
         self.lost: dict[str, int] = {}
         self._traces: dict[bytes, _Trace] = {}
         self._shed: dict[bytes, None] = {}
         self._attempts: dict[str, bytes] = {}
-        # Orders that may have run, by what they have in common.
+        # Orders that may have run: digest to Attempt-Id to trace id.
         self._tries: dict[bytes, dict[str, bytes]] = {}
 
     def take(self, batch: kinds.SpanBatch) -> None:
-        """A node sent spans that it keeps."""
+        """Adds the spans of a batch and drops the traces that the node shed."""
         self.lost[batch.node] = batch.lost
         for trace_id in batch.shed:
             self._drop(trace_id)
@@ -65,16 +65,16 @@
             self._evict()
 
     def find(self, trace_id: bytes) -> list[CollectedSpan]:
-        """What is held of one trace."""
+        """The spans held of one trace."""
         trace = self._traces.get(trace_id)
         return [_read(row) for row in trace.rows.values()] if trace is not None else []
 
     def find_attempt(self, attempt_id: str) -> bytes | None:
-        """The trace of a request, by its id."""
+        """The trace id of a request, by its Attempt-Id."""
         return self._attempts.get(attempt_id)
 
     def is_shed(self, trace_id: bytes) -> bool:
-        """Whether the trace was given up, here or by some node."""
+        """Whether the trace was shed, here or by some node."""
         return trace_id in self._shed
 
     def newest(self) -> Iterator[bytes]:
@@ -121,12 +121,12 @@
             self._attempts.pop(attempt_id, None)
 
     def _evict(self) -> None:
-        """The oldest goes, and marked ones after others that are about as old."""
+        """Drops the oldest trace; of similar age, unmarked ones before marked ones."""
         oldest = list(itertools.islice(self._traces, _LOOKED_AT))
         trace_id = min(oldest, key=lambda key: self._traces[key].keep >= Keep.MARKED)
         self._drop(trace_id)
         self.dropped += 1
-        # Its late spans must not come back as a trace cut short.
+        # Its late spans must not appear as an incomplete trace.
         self._remember_shed(trace_id)
 
     def _remember_shed(self, trace_id: bytes) -> None:
@@ -136,7 +136,7 @@
 
 
 class _Trace:
-    """The spans of one trace, packed, and what it is found by."""
+    """The packed spans of one trace, and the keys it is found by."""
 
     __slots__ = ("rows", "keep", "attempts", "digests")
 
@@ -148,7 +148,7 @@
 
 
 def _expand(batch: kinds.SpanBatch) -> list[kinds.Span]:
-    """The spans of a batch, however they were sent."""
+    """The spans of a batch, compressed or not."""
     if not batch.compressed_spans:
         return list(batch.spans)
     return list(kinds.SpanBatch.FromString(zlib.decompress(batch.compressed_spans)).spans)
--- a/marblefold/tracing/command.py
+++ b/marblefold/tracing/command.py
@@ -1,4 +1,4 @@
-"""The command line over the traces of a running system."""
+"""The tool `trace`: shows the traces of a running system."""
 
 import asyncio
 import json
@@ -27,7 +27,10 @@
 
 
 def run_trace(arguments: list[str]) -> int:
-    """trace show ATTEMPT_ID|TRACE_ID | doubles | list."""
+    """trace show ATTEMPT_ID|TRACE_ID | doubles | list; the exit status.
+
+    0 found whole, 1 incomplete or not found, 2 wrong usage, refused or no answer.
+    """
     is_call = (
         arguments[:1] == ["show"] and len(arguments) == 2 or arguments in (["doubles"], ["list"])
     )
@@ -48,7 +51,7 @@
 
 
 async def _fetch(name: str) -> tuple[Trace | None, list[str]]:
-    """One trace, put together from all registries that answer."""
+    """One trace, assembled from all registries that answer, and those that do not."""
     path = wire_names.TRACE_PATH.format(quote(name, safe=""))
     answers, silent = await ask_all(FLAGS.registry, path)
     _complain_of_refusals(answers)
@@ -56,7 +59,7 @@
     if not found:
         return None, silent
     trace_id = found[0]["trace"]
-    # Whoever knows the request by its id tells the trace; all are asked for that.
+    # One registry knows the Attempt-Id; all of them may hold spans of its trace.
     if name != trace_id:
         return await _fetch(trace_id)
     rows = [row for document in found for row in document["spans"]]
--- a/marblefold/tracing/context.py
+++ b/marblefold/tracing/context.py
@@ -1,7 +1,7 @@
-"""What of a trace travels with a request, and how dear a trace is.
+"""The trace context that travels with a request, and the priority of a trace.
 
 The decision to keep a trace is made once, where the request begins, and
-travels with every hop: no node decides by itself.
+travels with every hop: no other node decides.
 """
 
 import enum
@@ -25,19 +25,19 @@
 
 
 class Keep(enum.IntEnum):
-    """Ordered: under load the lower goes first."""
+    """Why a trace is kept, ordered by priority: under load lower ones are shed first."""
 
-    # In the ring of every node it touches, until that turns.
+    # Only in the ring buffer of each node, until overwritten.
     NOT = 0
     SAMPLE = 1
     UPLOAD = 2
     ORDER = 3
-    # Something went wrong with it: these go last.
+    # Something went wrong with it.
     MARKED = 4
 
 
 class TraceContext(NamedTuple):
-    """The trace and the span that work is done for."""
+    """Ids of the trace and of the parent span."""
 
     trace_id: bytes
     span_id: bytes
@@ -45,17 +45,17 @@
 
 
 def new_span_id() -> bytes:
-    """A span id that nobody else has; all zeros is none."""
+    """A random span id (8 bytes, never all zeros)."""
     return os.urandom(8).replace(b"\0", b"\1")
 
 
 def start_trace() -> bytes:
-    """A trace id that nobody else has."""
+    """A random trace id (16 bytes, never all zeros)."""
     return os.urandom(16).replace(b"\0", b"\1")
 
 
 def keep_of(trace_id: bytes, keep: Keep, sample_rate: float) -> Keep:
-    """What is kept of a lookup: a share of them, told by the trace id alone."""
+    """Applies the sample rate (0 to 1) to lookups; depends on the trace id alone."""
     if keep is not Keep.SAMPLE:
         return keep
     is_in = int.from_bytes(trace_id[:4], "big") < sample_rate * _HASH_SPAN
@@ -63,17 +63,17 @@
 
 
 def shed_order(keep: int, trace_id: bytes) -> tuple[int, bytes]:
-    """Of two traces the lower goes first; every node finds the same order."""
+    """Sort key for shedding, lowest first; the same on every node."""
     return keep, trace_id[8:]
 
 
 def parse_traceparent(text: str) -> tuple[bytes, bytes, bool] | None:
-    """Trace id, parent and whether it is sampled; None for what is not valid."""
+    """Trace id, parent id and sampled flag of a W3C traceparent; None if invalid."""
     found = _TRACEPARENT.fullmatch(text.strip())
     if found is None:
         return None
     version, trace_id, parent, flags, more = found.groups()
-    # As the W3C says: ff is no version, and only later ones may say more.
+    # W3C Trace Context: ff is invalid, and version 00 has no further fields.
     if version == "ff" or (version == "00" and more):
         return None
     if not int(trace_id, 16) or not int(parent, 16):
@@ -82,6 +82,6 @@
 
 
 def format_traceparent(context: TraceContext) -> str:
-    """The header for whoever works for this span."""
+    """The traceparent header for work done for this span."""
     flags = _SAMPLED if context.keep else 0
     return f"00-{context.trace_id.hex()}-{context.span_id.hex()}-{flags:02x}"
--- a/marblefold/tracing/exporter.py
+++ b/marblefold/tracing/exporter.py
@@ -1,7 +1,8 @@
-"""Sends what a node keeps to the registries that each trace falls to.
+"""Sends the kept spans of a node to the registries that their traces fall to.
 
-Off the path, a bounded number of spans a second, each to two registries by
-rendezvous, so that the loss of one loses no trace.
+It runs off the request path and sends a bounded number of spans per second,
+each to two registries chosen by rendezvous hashing, so that the loss of one
+registry loses no trace.
 """
 
 import asyncio
@@ -21,23 +22,23 @@
 
 
 class ExporterConfig(NamedTuple):
-    """How much leaves this node."""
+    """How much this node sends, and how often."""
 
     # Batches of several seconds are fewer and compress better.
     every: timedelta = timedelta(seconds=3)
-    # A second, at the most.
+    # At most so many per second.
     spans: int = 64
 
 
 def rank_collectors(trace_id: bytes, registries: Collection[str]) -> list[str]:
-    """The registries by how near the trace falls to them; alike on all nodes."""
+    """The registries ranked by rendezvous hashing of the id; the same on all nodes."""
     return sorted(
         registries, key=lambda registry: (zlib.crc32(trace_id + registry.encode()), registry)
     )
 
 
 class Exporter:
-    """Owns the way out of the recorder."""
+    """Takes batches from the recorder and sends them."""
 
     def __init__(
         self,
@@ -64,11 +65,11 @@
             self.export_now()
 
     def export_now(self) -> None:
-        """Sends what is due, with times of this node's time of day."""
+        """Sends what is due, with times by this node's wall clock."""
         self.export(time.time() - time.monotonic())
 
     def export(self, epoch_offset: float) -> None:
-        """Sends what is due to whoever takes it."""
+        """Sends what is due; `epoch_offset` is wall clock minus steady clock, in seconds."""
         batch = self._recorder.take_batch(
             int(self._config.spans * self._config.every.total_seconds())
         )
@@ -92,7 +93,7 @@
             for registry in _find_collectors(span, registries):
                 part(registry).spans.append(packed)
         for trace_id in batch.shed:
-            # All must know, for a span may have gone to any of them before.
+            # All are told, as any of them may hold earlier spans of it.
             for registry in registries:
                 part(registry).shed.append(trace_id)
         taken = {
@@ -103,7 +104,7 @@
         self._give_back(batch, taken, registries)
 
     def _give_back(self, batch: Batch, taken: set[str], registries: Collection[str]) -> None:
-        """What not one registry took waits for the next time."""
+        """Returns to the recorder the spans that no registry accepted."""
         untaken = [
             span for span in batch.spans if not taken & set(_find_collectors(span, registries))
         ]
@@ -113,7 +114,7 @@
 
 
 def _compress(message: kinds.SpanBatch) -> kinds.SpanBatch:
-    """Spans are much alike, and links that carry requests are narrow."""
+    """Compresses the spans: they are similar, and the links also carry requests."""
     if message.spans:
         message.compressed_spans = zlib.compress(
             kinds.SpanBatch(spans=message.spans).SerializeToString(), 6
--- a/marblefold/tracing/node_tracing.py
+++ b/marblefold/tracing/node_tracing.py
@@ -1,4 +1,4 @@
-"""The parts of tracing that a proxy runs, put together."""
+"""Sets up the parts of tracing that a proxy runs."""
 
 import asyncio
 from datetime import timedelta
@@ -18,7 +18,7 @@
 
 __all__ = ["NodeTracing"]
 
-# A peer that cannot be reached for a mark is tried once more.
+# How often a mark is sent to a peer that cannot be reached.
 _MARK_TRIES = 2
 _MARK_PAUSE = timedelta(milliseconds=500)
 _OUTBOX_SECONDS = 8
@@ -40,7 +40,7 @@
         self._peers = peers
         self._tasks = tasks
         self._address = address
-        # What waits for longer than this has been overtaken by what came after.
+        # Capacity of the outbox: spans that would wait longer than this are shed.
         outbox = options.spans_per_second * _OUTBOX_SECONDS
         self.recorder = Recorder(RecorderConfig(options.ring, outbox), self._on_mark)
         self.tracer = Tracer(
@@ -63,7 +63,7 @@
         await self._exporter.run()
 
     def export_rest(self) -> None:
-        """This node ends: what it keeps goes out now."""
+        """Sends all waiting spans, as this node is about to end."""
         while self.recorder.waiting:
             waiting = self.recorder.waiting
             self._exporter.export_now()
@@ -71,12 +71,12 @@
                 return
 
     def take(self, message: object) -> None:
-        """A peer passes a mark on."""
+        """Handles a message of a peer, if it marks a trace."""
         if isinstance(message, kinds.TraceMark):
             self.recorder.mark(message.trace_id)
 
     def _on_mark(self, trace_id: bytes, peers: list[str]) -> None:
-        """What the hops of this trace touched keeps its part too."""
+        """Tells the peers that hops of this trace touched to keep their spans too."""
         if self._peers is None:
             return
         for peer in peers:
@@ -89,7 +89,7 @@
             try:
                 connection = await peers.reach(peer)
             except MeshError:
-                # It may be dark: its part is then shown as missing.
+                # It may be down: its spans are then shown as missing.
                 await asyncio.sleep(_MARK_PAUSE.total_seconds())
                 continue
             connection.send(FrameKind.TELL, 0, payload)
--- a/marblefold/tracing/recorder.py
+++ b/marblefold/tracing/recorder.py
@@ -1,7 +1,7 @@
-"""Keeps what this node saw of requests: a ring of all, an outbox of what is kept.
+"""Holds the spans of this node: a ring buffer, and an outbox of those to be sent.
 
-Pure: nothing here waits or sends.  Both are bounded, so a burst costs old
-records, never memory.
+Pure: nothing here waits or sends.  Both are bounded: a burst drops older spans
+and never takes more memory.
 """
 
 from collections import deque
@@ -13,33 +13,33 @@
 
 __all__ = ["Batch", "Recorder", "RecorderConfig"]
 
-# How many traces that were marked, or shed, are remembered.
+# How many marked, and how many shed, traces are remembered.
 _REMEMBERED = 1024
 
 
 class RecorderConfig(NamedTuple):
-    """The bounds of one node's records."""
+    """Most spans in the ring and in the outbox."""
 
     ring: int = 1024
     outbox: int = 512
 
 
 class Batch(NamedTuple):
-    """What is due to be sent."""
+    """Spans to send, and ids of traces that were shed."""
 
     spans: list[Span]
     shed: list[bytes]
 
 
 class Recorder:
-    """The spans of one node, by one function for every change of state."""
+    """The spans of one node."""
 
     def __init__(
         self,
         config: RecorderConfig = RecorderConfig(),
         on_mark: Callable[[bytes, list[str]], None] = lambda trace_id, peers: None,
     ) -> None:
-        # Spans that could not be kept whole with their trace, for people.
+        # How many spans were dropped with their traces, for operators.
         self.lost = 0
         self._config = config
         self._on_mark = on_mark
@@ -49,7 +49,7 @@
         self._waiting = 0
         self._marked: dict[bytes, None] = {}
         self._shed: dict[bytes, None] = {}
-        self._shed_news: list[bytes] = []
+        self._shed_unsent: list[bytes] = []
 
     @property
     def waiting(self) -> int:
@@ -57,22 +57,22 @@
         return self._waiting
 
     def covered_seconds(self, now: float) -> float:
-        """How far back the ring reaches."""
+        """Seconds that the ring reaches back."""
         return now - self._ring[0].ended if self._ring else 0.0
 
     def begin(self, span: Span) -> Span:
-        """A step begins."""
+        """Starts to track a span."""
         if span.trace_id in self._marked:
             span.raise_keep(Keep.MARKED)
         self._open[span.span_id] = span
         return span
 
     def find_open(self, span_id: bytes) -> Span | None:
-        """A step under way here."""
+        """A span in progress at this node."""
         return self._open.get(span_id)
 
     def finish(self, span: Span, now: float) -> None:
-        """A step is over: it is kept, or stays in the ring until that turns."""
+        """Ends a span: it goes to the outbox if it is kept, else to the ring."""
         if self._open.pop(span.span_id, None) is None:
             return
         span.ended = now
@@ -84,7 +84,7 @@
             self._put(span)
 
     def mark(self, trace_id: bytes) -> None:
-        """Keep all there is of this trace, here and wherever its hops went."""
+        """Keeps all spans of this trace, here and on the peers of its hops."""
         if trace_id in self._marked:
             return
         _remember(self._marked, trace_id)
@@ -103,25 +103,25 @@
         self._on_mark(trace_id, sorted(peers))
 
     def take_shed(self, trace_id: bytes) -> None:
-        """This trace is given up, here or elsewhere: what there is of it goes."""
+        """Drops what waits of a trace that was shed, here or elsewhere."""
         _remember(self._shed, trace_id)
         self._waiting -= len(self._outbox.pop(trace_id, ()))
 
     def take_batch(self, most: int) -> Batch:
-        """The dearest first, at most so many spans."""
+        """At most `most` spans, whole traces of the highest priority first."""
         picked: list[Span] = []
         for trace_id in sorted(self._outbox, key=lambda key: self._order(key), reverse=True):
             if picked and len(picked) + len(self._outbox[trace_id]) > most:
                 break
             picked.extend(self._outbox.pop(trace_id))
         self._waiting -= len(picked)
-        shed, self._shed_news = self._shed_news, []
+        shed, self._shed_unsent = self._shed_unsent, []
         return Batch(picked, shed)
 
     def give_back(self, batch: Batch) -> None:
-        """Nobody took the batch: it waits again, as far as there is room."""
-        self._shed_news = batch.shed + self._shed_news
-        del self._shed_news[:-_REMEMBERED]
+        """Puts a batch that no registry accepted back, as far as there is room."""
+        self._shed_unsent = batch.shed + self._shed_unsent
+        del self._shed_unsent[:-_REMEMBERED]
         for span in batch.spans:
             self._put(span)
 
@@ -134,12 +134,12 @@
             self._shed_least()
 
     def _shed_least(self) -> None:
-        """Whole traces go, by an order that all nodes share."""
+        """Drops the whole trace of the lowest priority; the same one on all nodes."""
         trace_id = min(self._outbox, key=lambda key: self._order(key))
         self.lost += len(self._outbox[trace_id])
         self.take_shed(trace_id)
-        self._shed_news.append(trace_id)
-        del self._shed_news[:-_REMEMBERED]
+        self._shed_unsent.append(trace_id)
+        del self._shed_unsent[:-_REMEMBERED]
 
     def _order(self, trace_id: bytes) -> tuple[int, bytes]:
         return shed_order(max(span.keep for span in self._outbox[trace_id]), trace_id)
--- a/marblefold/tracing/showing.py
+++ b/marblefold/tracing/showing.py
@@ -1,4 +1,4 @@
-"""Shows traces: as text for people, as JSON and as OTLP for programs."""
+"""Prints traces as text, JSON or OTLP."""
 
 import json
 from collections.abc import Iterator
@@ -24,7 +24,7 @@
 
 
 def to_json(trace: Trace) -> dict:
-    """The trace as one object."""
+    """The trace as one JSON object."""
     return {
         "trace": trace.trace_id,
         "whole": trace.is_whole,
@@ -35,7 +35,7 @@
 
 
 def to_otlp(traces: list[Trace]) -> str:
-    """The traces in the JSON form of OTLP, by its own library."""
+    """The traces in the JSON encoding of OTLP."""
     from google.protobuf import json_format
     from opentelemetry.proto.common.v1.common_pb2 import AnyValue, KeyValue
     from opentelemetry.proto.trace.v1 import trace_pb2
--- a/marblefold/tracing/span.py
+++ b/marblefold/tracing/span.py
@@ -1,4 +1,4 @@
-"""One step of a request at one node, small and of a fixed shape."""
+"""A span: one step of a request at one node, with a fixed set of fields."""
 
 import enum
 
@@ -11,18 +11,18 @@
 
 
 class SpanKind(enum.IntEnum):
-    """Which step of a request it is."""
+    """Which step of a request a span describes."""
 
-    # The request as a client, or a target in the midst of a run, sent it.
+    # The request as sent by a client, or by a target during a run.
     REQUEST = 1
-    # One hop to a target, as its sender saw it.
+    # One hop to a target, as seen by its sender.
     HOP = 2
     # The hop at the guard beside the target.
     SERVE = 3
 
 
 class Span:
-    """Begun, filled in as the step goes on, and finished once."""
+    """Filled in while the step is in progress; times in seconds on the steady clock."""
 
     __slots__ = (
         "trace_id",
@@ -79,17 +79,17 @@
 
     @property
     def context(self) -> TraceContext:
-        """What travels with work done for this span."""
+        """The context for child spans."""
         return TraceContext(self.trace_id, self.span_id, self.keep)
 
     def raise_keep(self, keep: Keep) -> None:
-        """The trace turned out dearer than it began."""
+        """Raises the priority of the trace, never lowers it."""
         if keep > self.keep:
             self.keep = keep
 
 
 def pack_span(span: Span, epoch_offset: float) -> kinds.Span:
-    """The span as it is sent; the offset leads from the steady clock to the day's."""
+    """The span as a message; `epoch_offset` is wall clock minus steady clock, in seconds."""
     return kinds.Span(
         trace_id=span.trace_id,
         span_id=span.span_id,
--- a/marblefold/tracing/starting.py
+++ b/marblefold/tracing/starting.py
@@ -1,4 +1,4 @@
-"""Starts tracing in a program, where its flags ask for it."""
+"""Sets up tracing in a program whose flags ask for it."""
 
 from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.node_config.model import NodeConfig
@@ -18,7 +18,7 @@
     tasks: TaskKeeper,
     peers: PeerBook | None = None,
 ):
-    """The parts of tracing, or None; a program without it imports none of them."""
+    """The NodeTracing, or None without --trace, which then imports none of its parts."""
     options = read_trace_options()
     if options is None:
         return None
--- a/marblefold/tracing/tracer.py
+++ b/marblefold/tracing/tracer.py
@@ -1,7 +1,7 @@
 """Begins and ends the spans of a node's requests, hops and runs.
 
-What a trace is kept for is decided here when the request begins, and raised
-here when something turns out wrong with it; other nodes are told.
+Whether a trace is kept is decided here when its request begins.  The priority
+is raised when something goes wrong with it, and other nodes are informed.
 """
 
 import hashlib
@@ -32,16 +32,16 @@
 
 
 class TraceSettings(NamedTuple):
-    """How much is kept; set by flags, checked at the start."""
+    """How much is kept, from the flags; `sample_rate` is 0 to 1."""
 
     sample_rate: float = 0.0
     kept_per_second: float = 20.0
-    # Digests of bodies are keyed, so that a record does not give a body away.
+    # Key of the digests of bodies, so that a digest does not reveal a body.
     digest_key: bytes = b""
 
 
 class Tracer:
-    """What executor and guard tell of their steps."""
+    """Called by executor and guard at each step."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         body: bytes,
         is_whole: bool,
     ) -> Span:
-        """A client, or the target in the midst of a run, sent a request."""
+        """A request was sent by a client, or by the target during a run."""
         context, is_inferred = self._find_context(request, route, run_span)
         span = self._make(context, SpanKind.REQUEST, request.attempt_id, upstream, request.arrived)
         span.route, span.is_inferred = route.name, is_inferred
@@ -78,7 +78,7 @@
         return self.recorder.begin(span)
 
     def finish_request(self, span: Span, status: int, step: str, may_have_run: bool) -> None:
-        """The request has its final answer, or nobody waits for it any more."""
+        """The request has its final answer, or nobody waits for it any more (status 0)."""
         span.status, span.step = status, step
         span.outcome = _judge(status, may_have_run)
         if self._is_trouble(span):
@@ -87,7 +87,7 @@
         self.recorder.finish(span, time.monotonic())
 
     def begin_hop(self, span: Span, head, instance: str, peer: str, attempt: int) -> Span:
-        """The request is offered to a target; the head takes the trace along."""
+        """The request is offered to a target; writes the trace context into the hop's head."""
         hop = self._make(
             span.context, SpanKind.HOP, span.attempt_id, span.upstream, time.monotonic()
         )
@@ -96,19 +96,19 @@
         head.trace_id, head.parent_span, head.trace_keep = hop.trace_id, hop.span_id, hop.keep
         head.trace_peer = self.own_address
         if attempt > 1:
-            # It goes out again: what became of the first offer will be asked.
+            # A repeated offer: the outcome of the first one will be of interest.
             self._mark(hop.trace_id)
             head.trace_keep = hop.keep
         return hop
 
     def finish_hop(self, hop: Span, result: HopResult) -> None:
-        """The hop is over."""
+        """The hop has ended."""
         hop.outcome, hop.step = int(result.outcome), result.step
         hop.status = result.answer.status if result.answer is not None else 0
         self.recorder.finish(hop, time.monotonic())
 
     def begin_serve(self, head) -> Span:
-        """A hop has come to the guard."""
+        """A hop arrived at the guard."""
         context = TraceContext(head.trace_id, head.parent_span, Keep(min(head.trace_keep, 4)))
         span = self._make(context, SpanKind.SERVE, head.attempt_id, head.upstream, time.monotonic())
         span.target, span.peer, span.attempt = (
@@ -121,10 +121,10 @@
         return self.recorder.begin(span)
 
     def finish_serve(self, span: Span, answer, body_bytes: int) -> None:
-        """The guard is done with the hop; without an answer it was broken off."""
+        """The guard has finished with the hop; without an answer it was aborted."""
         span.body_bytes = body_bytes
         if answer is None:
-            span.outcome, span.step = int(HopOutcome.UNKNOWN), "broken off"
+            span.outcome, span.step = int(HopOutcome.UNKNOWN), "aborted"
         else:
             span.outcome, span.step, span.status = answer.outcome, answer.step, answer.status
         self.recorder.finish(span, time.monotonic())
@@ -146,7 +146,7 @@
         route: Route,
         run_span: Span | None,
     ) -> tuple[TraceContext, bool]:
-        """The trace that a request belongs to, and whether that was inferred."""
+        """The context of a request, and whether it was inferred from the run in progress."""
         told = find_header(request.headers, _TRACEPARENT)
         parsed = parse_traceparent(told.decode("latin-1")) if told is not None else None
         if parsed is not None:
@@ -169,7 +169,7 @@
         return keep_of(trace_id, keep, self._settings.sample_rate)
 
     def _afford(self, keep: Keep) -> Keep:
-        """A trace that this node cannot afford is begun as one not kept, anywhere."""
+        """Keep.NOT where this node has used up its rate of kept traces (token bucket)."""
         if keep is Keep.NOT:
             return keep
         now = time.monotonic()
@@ -186,12 +186,12 @@
             self.recorder.mark(trace_id)
 
     def _is_trouble(self, span: Span) -> bool:
-        """Whether somebody will want to know what became of it."""
+        """Whether the outcome of the request will be of interest."""
         may_double = span.digest and span.outcome == HopOutcome.UNKNOWN
         return bool(may_double or span.step in ("body too slow", "body not whole"))
 
     def _note_try(self, span: Span) -> None:
-        """The same order again, under another id: both tries are kept."""
+        """Marks both traces where the same order came before under another Attempt-Id."""
         if not span.digest or span.outcome not in (HopOutcome.ANSWERED, HopOutcome.UNKNOWN):
             return
         earlier = self._tries.pop(span.digest, None)
@@ -206,7 +206,7 @@
         digest = hashlib.blake2b(body, digest_size=8, key=self._settings.digest_key[:64])
         digest.update(f"|{caller}|{route}|".encode())
         if not body:
-            # Then only the path says what is ordered.
+            # Without a body the path identifies the order.
             digest.update(path.encode("utf-8", "surrogateescape"))
         return digest.digest()
 
