--- a/marblefold/maintenance/command.py
+++ b/marblefold/maintenance/command.py
@@ -1,4 +1,4 @@
-"""The command line over the maintenance calls of a running system."""
+"""The tool `windows`: the maintenance calls of a running system."""
 
 import asyncio
 import json
@@ -26,7 +26,10 @@
 
 
 def run_windows(arguments: list[str]) -> int:
-    """Does what the arguments ask; the exit status of the process."""
+    """list | set NAME | withdraw NAME | floors; the exit status.
+
+    0 done, 1 refused by the registry, 2 wrong usage or no answer.
+    """
     call = _make_call(arguments)
     if call is None or not FLAGS.system:
         print(
--- a/marblefold/maintenance/duty.py
+++ b/marblefold/maintenance/duty.py
@@ -1,8 +1,8 @@
-"""One registry's duty: lets windows run, and empties and refills their zones.
+"""The duty of one registry: starts and ends windows, evacuating and restoring their zones.
 
-The whole of floors and windows is one register, and every step is a change of
-it at a known number.  That number is the fence: whoever acts on an older
-document, after a cut, a restart or a long sleep, is refused.
+All floors and windows are one register, and every step changes it at a known
+number.  That number is the fencing token: a registry that acts on an older
+document, after a partition, a restart or a long pause, is refused.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class Surroundings(Protocol):
-    """What the duty is told of the mesh."""
+    """What the duty needs to know of the mesh."""
 
     def is_duty_holder(self) -> bool: ...
 
@@ -35,13 +35,13 @@
 
 
 class RegisterClient(Protocol):
-    """Where the operator's words are kept."""
+    """Reads and changes registers of the stores."""
 
     async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
 
 
 class MaintenanceDuty:
-    """Holds the newest document known and acts on it while the duty is ours."""
+    """Holds the newest document known and acts on it while this registry has the duty."""
 
     def __init__(self, store_client: RegisterClient, surroundings: Surroundings) -> None:
         self.document = Document({}, {})
@@ -51,13 +51,13 @@
         self._warned: list[str] = []
 
     def take(self, number: int, value: bytes) -> None:
-        """A majority holds this document."""
+        """Takes in a document that a majority of the stores holds."""
         if number > self.number:
             self.number = number
             self.document = Document.read(value)
 
     async def run(self) -> None:
-        """Makes rounds for ever; without windows a round costs nothing."""
+        """One step a second, for ever; without windows it does nothing."""
         while True:
             await asyncio.sleep(_ROUND_SECONDS)
             if not self.document.windows or not self._surroundings.is_duty_holder():
@@ -68,12 +68,15 @@
                 log.warning("maintenance", step=error.step, reason=error.reason)
 
     async def step(self) -> None:
-        """One round: plans, has the plan held, then acts on what is held."""
+        """Plans, stores the plan, then acts on what is stored.
+
+        Raises MeshError where no majority of the stores answers.
+        """
         surroundings = self._surroundings
         planned = plan_windows(self.document, surroundings.live_slots(), surroundings.now())
         if planned != self.document and not await self._hold(planned):
             return
-        # Only a grant that a majority holds may empty a zone.
+        # A zone is evacuated only for a window that a majority holds as running.
         acted = self.document
         for window in self.document.windows.values():
             acted = acted.with_window(await self._act(window))
@@ -92,7 +95,7 @@
             window.state is WindowState.RUNNING
             and self._surroundings.evacuation(window.zone) == b"off"
         ):
-            # An operator's own order goes before ours.
+            # The operator's own order takes precedence.
             return change_state(
                 window, WindowState.FINISHED, is_emptied=False, reason="taken back by an operator"
             )
@@ -104,7 +107,7 @@
         return window
 
     async def _release_left_over(self) -> None:
-        """Gives back zones that a late act of an older holder emptied."""
+        """Restores zones that a delayed action of an earlier holder evacuated."""
         for zone in self._surroundings.window_zones():
             if not self._is_zone_in_use(zone):
                 await self._store_client.ask("window-release", "evacuation/" + zone)
@@ -117,7 +120,7 @@
         )
 
     async def _hold(self, document: Document) -> bool:
-        """Whether the document was taken at the number that we acted on."""
+        """Whether the document was stored at the number it was made from."""
         value = document.pack()
         answer = await self._store_client.ask(REGISTER, REGISTER, self.number, value)
         self.take(answer.number, answer.value)
@@ -130,7 +133,7 @@
             if window.state is WindowState.RUNNING
         }
         missing = shortfalls(self.document.floors, self._surroundings.live_slots(), zones)
-        # Said once for each change, not every second.
+        # Logged once for each change, not every second.
         if zones and missing != self._warned and missing:
             log.warning("below floor while windows run", zones=sorted(zones), missing=missing)
         self._warned = missing
--- a/marblefold/maintenance/model.py
+++ b/marblefold/maintenance/model.py
@@ -1,4 +1,4 @@
-"""Maintenance windows and floors as the operator states them."""
+"""Maintenance windows and floors: the document, and what operators send."""
 
 import enum
 import json
@@ -13,12 +13,12 @@
 
 
 class WindowState(enum.Enum):
-    """Where a window stands."""
+    """The state of a window."""
 
     PLANNED = "planned"
-    # Planned for later than wanted, as another window would be in the way.
+    # Planned for later than wanted, because of a floor and the windows before it.
     SHIFTED = "shifted"
-    # Its time has come, but the capacity has not.
+    # Its wanted start is over, but there is not enough capacity.
     WAITING = "waiting"
     RUNNING = "running"
     FINISHED = "finished"
@@ -27,12 +27,12 @@
 
     @property
     def is_over(self) -> bool:
-        """Whether nothing more will happen."""
+        """Whether the state is final."""
         return self in (WindowState.FINISHED, WindowState.WITHDRAWN, WindowState.IMPOSSIBLE)
 
 
 class Window(NamedTuple):
-    """One zone to be emptied for some time."""
+    """One zone to be evacuated for some time."""
 
     name: str
     zone: str
@@ -40,24 +40,24 @@
     length: timedelta
     latest_end: datetime
     state: WindowState = WindowState.PLANNED
-    # When it runs: since then, or from then on as far as can be told.
+    # Its start: the actual one, or the planned one.
     start: datetime | None = None
     reason: str = ""
-    # Whether the zone is known to be evacuated for it.
+    # Whether the zone has been evacuated for it.
     is_emptied: bool = False
 
     @property
     def expected_start(self) -> datetime:
-        """When it runs or will run."""
+        """Its actual or planned start."""
         return self.start or self.wanted_start
 
     @property
     def expected_end(self) -> datetime:
-        """When it will be over."""
+        """Its actual or planned end."""
         return self.expected_start + self.length
 
     def to_plain(self) -> dict:
-        """The window as a document for operators and for the stores."""
+        """The window as a JSON object for operators and stores."""
         return {
             "name": self.name,
             "zone": self.zone,
@@ -73,7 +73,7 @@
 
 
 class Document(NamedTuple):
-    """All floors and windows, kept in one register so that a grant is one change."""
+    """All floors and windows, in one register so that every grant is a single change."""
 
     floors: dict[str, int]
     windows: dict[str, Window]
@@ -90,7 +90,7 @@
 
     @classmethod
     def read(cls, data: bytes) -> "Document":
-        """The document in the bytes; nothing gives an empty one."""
+        """The document in the bytes; no bytes give an empty one."""
         if not data:
             return cls({}, {})
         plain = json.loads(data)
@@ -110,12 +110,12 @@
         return cls(plain["floors"], windows)
 
     def with_window(self, window: Window) -> "Document":
-        """The document with the window as it is now."""
+        """The document with the window added or replaced."""
         return self._replace(windows={**self.windows, window.name: window})
 
 
 def read_window_body(name: str, body: bytes, zones: set[str]) -> Window:
-    """A window of the operator; an ExceptionGroup names each bad field."""
+    """The window in a request body. Raises an ExceptionGroup of MeshError, one a bad field."""
     document, faults = _read_object(body), []
 
     def field(key: str, convert):
@@ -139,7 +139,10 @@
 
 
 def read_floors_body(body: bytes, capacity: dict[str, int]) -> dict[str, int]:
-    """The floors of the operator; an ExceptionGroup names each bad one."""
+    """The floors in a request body, slots by upstream; `capacity` is all there is.
+
+    Raises an ExceptionGroup of MeshError, one for each bad floor.
+    """
     floors, faults = _read_object(body), []
     for upstream, slots in floors.items():
         if isinstance(slots, bool) or not isinstance(slots, int) or slots < 0:
--- a/marblefold/maintenance/planning.py
+++ b/marblefold/maintenance/planning.py
@@ -1,8 +1,8 @@
 """Plans all windows together: a pure function of floors, windows and capacity.
 
-A window runs only while the slots that remain outside it, and outside all
-others that run, keep every floor.  Otherwise it waits, or shifts to where it
-fits; it never squeezes a window that runs already.
+A window starts only if the slots outside its zone, and outside the zones of
+all windows that overlap it, keep every floor.  Otherwise it waits or is moved
+to a later start; a running window is never shortened for it.
 """
 
 from datetime import datetime
@@ -21,7 +21,7 @@
 
 
 class LiveSlots(NamedTuple):
-    """The slots that can be counted on now, by upstream and zone.
+    """The slots available now, by upstream and zone.
 
     Cold, draining, leaving, suspected and lost targets are not among them, and
     neither are those of zones that are evacuated now.
@@ -39,14 +39,14 @@
 
 
 def change_state(window: Window, state: WindowState, **fields) -> Window:
-    """The one place where the state of a window changes."""
+    """The window in its new state. Raises ValueError for a transition that is not allowed."""
     if state not in _ALLOWED.get(window.state, {window.state}):
         raise ValueError(f"{window.name}: {window.state.value} cannot become {state.value}")
     return window._replace(state=state, **fields)
 
 
 def shortfalls(floors: dict[str, int], live: LiveSlots, zones: set[str]) -> list[str]:
-    """The floors that would be broken with the zones empty."""
+    """The floors that would not be kept with the zones evacuated, as text."""
     found = []
     for upstream in sorted(floors):
         left = live.outside(upstream, zones)
@@ -56,7 +56,7 @@
 
 
 def plan_windows(document: Document, live: LiveSlots, now: datetime) -> Document:
-    """The document as it should be now; the same one if nothing changes."""
+    """The document as it should be at `now`; an equal one if nothing changes."""
     running = {}
     windows = dict(document.windows)
     for name, window in windows.items():
@@ -66,7 +66,7 @@
             windows[name] = change_state(window, WindowState.FINISHED, reason="")
         else:
             running[name] = window
-    # Earlier wishes first, so that no window overtakes one asked for before.
+    # By wanted start, so that no window overtakes an earlier one.
     pending = sorted(
         (
             window
@@ -91,9 +91,9 @@
     live: LiveSlots,
     now: datetime,
 ) -> Window:
-    """Where the window fits behind and beside those that go before it."""
+    """The window at the first start that keeps every floor beside those `ahead` of it."""
     wanted = max(window.wanted_start, now)
-    # It can start when wanted, or when one of those before it is over.
+    # Candidates: the wanted start, and the ends of the windows ahead.
     starts = sorted(
         {wanted} | {other.expected_end for other in ahead if other.expected_end > wanted}
     )
@@ -112,7 +112,7 @@
         return change_state(
             window, WindowState.IMPOSSIBLE, reason=reason or "no time is left before latest-end"
         )
-    # No end that is known of makes room; more capacity may.
+    # No known end makes room; more capacity may.
     if window.wanted_start <= now:
         return change_state(window, WindowState.WAITING, start=wanted, reason=reason)
     return change_state(window, WindowState.PLANNED, start=window.wanted_start, reason=reason)
--- a/marblefold/partners/document.py
+++ b/marblefold/partners/document.py
@@ -1,7 +1,7 @@
-"""The partners' document, and the one function for each change of it.
+"""The partners' document, and one pure function for each change of it.
 
-All partners stand in one register: a clash between two of them is found under
-the same fence that holds the change.
+All partners are in one register, so that a conflict between two of them is
+found by the same compare-and-set that stores the change.
 """
 
 import json
@@ -13,18 +13,18 @@
 
 
 class Refused(Exception):
-    """The word cannot hold, with the status and what to tell."""
+    """A change that is refused, with the HTTP status and the reason for the caller."""
 
     def __init__(self, status: int, reason: object, number: int | None = None) -> None:
         super().__init__(str(reason))
         self.status = status
         self.reason = reason
-        # The number that holds, where a lower one came.
+        # The number in force, where a lower one was sent.
         self.number = number
 
 
 class Document(NamedTuple):
-    """Every partner under its name, as plain values."""
+    """Every partner by name, as JSON values."""
 
     partners: dict[str, dict]
 
@@ -34,19 +34,19 @@
 
     @classmethod
     def read(cls, data: bytes) -> "Document":
-        """The document in the bytes; nothing gives an empty one."""
+        """The document in the bytes; no bytes give an empty one."""
         return cls(json.loads(data)["partners"] if data else {})
 
     def with_partner(self, name: str, partner: dict) -> "Document":
-        """The document with this partner as it is now."""
+        """The document with the partner added or replaced."""
         return Document({**self.partners, name: partner})
 
 
 def grant_partner(document: Document, name: str, grant: Grant) -> Document:
-    """The operator's word: who the partner is and what it may speak for."""
+    """The operator grants a partner. Raises Refused (409) for a number not above the held one."""
     held = document.partners.get(name)
     _check_number(held, "number", grant.number)
-    # What it exported before must be read again under the new grant.
+    # Its earlier exports must be sent again under the new grant.
     return document.with_partner(
         name,
         {
@@ -65,13 +65,16 @@
 
 
 def withdraw_partner(document: Document, name: str) -> Document:
-    """The operator's word: it is no partner any more."""
+    """The operator withdraws a partner. Raises Refused (404) where there is none."""
     held = _find(document, name)
     return document.with_partner(name, {**held, "withdrawn": True, "exports": []})
 
 
-def put_exports(document: Document, name: str, word: Exports) -> Document:
-    """The partner's word, or the same word read again."""
+def put_exports(document: Document, name: str, sent: Exports) -> Document:
+    """The partner sends its exports, new ones or the same again as a sign of life.
+
+    Raises Refused: 400 not granted, 403 withdrawn, 404 unknown, 409 number or conflict.
+    """
     held = _find(document, name)
     if held["withdrawn"]:
         raise Refused(403, f"partner {name} is withdrawn")
@@ -83,11 +86,11 @@
             "timeout-ms": export.timeout_ms,
             "latency-ms": export.latency_ms,
         }
-        for export in word.exports
+        for export in sent.exports
     ]
-    is_same = word.number == held["exports-number"] and rows == held["exports"]
+    is_same = sent.number == held["exports-number"] and rows == held["exports"]
     if not is_same:
-        _check_number(held, "exports-number", word.number)
+        _check_number(held, "exports-number", sent.number)
     faults = [
         f"exports[{index}].host: {row['host']!r} is not granted to {name}"
         for index, row in enumerate(rows)
@@ -103,7 +106,7 @@
         name,
         {
             **held,
-            "exports-number": word.number,
+            "exports-number": sent.number,
             "exports": rows,
             "lapsed": False,
             "reads": held["reads"] + 1,
@@ -112,9 +115,12 @@
 
 
 def lapse(document: Document, name: str, reads: int) -> Document:
-    """The partner has not said its word again for too long."""
+    """Marks a partner that has not sent its exports for too long.
+
+    Changes nothing if it has sent them since `reads` was seen.
+    """
     held = document.partners.get(name)
-    # It may have spoken since whoever judges it looked.
+    # It may have sent them since.
     if held is None or held["reads"] != reads or held["lapsed"]:
         return document
     return document.with_partner(name, {**held, "lapsed": True})
@@ -138,7 +144,7 @@
     for other, partner in document.partners.items():
         if other == name or partner["withdrawn"]:
             continue
-        # A lapsed one may come back with its word: its places stay its own.
+        # A lapsed partner may return: its hosts and prefixes stay reserved.
         if any(
             (held["host"], held["prefix"]) == (row["host"], row["prefix"])
             for held in partner["exports"]
--- a/marblefold/partners/duty.py
+++ b/marblefold/partners/duty.py
@@ -1,8 +1,9 @@
-"""What a registry does about partners: verifies, grants leases, judges lapses.
+"""Partners at a registry: verifies the document, grants leases, marks lapses.
 
-A registry grants a lease only out of a read that met a majority of the stores,
-and no longer than that read is good for.  So once a change was chosen, every
-lease granted without it ends within one lease, whatever is cut off or asleep.
+A registry grants a lease only from a read through a majority of the stores and
+only for as long as that read is valid.  So once a change is chosen, every lease
+granted without it expires within one lease time, even across partitions and
+pauses.
 """
 
 import asyncio
@@ -20,20 +21,20 @@
 __all__ = ["PartnerDuty", "REGISTER", "ENFORCED_AFTER"]
 
 REGISTER = "partners"
-# Each read is good for a lease; it is made anew well before that is over.
+# A read is valid for one lease time and is repeated well before that ends.
 _VERIFY_EVERY = timedelta(seconds=0.8)
-# From the choice of a word on, so long until no node can act without it.
+# Time from the choice of a change until no node can act without it.
 ENFORCED_AFTER = timedelta(seconds=LEASE_SECONDS * (1.0 + DRIFT_MARGIN))
 
 
 class RegisterClient(Protocol):
-    """Where the partners' document is kept."""
+    """Reads and changes registers of the stores."""
 
     async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
 
 
 class PartnerDuty:
-    """The newest document known here, and how long it is known to be the newest."""
+    """The newest document known here, and until when it is certainly the newest."""
 
     def __init__(
         self,
@@ -50,21 +51,21 @@
         self._clock = clock
         self._sleep = sleep
         self._verified_until = -1e9
-        # When each partner's newest word was first seen here.
+        # By partner: its newest count of reads and when that was first seen, in seconds.
         self._seen: dict[str, tuple[int, float]] = {}
 
     def take(self, number: int, value: bytes) -> None:
-        """A majority holds this document."""
+        """Takes in a document that a majority of the stores holds."""
         if number > self.number:
             self.number, self.value = number, value
             self.table = merge(number, value)
 
     def left(self) -> float:
-        """For how long from now on the table here is surely the newest enforced."""
+        """Seconds for which the table here is certainly the newest one."""
         return max(0.0, self._verified_until - self._clock())
 
     async def run(self) -> None:
-        """Makes rounds for ever; without partners a round costs nothing."""
+        """A step every 0.8 s, for ever; without partners it does nothing."""
         while True:
             await self._sleep(_VERIFY_EVERY.total_seconds())
             if not self.number:
@@ -75,11 +76,11 @@
                 log.info("partners not verified", step=error.step, reason=error.reason)
 
     async def step(self) -> None:
-        """One round: a read that meets a majority, then who fell silent."""
+        """Reads through a majority, then marks lapsed partners. Raises MeshError without one."""
         began = self._clock()
         held = await self._store_client.ask("describe", REGISTER)
         self.take(held.number, held.value)
-        # Whatever was chosen before the read began was seen by it.
+        # The read saw every change that was chosen before it began.
         if held.number == self.number:
             self._verified_until = began + LEASE_SECONDS
         await self._judge_lapses(self._clock())
@@ -93,7 +94,7 @@
                 continue
             if partner["withdrawn"] or partner["lapsed"] or not partner["exports"]:
                 continue
-            # A partner that drops out stays out until its word is read again.
+            # A lapsed partner stays so until it sends its exports again.
             if now - since > partner["lapse-after-s"] and self._is_holder():
                 changed = lapse(document, name, reads)
                 answer = await self._store_client.ask("duty", REGISTER, self.number, changed.pack())
--- a/marblefold/partners/merging.py
+++ b/marblefold/partners/merging.py
@@ -1,7 +1,7 @@
-"""The merged table of partner routes: a pure function of the partners' words.
+"""The merged table of partner routes: a pure function of the partners' document.
 
-Every node makes it from the same document and tells its digest; nodes need
-neither the reader of the words nor its libraries.
+Every node computes it from the same document and reports its digest; nodes
+need neither the parser of grants and exports nor its libraries.
 """
 
 import json
@@ -17,7 +17,7 @@
 
 
 class PartnerTable(NamedTuple):
-    """What partners let us reach, by host and prefix."""
+    """The exported routes, by host and prefix."""
 
     number: int
     digest: str
@@ -35,8 +35,8 @@
 
 
 def merge(number: int, value: bytes) -> PartnerTable:
-    """The table that follows from the partners' document at its number."""
-    # Only who has a partner pays for this library.
+    """The table of the partners' document at its number."""
+    # Imported here: only a node with partners pays for this library.
     import hashlib
 
     partners = json.loads(value)["partners"] if value else {}
@@ -45,7 +45,7 @@
     lines = []
     for name in sorted(partners):
         partner = partners[name]
-        # What was not exported by a word that still stands is private.
+        # Whatever no partner in force exports is private.
         if partner["withdrawn"] or partner["lapsed"]:
             continue
         addresses[name] = partner["address"]
@@ -69,5 +69,5 @@
 
 
 def partner_of(upstream: str) -> str:
-    """The partner that an upstream stands for, or nothing."""
+    """The partner that an upstream name stands for, or an empty text."""
     return upstream[len(UPSTREAM_PREFIX) :] if upstream.startswith(UPSTREAM_PREFIX) else ""
--- a/marblefold/partners/orders.py
+++ b/marblefold/partners/orders.py
@@ -1,4 +1,4 @@
-"""The words of operators and partners, read and checked."""
+"""Reads and checks the grants of operators and the exports of partners."""
 
 import json
 from datetime import timedelta
@@ -21,7 +21,10 @@
 
 @attrs.frozen(slots=True)
 class Grant:
-    """What the operator lets a partner speak for."""
+    """An operator's grant: hosts a partner may export, its address and credential.
+
+    The credential is a digest once read_grant has checked it.
+    """
 
     number: int
     hosts: tuple[str, ...]
@@ -32,7 +35,7 @@
 
 @attrs.frozen(slots=True)
 class Export:
-    """One service of a partner that may be reached from outside."""
+    """One route of a partner that may be reached from outside."""
 
     host: str
     prefix: str
@@ -51,7 +54,7 @@
 
 def _strict(kind: type | tuple[type, ...]):
     def structure(value: Any, _kind: object) -> Any:
-        # A text that looks like a number, or a truth, is a mistake.
+        # Texts that look like numbers, and booleans, are refused.
         is_of_kind = isinstance(value, kind) and not isinstance(value, bool)
         if not is_of_kind:
             raise ValueError(f"not of the right kind: {value!r}")
@@ -83,7 +86,7 @@
 
 
 def read_grant(body: bytes) -> Grant:
-    """The operator's word on a partner, or all its faults."""
+    """The checked grant in a body. Raises an ExceptionGroup of MeshError, one a fault."""
     grant = _read(body, Grant)
     faults = []
     if not grant.hosts or any(not host for host in grant.hosts):
@@ -105,10 +108,10 @@
 
 
 def read_exports(body: bytes) -> Exports:
-    """A partner's word on what it exports, or all its faults."""
-    word = _read(body, Exports)
+    """The checked exports in a body. Raises an ExceptionGroup of MeshError, one a fault."""
+    sent = _read(body, Exports)
     faults, places = [], set()
-    for index, export in enumerate(word.exports):
+    for index, export in enumerate(sent.exports):
         place = f"exports[{index}]"
         if not export.prefix.startswith("/") or not export.prefix.endswith("/"):
             faults.append(f"{place}.prefix: does not begin and end with a slash")
@@ -122,20 +125,20 @@
         places.add(key)
     _raise(faults)
     return attrs.evolve(
-        word,
-        exports=tuple(attrs.evolve(export, host=export.host.lower()) for export in word.exports),
+        sent,
+        exports=tuple(attrs.evolve(export, host=export.host.lower()) for export in sent.exports),
     )
 
 
 def is_credential(told: str, held_digest: str) -> bool:
-    """Whether the credential is the one granted; takes the same time either way."""
+    """Whether the credential is the granted one; compares in constant time."""
     import hmac
 
     return hmac.compare_digest(_digest(told), held_digest)
 
 
 def _digest(credential: str) -> str:
-    # Only who has a partner pays for this library.
+    # Imported here: only a registry with partners pays for this library.
     import hashlib
 
     return hashlib.sha256(credential.encode("utf-8", "replace")).hexdigest()
@@ -145,21 +148,21 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise ExceptionGroup("word", [MeshError("read word", f"body: {error}")]) from error
+        raise ExceptionGroup("body", [MeshError("read body", f"body: {error}")]) from error
     if not isinstance(document, dict):
-        raise ExceptionGroup("word", [MeshError("read word", "body: not an object")])
+        raise ExceptionGroup("body", [MeshError("read body", "body: not an object")])
     try:
         return _converter.structure(document, kind)
     except cattrs.BaseValidationError as error:
         lines = []
         for line in cattrs.transform_error(error):
             fault, _sign, place = line.partition(" @ ")
-            # The fault may repeat a value, and a credential is never shown.
+            # A message may contain the value, and a credential must not be shown.
             shown = "bad value" if "credential" in place else fault
             lines.append(f"{place.removeprefix('$.').replace('_', '-')}: {shown}")
-        raise ExceptionGroup("word", [MeshError("read word", line) for line in lines]) from None
+        raise ExceptionGroup("body", [MeshError("read body", line) for line in lines]) from None
 
 
 def _raise(faults: list[str]) -> None:
     if faults:
-        raise ExceptionGroup("word", [MeshError("check word", line) for line in faults])
+        raise ExceptionGroup("body", [MeshError("check body", line) for line in faults])
--- a/tools/scale/__main__.py
+++ b/tools/scale/__main__.py
@@ -1,4 +1,7 @@
-"""python3 -m tools.scale: how control grows with nodes, real programs beside hollow ones."""
+"""python3 -m tools.scale: how the cost of control grows with the number of nodes.
+
+Runs real programs and, in few processes, many hollow nodes (hollow.py).
+"""
 
 import asyncio
 import json
@@ -28,7 +31,7 @@
 flags.DEFINE_float(
     "settle",
     15.0,
-    "How long news of the start may go round before rest is measured.",
+    "Seconds for updates of the start to spread before rest is measured.",
     lower_bound=0,
     upper_bound=120,
 )
@@ -48,7 +51,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Runs it as the flags say; the exit status."""
+    """Runs as the flags say; the exit status: 0 whole, 1 partial, 2 wrong usage."""
     try:
         rest = FLAGS(arguments)
     except flags.Error as error:
@@ -99,7 +102,7 @@
                 for name in FLAGS.phase:
                     found[name] = await acts[name]()
             except (TimeoutError, RuntimeError, OSError) as error:
-                # What was measured so far stands; the rest was not reached.
+                # What was measured so far is kept; later phases were not reached.
                 found["partial"] = f"{name}: {error or 'not done in time'}"
     return found
 
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -1,8 +1,8 @@
-"""Hollow nodes: what a proxy does for control, many to a process.
+"""Hollow nodes: the control part of a proxy, many in one process.
 
-Each speaks the real inner protocol through the real follower, membership and
-notices; it has no target and takes no traffic.  Commands come as JSON lines
-on standard input, answers go to standard output.
+Each runs the real follower, membership and notices over the real inner
+protocol, without a target or traffic.  Commands are read as JSON lines from
+standard input, answers are written to standard output.
 """
 
 import asyncio
@@ -28,14 +28,14 @@
 
 
 class Counts:
-    """Messages and bytes of this process, by the way they took."""
+    """Messages and bytes of this process, on connections and as datagrams."""
 
     def __init__(self) -> None:
         self.connection_messages = self.connection_bytes = 0
         self.datagrams = self.datagram_bytes = 0
 
     def instrument(self) -> None:
-        """Counts what the real classes send and take; only in this process."""
+        """Wraps the methods of the real classes that send and receive, in this process only."""
         take, send = PeerConnection.data_received, PeerConnection.send
         receive, send_all = MembershipSocket.datagram_received, MembershipSocket._send
 
@@ -70,7 +70,7 @@
         MembershipSocket._send = count_out  # type: ignore[method-assign]
 
 
-# Hosts that a node cannot reach just now, by the node's own address.
+# Hosts that a node cannot reach at the moment, by the node's own host.
 _cuts: dict[str, set[str]] = {}
 
 
@@ -138,7 +138,7 @@
             self.suspected_at.setdefault(member.address, time.time())
 
     def describe(self) -> dict:
-        """What it knows, for the measurement."""
+        """What the node knows, for the measurement."""
         members = list(self.membership._prober.table)
         return {
             "number": self.number,
@@ -151,7 +151,7 @@
 
 
 class HollowHost:
-    """Many nodes in this process, and the commands that come for them."""
+    """The nodes of this process, and the commands for them."""
 
     def __init__(self, layout: Layout, numbers: range) -> None:
         self._layout = layout
@@ -165,12 +165,12 @@
         for node in self.nodes.values():
             await node.start()
             self._watch(node)
-            # Machines do not all start in one moment.
+            # Machines do not all start at the same moment.
             await asyncio.sleep(0.02)
         reader = asyncio.StreamReader()
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-        # When the tool ends, its hollow processes see the end of their input.
+        # The process ends with its input, that is when the tool ends.
         while line := await reader.readline():
             answer = await self._obey(json.loads(line))
             print(json.dumps(answer), flush=True)
--- a/tools/scale/hop.py
+++ b/tools/scale/hop.py
@@ -1,7 +1,7 @@
-"""python3 -m tools.scale.hop: what a hop through two real proxies adds to a call.
+"""python3 -m tools.scale.hop: the latency that a hop through two real proxies adds.
 
-A client asks a target straight and through the mesh by turns, one call at a
-time and then at a stated rate; proxies, registry and store are real processes.
+A client calls a target directly and through the mesh in turn, one call at a
+time and then at a given rate; proxies, registry and store are real processes.
 """
 
 import asyncio
@@ -139,7 +139,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Runs it; the exit status."""
+    """Runs as the flags say; the exit status: 0 done, 2 wrong usage."""
     try:
         rest = FLAGS(arguments)
     except flags.Error as error:
--- a/tools/scale/phases.py
+++ b/tools/scale/phases.py
@@ -15,7 +15,10 @@
 
 
 class Phases:
-    """Runs the phases one after the other; each gives its figures."""
+    """Each method runs one phase and returns its figures; times in seconds.
+
+    All raise TimeoutError when a phase takes longer than `longest`.
+    """
 
     def __init__(
         self,
@@ -35,7 +38,7 @@
         self._reals = 0
 
     async def start(self, reals: int) -> dict:
-        """From nothing until every node knows every target and the configuration."""
+        """Starts everything, until every node knows every target and the configuration."""
         fleet = self._fleet
         self._reals = reals
         began = time.time()
@@ -46,7 +49,7 @@
         nodes_began = time.time()
         await fleet.start_hollows(reals)
         hollow = fleet.layout.nodes - reals
-        # Real proxies here have no target: each hollow node tells of one.
+        # Real proxies have no target here; each hollow node announces one.
         await self._observer.until(
             lambda nodes: (
                 len(nodes) == hollow
@@ -69,8 +72,8 @@
         }
 
     async def rest(self) -> dict:
-        """Nothing happens: what control costs by itself."""
-        # News of who has come is passed on for a while.
+        """No events: the cost of control at rest."""
+        # Updates of the start spread for a while.
         await asyncio.sleep(self._settle)
         return await self._observer.measure(asyncio.sleep(self._seconds))
 
@@ -96,7 +99,7 @@
         return {**await self._observer.measure(act()), **found}
 
     async def churn(self, restarts: int, changes: int) -> dict:
-        """Restarts and changes of a day, one after the other in a short while."""
+        """The restarts and changes of a day, one after the other."""
         fleet = self._fleet
         hollows = [(host, number) for host in fleet.hollows for number in host.numbers]
 
@@ -116,7 +119,7 @@
         return {"restarts": restarts, "changes": changes, **await self._observer.measure(act())}
 
     async def lose_registry(self) -> dict:
-        """A registry is killed, and started again with nothing in its memory."""
+        """A registry is killed and started again with empty memory."""
         fleet = self._fleet
         number = fleet.layout.core - 1
         process = fleet.reals[f"registry-{number}"].process
@@ -139,7 +142,7 @@
         return {**await self._observer.measure(act()), **found}
 
     async def cut(self) -> dict:
-        """Two halves that cannot meet, then can again."""
+        """A partition into two halves, then its end."""
         fleet, layout = self._fleet, self._fleet.layout
         half = len(fleet.hollows) // 2
         sides = fleet.hollows[:half], fleet.hollows[half:]
@@ -152,20 +155,20 @@
         keep = layout.core // 2 + 1
         hosts[0] += core[:keep]
         hosts[1] += core[keep:]
-        # The real proxies stand on the second side: they must not speak for both.
+        # The real proxies are on the second side: they must not relay between both.
         hosts[1] += [layout.node_host(number) for number in range(self._reals)]
         found: dict[str, float] = {}
 
         async def act() -> None:
             began = time.time()
-            await self._tell_cut(sides, hosts, True)
+            await self._set_cut(sides, hosts, True)
             lost = min(len(hosts[0]), len(hosts[1])) // 2
             await self._observer.until(
                 lambda nodes: all(node["suspected"] >= lost for node in nodes)
             )
             found["half-suspected-s"] = time.time() - began
             began = time.time()
-            await self._tell_cut(sides, hosts, False)
+            await self._set_cut(sides, hosts, False)
             await self._observer.until(
                 lambda nodes: all(node["suspected"] == 0 and node["in-touch"] for node in nodes)
             )
@@ -173,7 +176,7 @@
 
         return {**await self._observer.measure(act()), **found}
 
-    async def _tell_cut(self, sides, hosts, is_on: bool) -> None:
+    async def _set_cut(self, sides, hosts, is_on: bool) -> None:
         await asyncio.gather(
             *(
                 hollows.ask(do="cut", hosts=hosts[1 - index], on=is_on)
@@ -183,7 +186,7 @@
         )
 
     async def _put_configuration(self) -> float:
-        """How long until the next configuration was acknowledged."""
+        """Seconds until the next configuration was acknowledged."""
         self._configuration += 1
         layout = self._fleet.layout
         body = json.dumps(make_configuration(layout, self._configuration, self._routes)).encode()
--- a/tools/scale/processes.py
+++ b/tools/scale/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a scale run: started, measured and ended by their ids."""
+"""Starts, measures and ends the processes of a scale run."""
 
 import asyncio
 import json
@@ -31,7 +31,7 @@
         self.process = process
 
     def usage(self) -> Usage:
-        """As the kernel counts it."""
+        """Processor seconds and peak memory as the kernel counts them."""
         stat = Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(")")[2].split()
         status = Path(f"/proc/{self.process.pid}/status").read_text()
         peak = next(line for line in status.splitlines() if line.startswith("VmHWM"))
@@ -49,7 +49,7 @@
         self._turn = asyncio.Lock()
 
     async def ask(self, **command) -> dict:
-        """Its answer to a command."""
+        """Its answer to a command. Raises RuntimeError if it ended, TimeoutError if it hangs."""
         commands, answers = self.process.stdin, self.process.stdout
         if commands is None or answers is None:
             raise RuntimeError(f"hollow process {self.process.pid} was started without pipes")
@@ -63,7 +63,7 @@
 
 
 class Fleet:
-    """All processes of one run; ends every one of them, whatever happens."""
+    """All processes of one run; leaving the context ends every one of them."""
 
     def __init__(self, layout: Layout, folder: Path, each: int) -> None:
         self.layout = layout
@@ -85,13 +85,13 @@
             await process.wait()
 
     async def start_core(self) -> None:
-        """Stores and registries, on a folder for each."""
+        """Starts stores and registries, each with a folder of its own."""
         for number in range(self.layout.core):
             for role in ("store", "registry"):
                 await self.start_real(role, number, True)
 
     async def start_real(self, role: str, number: int, is_first: bool) -> None:
-        """One real program, at its place."""
+        """Starts one real program; `is_first` for the first start of the system."""
         name = f"{role}-{number}"
         folder = self._folder / name
         folder.mkdir(exist_ok=True)
@@ -120,7 +120,7 @@
         self.reals[name] = Real(role, process)
 
     async def start_hollows(self, first: int) -> None:
-        """All nodes from this number on, so many to a process."""
+        """Starts all nodes from number `first` on, a fixed number in each process."""
         layout = self.layout
         for begin in range(first, layout.nodes, self._each):
             numbers = range(begin, min(layout.nodes, begin + self._each))
--- a/tools/scale/settings.py
+++ b/tools/scale/settings.py
@@ -1,4 +1,4 @@
-"""What every process of a scale run is told: config files and a configuration."""
+"""Config files and the configuration of a scale run."""
 
 from typing import NamedTuple
 
@@ -27,7 +27,7 @@
 
 
 class Layout(NamedTuple):
-    """Where the processes of one run listen, all of it on loopback."""
+    """The loopback addresses and services of one run."""
 
     nodes: int
     core: int
@@ -82,7 +82,7 @@
 
 
 def make_configuration(layout: Layout, number: int, routes: int) -> dict:
-    """A configuration with so many routes, cut evenly over the services."""
+    """A configuration with so many routes, divided evenly over the services."""
     return {
         "config-version": number,
         "route-list": [
