--- a/marblefold/membership/members.py
+++ b/marblefold/membership/members.py
@@ -46,7 +46,7 @@
         self.own = own
         self.since: dict[str, float] = {}
         self._members: dict[str, Member] = {}
-        self._news: dict[str, int] = {own.address: 0}
+        self._updates: dict[str, int] = {own.address: 0}
         self._on_change = on_change
 
     def __iter__(self) -> Iterator[Member]:
@@ -76,7 +76,7 @@
             return False
         self._members[member.address] = member
         self.since[member.address] = now
-        self._news[member.address] = 0
+        self._updates[member.address] = 0
         if held is None or held.liveness != member.liveness or held.life != member.life:
             self._on_change(member)
         return True
@@ -88,20 +88,20 @@
     def forget(self, address: str) -> None:
         """Removes a member that has been gone for long."""
         self._members.pop(address, None)
-        self._news.pop(address, None)
+        self._updates.pop(address, None)
         self.since.pop(address, None)
 
-    def pick_news(self, most: int) -> list[Member]:
+    def pick_updates(self, most: int) -> list[Member]:
         """At most `most` updates to send, those passed on least often first."""
-        addresses = heapq.nsmallest(most, self._news, key=self._news.__getitem__)
+        addresses = heapq.nsmallest(most, self._updates, key=self._updates.__getitem__)
         passed_on = max(_PASSED_ON, math.ceil(_PASSED_ON_EACH_DOUBLING * self.doublings))
         picked = []
         for address in addresses:
             member = self.own if address == self.own.address else self._members[address]
             picked.append(member)
-            self._news[address] += 1
-            if self._news[address] >= passed_on:
-                del self._news[address]
+            self._updates[address] += 1
+            if self._updates[address] >= passed_on:
+                del self._updates[address]
         return picked
 
     def _refute(self, update: Member) -> bool:
@@ -111,5 +111,5 @@
             return False
         life = own.life if update.life == own.life else update.life + 1
         self.own = own._replace(life=life, incarnation=update.incarnation + 1)
-        self._news[own.address] = 0
+        self._updates[own.address] = 0
         return True
--- a/marblefold/membership/prober.py
+++ b/marblefold/membership/prober.py
@@ -24,8 +24,8 @@
     forget: float = 60.0
     # Updates in a datagram; more with more nodes, up to what one datagram
     # carries without fragmentation.
-    news: int = 8
-    most_news: int = 13
+    updates: int = 8
+    most_updates: int = 13
     # The suspicion timeout holds up to so many doublings of the number of nodes
     # and grows beyond, as a refutation takes longer to spread.
     usual_doublings: float = 5.0
@@ -210,9 +210,9 @@
             if now - self.table.since[member.address] >= suspicion:
                 self.table.judge(member, Liveness.GONE, now)
 
-    def _count_news(self) -> int:
+    def _count_updates(self) -> int:
         config = self._config
-        return min(config.most_news, max(config.news, int(1.7 * self.table.doublings)))
+        return min(config.most_updates, max(config.updates, int(1.7 * self.table.doublings)))
 
     def _ping(self, address: str) -> Message:
         self._number += 1
@@ -226,7 +226,7 @@
             members.append(known)
         members.extend(
             member
-            for member in self.table.pick_news(self._count_news())
+            for member in self.table.pick_updates(self._count_updates())
             if member.address != self.table.own.address
         )
         return Message(peer, kind, number, subject, tuple(members))
--- a/marblefold/partners/orders.py
+++ b/marblefold/partners/orders.py
@@ -130,11 +130,11 @@
     )
 
 
-def is_credential(told: str, held_digest: str) -> bool:
+def is_credential(sent: str, held_digest: str) -> bool:
     """Whether the credential is the granted one; compares in constant time."""
     import hmac
 
-    return hmac.compare_digest(_digest(told), held_digest)
+    return hmac.compare_digest(_digest(sent), held_digest)
 
 
 def _digest(credential: str) -> str:
--- a/marblefold/rehearsal/flight.py
+++ b/marblefold/rehearsal/flight.py
@@ -70,7 +70,7 @@
         self._step()
 
     def note_loss(self) -> None:
-        """The lost zones went dark while this request was in progress."""
+        """The lost zones were lost while this request was in progress."""
         if self._play.is_lost(self._origin.zone):
             # The client lost its node: it does not know whether the request ran.
             self._was_dark = self._decision.may_have_run or self._is_slot_held
--- a/marblefold/rehearsal/forecast_summary.py
+++ b/marblefold/rehearsal/forecast_summary.py
@@ -107,8 +107,8 @@
     return {
         "select": "no target that was not tried",
         "retry budget": "retry budget spent",
-        "silent": "sent into the dark",
-        "connection": "sent into the dark",
+        "silent": "sent to a lost zone",
+        "connection": "sent to a lost zone",
         "connect": "out of reach",
     }.get(step, step)
 
--- a/marblefold/rehearsal/playing.py
+++ b/marblefold/rehearsal/playing.py
@@ -97,7 +97,7 @@
         self.at(self.now + seconds, act)
 
     def is_lost(self, zone: str) -> bool:
-        """Whether the zone has gone dark."""
+        """Whether the zone is lost."""
         return self.is_dark and zone in self._lost
 
     def phase(self, arrived: float) -> Phase | None:
@@ -196,7 +196,7 @@
         return self.random.choices(left, [other.per_second for other in left])[0].zone
 
     def _lose(self) -> None:
-        """The lost zones go dark, with all that is in progress there."""
+        """The lost zones are lost, with all that is in progress there."""
         self.is_dark = True
         for flight in list(self.flights):
             flight.note_loss()
--- a/marblefold/rehearsal/stage.py
+++ b/marblefold/rehearsal/stage.py
@@ -16,7 +16,7 @@
     """A request in progress."""
 
     def note_loss(self) -> None:
-        """The lost zones have just gone dark."""
+        """The lost zones have just been lost."""
 
 
 class Stage(Protocol):
--- a/marblefold/tracing/tracer.py
+++ b/marblefold/tracing/tracer.py
@@ -147,8 +147,8 @@
         run_span: Span | None,
     ) -> tuple[TraceContext, bool]:
         """The context of a request, and whether it was inferred from the run in progress."""
-        told = find_header(request.headers, _TRACEPARENT)
-        parsed = parse_traceparent(told.decode("latin-1")) if told is not None else None
+        header = find_header(request.headers, _TRACEPARENT)
+        parsed = parse_traceparent(header.decode("latin-1")) if header is not None else None
         if parsed is not None:
             trace_id, parent, is_sampled = parsed
             run = self.recorder.find_open(parent)
