--- a/marblefold/gateway/partner_hops.py
+++ b/marblefold/gateway/partner_hops.py
@@ -64,11 +64,14 @@
         route = self._view.find_partner_route(request.host, request.path, now)
         if route is None or partner_of(route.upstreams[0]) != partner:
             return False
-        return self._view.partners.addresses.get(partner) == peer
+        partners = self._view.partners
+        return partners is not None and partners.addresses.get(partner) == peer
 
 
 def open_partner_way(usual: Hops, view: MeshView, tasks: TaskKeeper) -> PartnerHops:
     """A way of their own for hops to partners, beside the usual one of a proxy."""
-    pool = TargetPool(_DESCRIPTORS, lambda: set(view.partners.addresses.values()))
+    pool = TargetPool(
+        _DESCRIPTORS, lambda: set(view.partners.addresses.values()) if view.partners else set()
+    )
     tasks.start(pool.run())
     return PartnerHops(usual, TargetHops(pool), view)
--- a/marblefold/history/versions.py
+++ b/marblefold/history/versions.py
@@ -10,19 +10,21 @@
 import shutil
 import time
 from collections.abc import Iterator
-from typing import NamedTuple
+from typing import NamedTuple, TypeVar
 
-from dulwich.objects import Blob, Commit, Tree
+from dulwich.objects import Blob, Commit, ObjectID, Tree
+from dulwich.refs import Ref
 from dulwich.repo import Repo
 
 from marblefold.errors import MeshError
 
 __all__ = ["Version", "Versions"]
 
-_BRANCH = b"refs/heads/configurations"
+_BRANCH = Ref(b"refs/heads/configurations")
 _FILE = b"configuration.json"
 _WHO = b"marblefold <marblefold@localhost>"
 _REGULAR = 0o100644
+_Kind = TypeVar("_Kind", Blob, Commit, Tree)
 
 
 class Version(NamedTuple):
@@ -70,9 +72,9 @@
 
     def newest_first(self) -> Iterator[Version]:
         """The versions kept."""
-        commit_id = self._repo.refs.read_ref(_BRANCH)
+        commit_id = self._opened().refs.read_ref(_BRANCH)
         while commit_id:
-            commit = self._repo[commit_id]
+            commit = self._read_object(commit_id, Commit)
             number = int(commit.message.decode().removeprefix("configuration "))
             yield Version(number, commit.commit_time, commit.id.decode())
             commit_id = commit.parents[0] if commit.parents else None
@@ -81,12 +83,24 @@
         """A version as it was put; a MeshError where it is not kept."""
         for version in self.newest_first():
             if version.number == number:
-                tree = self._repo[self._repo[version.commit.encode()].tree]
-                return self._repo[tree[_FILE][1]].data
+                commit = self._read_object(version.commit.encode(), Commit)
+                tree = self._read_object(commit.tree, Tree)
+                return self._read_object(tree[_FILE][1], Blob).data
         raise MeshError("history", f"version {number} is not kept")
 
+    def _opened(self) -> Repo:
+        if self._repo is None:
+            raise MeshError("history", "not open")
+        return self._repo
+
+    def _read_object(self, object_id: bytes, kind: type[_Kind]) -> _Kind:
+        found = self._opened()[object_id]
+        if not isinstance(found, kind):
+            raise MeshError("history", f"{object_id!r} is no {kind.__name__}")
+        return found
+
     def _commit(self, number: int, body: bytes, at: int, parent: str) -> None:
-        objects = self._repo.object_store
+        objects = self._opened().object_store
         blob = Blob.from_string(body)
         objects.add_object(blob)
         tree = Tree()
@@ -94,14 +108,14 @@
         objects.add_object(tree)
         commit = Commit()
         commit.tree = tree.id
-        commit.parents = [parent.encode()] if parent else []
+        commit.parents = [ObjectID(parent.encode())] if parent else []
         commit.author = commit.committer = _WHO
         commit.author_time = commit.commit_time = at
         commit.author_timezone = commit.commit_timezone = 0
         commit.encoding = b"UTF-8"
         commit.message = f"configuration {number}".encode()
         objects.add_object(commit)
-        self._repo.refs[_BRANCH] = commit.id
+        self._opened().refs[_BRANCH] = commit.id
 
     def _check(self) -> None:
         """Reads what is newest: a torn one shows here, and not when it is wanted."""
@@ -113,13 +127,13 @@
         bodies = [(version, self.read(version.number)) for version in reversed(kept)]
         fresh = self._folder + ".new"
         shutil.rmtree(fresh, ignore_errors=True)
-        self._repo.close()
-        self._repo = Repo.init_bare(fresh, mkdir=True)
+        self._opened().close()
+        self._repo = fresh_repo = Repo.init_bare(fresh, mkdir=True)
         parent = ""
         for version, body in bodies:
             self._commit(version.number, body, version.at, parent)
-            parent = self._repo.refs[_BRANCH].decode()
-        self._repo.close()
+            parent = fresh_repo.refs[_BRANCH].decode()
+        fresh_repo.close()
         old = self._folder + ".old"
         shutil.rmtree(old, ignore_errors=True)
         os.rename(self._folder, old)
--- a/marblefold/proxy/beats.py
+++ b/marblefold/proxy/beats.py
@@ -19,7 +19,7 @@
     if not isinstance(document, dict):
         raise ValueError("not an object")
 
-    def field(name: str, kind: type, default=None):
+    def field(name: str, kind: type | tuple[type, ...], default=None):
         value = document.get(name, default)
         # A truth is a whole number to Python, but not to a target.
         if not isinstance(value, kind) or isinstance(value, bool):
--- a/marblefold/proxy/leaving.py
+++ b/marblefold/proxy/leaving.py
@@ -23,8 +23,12 @@
     """What has to be stopped in order."""
 
     outbound: HttpServer
-    grace_period: timedelta
-    hops_in_progress: int
+
+    @property
+    def grace_period(self) -> timedelta: ...
+
+    @property
+    def hops_in_progress(self) -> int: ...
 
     def tell_leaving(self) -> None: ...
 
--- a/marblefold/registry/list_duty.py
+++ b/marblefold/registry/list_duty.py
@@ -31,7 +31,9 @@
 class RegisterClient(Protocol):
     """Where the epoch of the duty is kept."""
 
-    async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
+    async def ask(
+        self, kind: str, register: str, number: int = 0, value: bytes = b""
+    ) -> kinds.RegisterAnswer: ...
 
 
 class ListDuty:
@@ -141,6 +143,6 @@
         )
 
 
-def _mark(target: ListedTarget) -> tuple:
+def _mark(target: ListedTarget) -> tuple[ListedTarget, bool]:
     is_cold = target.cold > timedelta(0) and target.state == wire_names.READY
     return target._replace(cold=timedelta(0)), is_cold
--- a/marblefold/registry/live_capacity.py
+++ b/marblefold/registry/live_capacity.py
@@ -1,5 +1,6 @@
 """The slots that can be counted on now, as this registry knows them."""
 
+from collections.abc import Iterator
 from datetime import UTC, datetime, timedelta
 
 from marblefold import wire_names
@@ -81,6 +82,6 @@
         """The time of day."""
         return datetime.now(UTC)
 
-    def _notices(self):
+    def _notices(self) -> Iterator[kinds.TargetNotice]:
         for entry in self._catalogue.entries("target"):
             yield kinds.TargetNotice.FromString(entry.value)
--- a/marblefold/registry/peer_news.py
+++ b/marblefold/registry/peer_news.py
@@ -2,6 +2,7 @@
 
 from collections.abc import Callable
 
+from marblefold.inner_protocol.messages import kinds
 from marblefold.registry.catalogue import Catalogue
 
 __all__ = ["PeerNews"]
@@ -26,10 +27,10 @@
         """Whom to follow."""
         return self._others()
 
-    def is_news(self, entry) -> bool:
+    def is_news(self, entry: kinds.Entry) -> bool:
         """Whether a deferred entry is worth asking for; ours never are large."""
         return False
 
-    def take(self, entry) -> bool:
+    def take(self, entry: kinds.Entry) -> bool:
         """Takes in an entry of another registry, if it is newer than ours."""
         return entry.kind in self._kinds and self._catalogue.put(entry)
--- a/marblefold/registry/snapshot_parts.py
+++ b/marblefold/registry/snapshot_parts.py
@@ -1,6 +1,7 @@
 """What a registry puts into a snapshot for a rehearsal."""
 
 import json
+from typing import Any
 
 from marblefold.membership.members import Member
 from marblefold.node_config.model import NodeConfig
@@ -12,14 +13,14 @@
 
 
 def describe_parts(
-    state: dict,
+    state: dict[str, Any],
     traffic: TrafficBook,
     config: NodeConfig,
     catalogue: Catalogue,
     own: str,
     registries: list[Member],
     now: float,
-) -> dict:
+) -> dict[str, Any]:
     """Everything but the configuration, as plain objects; nothing is asked of anybody."""
     origins = {row["node"]: row[ZONE] for row in state["targets"] if row["node"]}
     origins.update({node: zone for node, zone in traffic.zones().items() if node not in origins})
@@ -53,7 +54,7 @@
     }
 
 
-def describe_flows(traffic: TrafficBook, now: float) -> list[dict]:
+def describe_flows(traffic: TrafficBook, now: float) -> list[dict[str, Any]]:
     """The rows of traffic, as a snapshot has them."""
     return [
         {
@@ -61,7 +62,7 @@
             "zone": flow.zone,
             "per-second": round(flow.per_second, 4),
             "seconds": round(flow.seconds, 4),
-            "kilobytes": round(flow.kilobytes, 2),
+            **({} if flow.kilobytes is None else {"kilobytes": round(flow.kilobytes, 2)}),
             "refused-share": round(flow.refused_share, 4),
             "unknown-share": round(flow.unknown_share, 4),
             "age-s": round(flow.age_seconds, 1),
--- a/marblefold/registry/state.py
+++ b/marblefold/registry/state.py
@@ -1,5 +1,7 @@
 """What a registry knows, for people and for the planner."""
 
+from typing import Any
+
 from marblefold import wire_names
 from marblefold.inner_protocol.messages import kinds
 from marblefold.membership.members import Member
@@ -13,7 +15,7 @@
     members: list[str],
     proxies: list[Member],
     is_in_touch: bool,
-) -> dict:
+) -> dict[str, Any]:
     """Targets, evacuations, members and proxies as this registry sees them."""
     configuration = catalogue.find("configuration", "configuration")
     targets = []
--- a/marblefold/request_path/decision.py
+++ b/marblefold/request_path/decision.py
@@ -133,7 +133,7 @@
     def next_step(self, now: float) -> Offer | Conclude:
         """What to do now."""
         if self._last is not None:
-            final = self._judge_last(now)
+            final = self._judge_last(self._last, now)
             if final is not None:
                 return final
         left = self.deadline - now
@@ -175,12 +175,12 @@
             )
         return nominee
 
-    def _judge_last(self, now: float) -> Conclude | None:
+    def _judge_last(self, last: HopResult, now: float) -> Conclude | None:
         """The end of the request, if the last hop brought it."""
-        last = self._last
         if last.outcome is HopOutcome.ANSWERED:
-            if last.answer.status < 500 or not self._may_go_on():
-                return Conclude(last.answer, "answered")
+            answer = _answer_of(last)
+            if answer.status < 500 or not self._may_go_on():
+                return Conclude(answer, "answered")
             return None
         if last.outcome is HopOutcome.UNKNOWN:
             if self._may_go_on():
@@ -203,7 +203,7 @@
     def _give_up(self, step: str, now: float, retry_after: float = 0.0) -> Conclude:
         last = self._last
         if last is not None and last.outcome is HopOutcome.ANSWERED:
-            return Conclude(last.answer, "answered")
+            return Conclude(_answer_of(last), "answered")
         if self._may_have_run:
             # It may have run, or run still: no promise can be made.
             status = 504 if now >= self.deadline - _LEAST_SECONDS else 502
@@ -214,3 +214,9 @@
             retry_after = max(retry_after, _RETRY_WHEN_NO_TARGET)
         retry_after = max(retry_after, _RETRY_AT_LEAST)
         return Conclude(own_answer(503, f"not run: {step}", self._attempt_id, retry_after), step)
+
+
+def _answer_of(result: HopResult) -> Answer:
+    if result.answer is None:
+        raise ValueError("a hop ended as answered, but without an answer")
+    return result.answer
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -113,7 +113,8 @@
         return self.partners.find(host, path)
 
     def _partner_doors(self, upstream: str) -> list[KnownTarget]:
-        address = self.partners.addresses.get(partner_of(upstream))
+        partners = self.partners
+        address = partners.addresses.get(partner_of(upstream)) if partners is not None else None
         if address is None:
             return []
         return [KnownTarget(upstream, address, "", "", upstream, upstream, 64, False, 0.0, False)]
--- a/marblefold/request_path/surroundings.py
+++ b/marblefold/request_path/surroundings.py
@@ -104,7 +104,8 @@
         selector = self.selector
         selector.end(target)
         answered = result.outcome is HopOutcome.ANSWERED
-        success = answered and result.answer.status < 400
+        status = result.answer.status if result.answer is not None else 0
+        success = answered and 0 < status < 400
         # Errors and refusals teach the breaker nothing of what is normal.
         self.breaker(target.upstream).end(ticket, now, success)
         if result.load is not None:
@@ -122,7 +123,7 @@
             # A guard that turns hops away does so for a while.
             pause = min(_SHUN_SECONDS, result.retry_after or _SHUN_SECONDS)
             selector.note_refusal(target, now + pause)
-        elif not answered or result.answer.status >= 500:
+        elif not answered or status >= 500:
             # Whatever its health says, it does not serve as it should.
             selector.note_failure(target, now)
 
