--- a/marblefold/membership/node.py
+++ b/marblefold/membership/node.py
@@ -1,23 +1,32 @@
-"""A node's membership, put together from its config."""
+"""The membership of a node: prober and socket, set up from its config."""
 
 import time
 from collections.abc import Callable
+from typing import Protocol
 
 from marblefold.inner_protocol.ports import REGISTRY, inner_address
 from marblefold.membership.datagrams import MembershipSocket
 from marblefold.membership.members import Liveness, Member
 from marblefold.membership.prober import Prober
-from marblefold.node_config.watching import ConfigWatch
+from marblefold.node_config.model import NodeConfig
 
-__all__ = ["NodeMembership"]
+__all__ = ["ConfigSource", "NodeMembership"]
+
+
+class ConfigSource(Protocol):
+    """Where the config in force is read; it may be another after each wait."""
+
+    @property
+    def config(self) -> NodeConfig:
+        """The config in force now."""
 
 
 class NodeMembership:
-    """Tells who lives, as far as this node knows."""
+    """The other nodes that this node believes to be alive."""
 
     def __init__(
         self,
-        watch: ConfigWatch,
+        watch: ConfigSource,
         role: str,
         port: int,
         on_change: Callable[[Member], None] = lambda member: None,
@@ -38,15 +47,15 @@
         self._socket = MembershipSocket(self._prober)
 
     async def start(self) -> None:
-        """Begins to listen for datagrams."""
+        """Binds the datagram socket. Raises OSError where the port is taken."""
         await self._socket.start(self._address)
 
     async def run(self) -> None:
-        """Takes part, for ever."""
+        """Probes for ever."""
         await self._socket.run()
 
     def members(self, role: str) -> list[Member]:
-        """The other members of a role that are not thought gone."""
+        """The other members of a role, suspected ones included, removed ones not."""
         return [
             member
             for member in self._prober.table
--- /dev/null
+++ b/marblefold/rehearsal/forecast_model.py
@@ -0,0 +1,72 @@
+"""What a forecast says; rates are per second, times in seconds."""
+
+from typing import NamedTuple
+
+__all__ = ["Capacity", "Control", "Forecast", "Kind"]
+
+
+class Kind(NamedTuple):
+    """The requests of one route to one service; rates per second, `late_*` as shares."""
+
+    route: str
+    upstream: str
+    kind: str
+    before: float
+    # Where it is answered, by zone.
+    zones_before: dict[str, float]
+    zones_after: dict[str, float]
+    # The part of what the lost zones answered that is now answered elsewhere.
+    carried_elsewhere: float
+    gone_with_clients: float
+    stalls_before: float
+    stalls_unsettled: float
+    stalls_after: float
+    reasons: dict[str, int]
+    late_before: float
+    late_after: float
+    repeated_reads: int
+    may_go_twice: int
+
+
+class Capacity(NamedTuple):
+    """The slots of a service, and their mean use."""
+
+    upstream: str
+    slots_before: int
+    slots_after: int
+    used_before: float
+    used_after: float
+
+
+class Control(NamedTuple):
+    """The stores: how many are left, and what follows for control."""
+
+    stores: int
+    stores_left: int
+    has_majority: bool
+    notes: tuple[str, ...]
+
+
+class Forecast(NamedTuple):
+    """The forecast; `settles_after` is the time until all nodes know of the loss."""
+
+    lost: tuple[str, ...]
+    settles_after: float
+    kinds: tuple[Kind, ...]
+    capacity: tuple[Capacity, ...]
+    control: Control
+    gaps: tuple[str, ...]
+
+    @property
+    def is_harmless(self) -> bool:
+        """Whether nothing stalls beyond what did before, nothing may run twice, and a majority
+        of the stores is left."""
+        return (
+            not any(
+                kind.may_go_twice
+                or kind.stalls_after > kind.stalls_before + 0.005 * kind.before
+                or kind.stalls_unsettled > kind.stalls_before + 0.02 * kind.before
+                for kind in self.kinds
+            )
+            and self.control.has_majority
+        )
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -1,8 +1,8 @@
-"""Hollow nodes: what a proxy does for control, many to a process.
+"""Hollow nodes: the control part of a proxy, many in one process.
 
-Each speaks the real inner protocol through the real follower, membership and
-notices; it has no target and takes no traffic.  Commands come as JSON lines
-on standard input, answers go to standard output.
+Each runs the real follower, membership and notices over the real inner
+protocol, without a target or traffic.  Commands are read as JSON lines from
+standard input, answers are written to standard output.
 """
 
 import asyncio
@@ -10,14 +10,14 @@
 import sys
 import time
 from datetime import timedelta
-from types import SimpleNamespace
+from typing import NamedTuple
 
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.inner_protocol.ports import PROXY, REGISTRY, inner_address
 from marblefold.membership.datagrams import MembershipSocket
 from marblefold.membership.members import Liveness
 from marblefold.membership.node import NodeMembership
-from marblefold.node_config.reading import parse_config
+from marblefold.node_config.reading import NodeConfig, parse_config
 from marblefold.proxy.notices import NoticeMaker
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.request_path.local_target import Beat, LocalTarget
@@ -28,14 +28,14 @@
 
 
 class Counts:
-    """Messages and bytes of this process, by the way they took."""
+    """Messages and bytes of this process, on connections and as datagrams."""
 
     def __init__(self) -> None:
         self.connection_messages = self.connection_bytes = 0
         self.datagrams = self.datagram_bytes = 0
 
     def instrument(self) -> None:
-        """Counts what the real classes send and take; only in this process."""
+        """Wraps the methods of the real classes that send and receive, in this process only."""
         take, send = PeerConnection.data_received, PeerConnection.send
         receive, send_all = MembershipSocket.datagram_received, MembershipSocket._send
 
@@ -64,11 +64,13 @@
             self.datagrams += len(kept)
             send_all(membership, kept)
 
-        PeerConnection.data_received, PeerConnection.send = count_taken, count_sent
-        MembershipSocket.datagram_received, MembershipSocket._send = count_received, count_out
+        PeerConnection.data_received = count_taken  # type: ignore[method-assign]
+        PeerConnection.send = count_sent  # type: ignore[method-assign]
+        MembershipSocket.datagram_received = count_received  # type: ignore[method-assign]
+        MembershipSocket._send = count_out  # type: ignore[method-assign]
 
 
-# Hosts that a node cannot reach just now, by the node's own address.
+# Hosts that a node cannot reach at the moment, by the node's own host.
 _cuts: dict[str, set[str]] = {}
 
 
@@ -77,6 +79,12 @@
     return host in _cuts.get(own, ())
 
 
+class _FixedConfig(NamedTuple):
+    """Stands for a ConfigWatch whose file never changes."""
+
+    config: NodeConfig
+
+
 class HollowNode:
     """The control side of one proxy."""
 
@@ -84,7 +92,7 @@
         self.number = number
         host = layout.node_host(number)
         config = parse_config(make_config(layout, host, f"node-{number}", number))
-        watch = SimpleNamespace(config=config)
+        watch = _FixedConfig(config)
         self.host = host
         self.view = MeshView(config.node_name)
         self.target = LocalTarget(lambda: None)
@@ -120,7 +128,8 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.follower._peers.close()
-        self.membership._socket._transport.close()
+        if self.membership._socket._transport is not None:
+            self.membership._socket._transport.close()
 
     def _on_member(self, member) -> None:
         if member.liveness is Liveness.ALIVE:
@@ -129,7 +138,7 @@
             self.suspected_at.setdefault(member.address, time.time())
 
     def describe(self) -> dict:
-        """What it knows, for the measurement."""
+        """What the node knows, for the measurement."""
         members = list(self.membership._prober.table)
         return {
             "number": self.number,
@@ -142,25 +151,26 @@
 
 
 class HollowHost:
-    """Many nodes in this process, and the commands that come for them."""
+    """The nodes of this process, and the commands for them."""
 
     def __init__(self, layout: Layout, numbers: range) -> None:
         self._layout = layout
         self.nodes = {number: HollowNode(layout, number) for number in numbers}
         self.counts = Counts()
-        self._configuration_seen: dict[int, float] = {}
+        # By node: number of the configuration and when it was seen.
+        self._configuration_seen: dict[int, tuple[int, float]] = {}
 
     async def run(self) -> None:
         self.counts.instrument()
         for node in self.nodes.values():
             await node.start()
             self._watch(node)
-            # Machines do not all start in one moment.
+            # Machines do not all start at the same moment.
             await asyncio.sleep(0.02)
         reader = asyncio.StreamReader()
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-        # When the tool ends, its hollow processes see the end of their input.
+        # The process ends with its input, that is when the tool ends.
         while line := await reader.readline():
             answer = await self._obey(json.loads(line))
             print(json.dumps(answer), flush=True)
