--- /dev/null
+++ b/tests/many_changes.py
@@ -0,0 +1,110 @@
+"""Many changes of many registers, and a registry that hears of them."""
+
+import json
+import random
+from types import SimpleNamespace
+
+from marblefold.register_store.ballots import pack_holding
+from marblefold.register_store.changes import Held, hold_configuration
+from marblefold.registry.catalogue import Catalogue
+from marblefold.registry.program import RegistryProgram
+from marblefold.registry.store_client import StoreClient
+
+CHANGES, REGISTERS = 1000, 200
+
+
+def document_of(number):
+    """A valid configuration of some kilobytes."""
+    routes = [
+        {
+            "name": f"look-{index}",
+            "route-type": "read_only",
+            "host-name": "shop",
+            "path-prefix": f"/look-{index}/",
+            "upstream": "quotes",
+            "timeout-ms": 4000,
+            "target-latency-ms": 1200,
+            "max-attempts": 2,
+        }
+        for index in range(12)
+    ]
+    services = [{"name": "quotes", "health-check-path": "/h", "coldstart-per-s": 4.0}]
+    return json.dumps(
+        {"config-version": number, "route-list": routes, "service-list": services, "limits": {}}
+    ).encode()
+
+
+def register_of(index):
+    return "configuration" if index == 0 else f"evacuation/zone-{index:03d}"
+
+
+def put(index, number):
+    """The change of a number: a configuration, or an evacuation that goes on or off."""
+    if index == 0:
+        return hold_configuration(number, document_of(number))
+    # Long enough that not all of them fit into one answer.
+    value = (b"on" if number % 2 else b"off").ljust(600)
+    return lambda held: Held(held.number + 1, value)
+
+
+async def change_all(core, by, changes=CHANGES, registers=REGISTERS, seed=7):
+    """Changes every register at least once, and some of them often."""
+    chance = random.Random(seed)
+    expected = {}
+    for number in range(1, changes + 1):
+        index = number - 1 if number <= registers else chance.randrange(registers)
+        holding = await core.change(by(number), register_of(index), put(index, number))
+        expected[register_of(index)] = (holding.number, holding.value)
+    return expected
+
+
+def held_by(member):
+    return {
+        register: (holding.number, holding.value)
+        for register, holding in member.acceptor.holdings.items()
+    }
+
+
+def chosen_at(member):
+    return {
+        register: (holding.number, holding.value)
+        for register, holding in member.chosen.holdings.items()
+    }
+
+
+def bytes_chosen_at(member):
+    return sum(
+        pack_holding(register, holding).ByteSize()
+        for register, holding in member.chosen.holdings.items()
+    )
+
+
+class Registry:
+    """The real way of a record into a registry's catalogue, from one store's watch."""
+
+    def __init__(self):
+        self.catalogue = Catalogue(1)
+        self.told = 0
+        history = SimpleNamespace(take=lambda number, body: None)
+        program = SimpleNamespace(catalogue=self.catalogue, _history=history)
+        self.client = StoreClient(
+            "own:1", list, lambda record: RegistryProgram._on_record(program, record)
+        )
+
+    def watch(self, member):
+        member.chosen.watch(self)
+
+    # In the place of the connection from the store to the registry.
+    def send(self, _kind, _number, payload):
+        self.told += 1
+        self.client.on_tell(None, payload)
+
+    def numbers(self):
+        return {
+            f"evacuation/{entry.key}" if entry.kind == "evacuation" else entry.kind: entry.number
+            for entry in self.catalogue.snapshot()
+        }
+
+
+def numbers_of(expected):
+    return {register: number for register, (number, _value) in expected.items()}
--- a/tests/test_thousand_changes.py
+++ b/tests/test_thousand_changes.py
@@ -6,119 +6,33 @@
 
 import asyncio
 import gc
-import json
 import random
 import tracemalloc
-from types import SimpleNamespace
 
 import pytest
 
 from marblefold.register_store.acceptor import META_RECORD, Acceptor, Standing
-from marblefold.register_store.ballots import pack_holding
-from marblefold.register_store.changes import Held, hold_configuration
 from marblefold.register_store.register_files import RegisterFiles
-from marblefold.registry.catalogue import Catalogue
-from marblefold.registry.program import RegistryProgram
-from marblefold.registry.store_client import StoreClient
+from tests.many_changes import (
+    CHANGES,
+    REGISTERS,
+    Registry,
+    bytes_chosen_at,
+    change_all,
+    chosen_at,
+    held_by,
+    numbers_of,
+    put,
+    register_of,
+)
 from tests.simulated_core import Core
 from tests.simulated_disk import FOLDER, SimulatedDisk
 from tests.simulated_stores import MemoryRecords
 
-CHANGES, REGISTERS = 1000, 200
 # The whole of one answer between stores, with room for what is around it.
 PIECE = 40 * 1024
 
 
-def document_of(number):
-    """A valid configuration of some kilobytes."""
-    routes = [
-        {
-            "name": f"look-{index}",
-            "route-type": "read_only",
-            "host-name": "shop",
-            "path-prefix": f"/look-{index}/",
-            "upstream": "quotes",
-            "timeout-ms": 4000,
-            "target-latency-ms": 1200,
-            "max-attempts": 2,
-        }
-        for index in range(12)
-    ]
-    services = [{"name": "quotes", "health-check-path": "/h", "coldstart-per-s": 4.0}]
-    return json.dumps(
-        {"config-version": number, "route-list": routes, "service-list": services, "limits": {}}
-    ).encode()
-
-
-def register_of(index):
-    return "configuration" if index == 0 else f"evacuation/zone-{index:03d}"
-
-
-def put(index, number):
-    """The change of a number: a configuration, or an evacuation that goes on or off."""
-    if index == 0:
-        return hold_configuration(number, document_of(number))
-    # Long enough that not all of them fit into one answer.
-    value = (b"on" if number % 2 else b"off").ljust(600)
-    return lambda held: Held(held.number + 1, value)
-
-
-async def change_all(core, by, changes=CHANGES, registers=REGISTERS, seed=7):
-    """Changes every register at least once, and some of them often."""
-    chance = random.Random(seed)
-    expected = {}
-    for number in range(1, changes + 1):
-        index = number - 1 if number <= registers else chance.randrange(registers)
-        holding = await core.change(by(number), register_of(index), put(index, number))
-        expected[register_of(index)] = (holding.number, holding.value)
-    return expected
-
-
-def held_by(member):
-    return {
-        register: (holding.number, holding.value)
-        for register, holding in member.acceptor.holdings.items()
-    }
-
-
-def chosen_at(member):
-    return {
-        register: (holding.number, holding.value)
-        for register, holding in member.chosen.holdings.items()
-    }
-
-
-class Registry:
-    """The real way of a record into a registry's catalogue, from one store's watch."""
-
-    def __init__(self):
-        self.catalogue = Catalogue(1)
-        self.told = 0
-        history = SimpleNamespace(take=lambda number, body: None)
-        program = SimpleNamespace(catalogue=self.catalogue, _history=history)
-        self.client = StoreClient(
-            "own:1", list, lambda record: RegistryProgram._on_record(program, record)
-        )
-
-    def watch(self, member):
-        member.chosen.watch(self)
-
-    # In the place of the connection from the store to the registry.
-    def send(self, _kind, _number, payload):
-        self.told += 1
-        self.client.on_tell(None, payload)
-
-    def numbers(self):
-        return {
-            f"evacuation/{entry.key}" if entry.kind == "evacuation" else entry.kind: entry.number
-            for entry in self.catalogue.snapshot()
-        }
-
-
-def numbers_of(expected):
-    return {register: number for register, (number, _value) in expected.items()}
-
-
 def test_disk_files_and_start_do_not_grow_with_the_changes(monkeypatch):
     disk = SimulatedDisk()
     disk.install(monkeypatch)
@@ -134,7 +48,7 @@
                 core, lambda _number: core.addresses[0], REGISTERS, seed=round_of
             )
         sizes["many"] = measure(disk)
-        return start, core.addresses
+        return start
 
     def measure(disk):
         disk.operations = disk.syncs = 0
@@ -143,8 +57,8 @@
         bytes_held = sum(len(inode.data) for inode in disk.names.values())
         return len(disk.names), bytes_held, disk.operations, disk.syncs
 
-    expected, seeds = asyncio.run(test())
-    acceptor = Acceptor(seeds[0], RegisterFiles(FOLDER, META_RECORD), [], False)
+    expected = asyncio.run(test())
+    acceptor = Acceptor("10.0.0.1:7103", RegisterFiles(FOLDER, META_RECORD), [], False)
     assert len(expected) == REGISTERS
     assert {name: (held.number, held.value) for name, held in acceptor.holdings.items()} == expected
     count, bytes_held, operations, syncs = sizes["many"]
@@ -209,10 +123,7 @@
             # What it tells is chosen, and never older than what it told before.
             for register, number in registry.numbers().items():
                 assert number == expected[register][0] >= seen.get(register, 0)
-        whole = sum(
-            pack_holding(register, holding).ByteSize()
-            for register, holding in member.chosen.holdings.items()
-        )
+        whole = bytes_chosen_at(member)
         print("rounds", rounds, "calls", dict(core.calls), "bytes", core.bytes, "held", whole)
         # A wiped one learns the members in one more round.
         assert rounds <= 1 + is_wiped
@@ -258,10 +169,7 @@
         assert len(member.chosen.holdings) == REGISTERS
         assert core.largest <= PIECE
         # Every member says whether it differs, one gives what is new, in pieces.
-        whole = sum(
-            pack_holding(register, holding).ByteSize()
-            for register, holding in member.chosen.holdings.items()
-        )
+        whole = bytes_chosen_at(member)
         assert 4 + whole // PIECE < core.calls["compare"] <= 4 + whole // (30 * 1024) + 2
 
     asyncio.run(test())
