--- a/marblefold/history/keeper.py
+++ b/marblefold/history/keeper.py
@@ -4,18 +4,22 @@
 import functools
 import json
 import os
-from concurrent.futures import ThreadPoolExecutor
+from collections.abc import Callable
+from typing import Any
 
 from marblefold import wire_names
-from marblefold.errors import MeshError
+from marblefold.disk_thread import DiskThread
+from marblefold.errors import DiskError, MeshError
 from marblefold.http_connections.answer import Answer
-from marblefold.http_connections.call_router import Call, CallRouter, json_answer
+from marblefold.http_connections.call_router import Call, CallRouter, json_answer, not_now_answer
 from marblefold.logs import log
 
 __all__ = ["HistoryKeeper"]
 
 # More than this waiting means a disk that stalls: the oldest are let go.
 _MOST_WAITING = 16
+# A call on the history is answered by then, also while the disk answers nothing.
+_CALL_SECONDS = 1.0
 
 
 class HistoryKeeper:
@@ -25,7 +29,9 @@
         self._folder = os.path.join(data_directory, "history") if data_directory else ""
         self._waiting: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
         # One thread: the object store is used by one at a time.
-        self._thread = ThreadPoolExecutor(1, "history")
+        self._thread = DiskThread("history")
+        # The highest number taken so far: every store tells each one, at any time.
+        self._newest = 0
         self._versions = None
 
     def add_to(self, router: CallRouter) -> None:
@@ -35,8 +41,9 @@
 
     def take(self, number: int, body: bytes) -> None:
         """A configuration holds; it is kept when there is time."""
-        if not self._folder:
+        if not self._folder or number <= self._newest:
             return
+        self._newest = number
         if self._waiting.qsize() >= _MOST_WAITING:
             self._waiting.get_nowait()
             log.warning("history lags", let_go=1)
@@ -58,8 +65,19 @@
     def _add(self, number: int, body: bytes) -> None:
         self._open().add(number, body)
 
-    async def _do(self, work):
-        return await asyncio.get_running_loop().run_in_executor(self._thread, work)
+    async def _do(self, work: Callable[[], Any]) -> Any:
+        return await asyncio.wrap_future(self._thread.submit(work))
+
+    async def _answer(self, work: Callable[[], Any]) -> Any:
+        """What the history says; MeshError where its disk fails, or answers nothing."""
+        try:
+            async with asyncio.timeout(_CALL_SECONDS):
+                return await self._do(work)
+        except MeshError:
+            raise
+        except Exception as error:
+            # Torn objects make the library raise almost anything.
+            raise DiskError("history", str(error) or "the disk does not answer") from error
 
     def _open(self):
         if self._versions is None:
@@ -76,7 +94,10 @@
     async def _list(self, _call: Call) -> Answer:
         if not self._folder:
             return json_answer(404, {wire_names.REASON: "no history is kept here"})
-        versions = await self._do(lambda: list(self._open().newest_first()))
+        try:
+            versions = await self._answer(lambda: list(self._open().newest_first()))
+        except DiskError as error:
+            return not_now_answer(error)
         return json_answer(
             200,
             {
@@ -98,7 +119,9 @@
         if not number.isdigit():
             return json_answer(400, {wire_names.REASON: "version: not a number"})
         try:
-            body = await self._do(lambda: self._open().read(int(number)))
+            body = await self._answer(lambda: self._open().read(int(number)))
+        except DiskError as error:
+            return not_now_answer(error)
         except MeshError as error:
             return json_answer(404, {wire_names.REASON: error.reason})
         return json_answer(200, json.loads(body))
--- a/marblefold/ownership/agent.py
+++ b/marblefold/ownership/agent.py
@@ -141,7 +141,8 @@
         if answer.value != value:
             return Verdict.WAITING
         self._written[upstream] = [wanted.epoch, wanted.renewals]
-        # On disk before it is used: a start from an older disk must show.
+        # May reach the disk late or never: a start from an older record does not
+        # match the register, so it waits until every lease from it has run out.
         self._records.write(_RECORD, json.dumps(self._written).encode())
         self._leases[upstream] = (wanted.epoch, asked + LEASE_SECONDS)
         return Verdict.OWNER
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -13,6 +13,8 @@
 __all__ = ["StorePeers", "answer_call"]
 
 _CALL_SECONDS = 1.0
+# The calls whose answers rest on what lasts.
+_FROM_DISK = ("prepare", "accept", "read")
 
 
 def answer_call(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
@@ -30,14 +32,14 @@
     # Callers name only views that were chosen: the newer one is news for us.
     if call.view:
         acceptor.take_view(read_view(call.view))
+    if call.kind not in _FROM_DISK:
+        return None
     acceptor.settle_disk()
     if call.kind == "prepare":
         return acceptor.prepare(call)
     if call.kind == "accept":
         return acceptor.accept(call)
-    if call.kind == "read":
-        return acceptor.answer_read(call)
-    return None
+    return acceptor.answer_read(call)
 
 
 class StorePeers:
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -2,6 +2,7 @@
 
 import asyncio
 import math
+import secrets
 import signal
 import time
 from datetime import timedelta
@@ -52,7 +53,8 @@
         config = watch.config
         self._watch = watch
         self._config = config
-        self.catalogue = Catalogue(int(time.time() * 1000))
+        # Drawn, not read off the time of day, which may be set back to a past life's.
+        self.catalogue = Catalogue(secrets.randbits(48))
         self.store_client = StoreClient(
             inner_address(config.host, config, STORE), self._seed_stores, self._on_record
         )
--- a/marblefold/registry/site_news.py
+++ b/marblefold/registry/site_news.py
@@ -3,6 +3,7 @@
 Without partners and without owners in the stores nothing of it runs.
 """
 
+import os
 from collections.abc import Callable
 
 from marblefold.http_connections.call_router import CallRouter
@@ -11,6 +12,7 @@
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
 from marblefold.ownership.agent import OWNER_PREFIX, OWNERS_REGISTER, SiteAgent
+from marblefold.ownership.background_records import BackgroundRecords
 from marblefold.ownership.calls import Claimed, OwnerCalls
 from marblefold.ownership.claims import Owner, find_clashes, read_owners
 from marblefold.partners.calls import PartnerCalls
@@ -50,7 +52,10 @@
                 config.site,
                 own,
                 store_client,
-                RegisterFiles(config.data_directory),
+                # A folder of its own: the store cleans up in the one above.
+                BackgroundRecords(
+                    lambda: RegisterFiles(os.path.join(config.data_directory, "ownership"))
+                ),
                 lambda: self._find_claimed().claimants,
             )
             self.granter.site = config.site
--- /dev/null
+++ b/tests/test_failing_disks.py
@@ -0,0 +1,249 @@
+"""A store whose disk is full or fails refuses or is silent, and never lies."""
+
+import asyncio
+import contextlib
+import random
+
+import pytest
+
+from marblefold.errors import DiskError, MeshError
+from marblefold.inner_protocol.messages import kinds
+from marblefold.register_store.acceptor import META_RECORD, Acceptor, Standing
+from marblefold.register_store.ballots import Ballot
+from marblefold.register_store.peer_calls import answer_call
+from marblefold.register_store.program import open_acceptor
+from marblefold.register_store.register_files import RegisterFiles
+from marblefold.register_store.view import View
+from tests.many_changes import put, register_of
+from tests.simulated_core import Core
+from tests.simulated_disk import FOLDER, PowerLost, SimulatedDisk
+from tests.simulated_stores import MemoryRecords
+
+OWN, PEERS = "a:1", ["a:1", "b:1", "c:1"]
+REGISTERS = ["configuration", "evacuation/a"]
+
+
+class Machine:
+    """One acceptor on a disk in trouble, and all that it ever said."""
+
+    def __init__(self, monkeypatch, chance):
+        self.monkeypatch, self.chance = monkeypatch, chance
+        self.disk = SimulatedDisk()
+        self.disk.install(monkeypatch)
+        self.acceptor = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, True)
+        self.counter = 0
+        # By register, the highest ballots it promised and accepted by its word.
+        self.promised, self.accepted = {}, {}
+        self.lives = {}
+
+    def call(self, kind):
+        self.counter += 1
+        register = self.chance.choice(REGISTERS)
+        call = kinds.StoreCall(
+            kind=kind,
+            view=self.acceptor.pack_view(),
+            register=register,
+            ballot=kinds.Ballot(counter=self.counter, proposer="b:1"),
+            number=self.counter,
+            value=b"%d" % self.counter,
+            lives={OWN: self.acceptor.life},
+            sender="b:1",
+            sender_life=f"life {self.counter // 5}",
+        )
+        answer = answer_call(self.acceptor, call)
+        if not answer.agreed:
+            return answer
+        ballot = Ballot.read(call.ballot)
+        if kind == "read":
+            self.lives[call.sender] = call.sender_life
+        else:
+            self.promised[register] = ballot
+        if kind == "accept":
+            self.accepted[register] = ballot
+        return answer
+
+    def trouble(self):
+        self.disk.is_full = self.chance.random() < 0.5
+        # Where even scraps can't be removed a start may read anew, as if wiped.
+        self.disk.failing = {self.chance.choice(["sync", "open", "write"])}
+
+    def calm(self):
+        self.disk.is_full, self.disk.failing = False, set()
+
+    def end(self):
+        """Ends in the midst of an answer: the process, or the machine."""
+        self.disk.power_ends_at = self.disk.operations + self.chance.randint(1, 30)
+        with contextlib.suppress(PowerLost):
+            self.call(self.chance.choice(["prepare", "accept", "read"]))
+        if self.chance.random() < 0.7:
+            self.disk = SimulatedDisk(self.disk.random_state(self.chance))
+            self.disk.install(self.monkeypatch)
+        self.disk.power_ends_at = None
+        self.calm()
+        self.acceptor = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, False)
+
+    def check(self):
+        """What it said still holds, and it votes on."""
+        assert self.acceptor.standing is Standing.VOTING
+        for register, ballot in self.promised.items():
+            assert self.acceptor.holdings[register].promised >= ballot
+        for register, ballot in self.accepted.items():
+            assert self.acceptor.holdings[register].ballot >= ballot
+        for reader, life in self.lives.items():
+            assert self.acceptor.lives.get(reader) == life or life in self.acceptor._retired
+
+
+def test_whatever_an_acceptor_said_lasts_through_trouble_and_losses_of_power(monkeypatch):
+    for seed in range(400):
+        machine = Machine(monkeypatch, random.Random(seed))
+        for _ in range(8):
+            for _ in range(machine.chance.randint(1, 4)):
+                machine.call(machine.chance.choice(["prepare", "accept", "read"]))
+                machine.chance.choice([machine.trouble, machine.calm])()
+            machine.end()
+            machine.check()
+        assert machine.call("prepare").agreed and machine.call("read").agreed
+
+
+def test_a_reader_is_not_answered_before_its_life_is_on_disk(monkeypatch):
+    disk = SimulatedDisk()
+    disk.install(monkeypatch)
+    acceptor = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, True)
+    read = kinds.StoreCall(
+        kind="read", view=acceptor.pack_view(), sender="b:1", sender_life="second"
+    )
+    disk.is_full = True
+    # Asked again it knows the life in memory, which is not enough.
+    for _ in range(3):
+        answer = answer_call(acceptor, read)
+        assert not answer.agreed and answer.reason.startswith("disk")
+    disk.is_full = False
+    assert answer_call(acceptor, read).agreed
+    lasting = SimulatedDisk({name: inode.synced for name, inode in disk.durable.items()})
+    lasting.install(monkeypatch)
+    again = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, False)
+    assert again.lives == {"b:1": "second"}
+
+
+def test_a_start_on_a_disk_in_trouble_waits_in_silence_and_then_votes(monkeypatch):
+    disk = SimulatedDisk()
+    disk.install(monkeypatch)
+    first = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, True)
+    disk.failing = {"open"}
+    pauses = []
+
+    def sleep(seconds):
+        pauses.append(seconds)
+        if len(pauses) == 3:
+            disk.failing = set()
+
+    acceptor = open_acceptor(OWN, FOLDER, PEERS, False, sleep)
+    assert len(pauses) == 3
+    assert acceptor.life == first.life and acceptor.standing is Standing.VOTING
+
+
+def test_a_first_start_on_a_full_disk_refuses_until_there_is_room(monkeypatch):
+    disk = SimulatedDisk()
+    disk.install(monkeypatch)
+    disk.is_full = True
+    acceptor = open_acceptor(OWN, FOLDER, PEERS, True, sleep=lambda _seconds: pytest.fail())
+    prepare = kinds.StoreCall(
+        kind="prepare",
+        view=acceptor.pack_view(),
+        register="configuration",
+        ballot=kinds.Ballot(counter=1, proposer="b:1"),
+    )
+    assert not answer_call(acceptor, prepare).agreed
+    disk.is_full = False
+    assert answer_call(acceptor, prepare).agreed
+
+
+class FailingRecords(MemoryRecords):
+    """A disk that is full for as long as the test says so."""
+
+    is_full = False
+
+    def write(self, name, data):
+        if self.is_full:
+            raise DiskError("write", "No space left on device")
+        super().write(name, data)
+
+
+def test_a_full_disk_stops_neither_the_changes_nor_what_registries_hear():
+    async def test():
+        core = Core(3, FailingRecords)
+        full = core.members[core.addresses[2]]
+        full.records.is_full = True
+        # By the others, and by the store itself, whose own vote is then missing.
+        for number, by in enumerate(core.addresses, 1):
+            await core.change(by, register_of(1), put(1, number))
+        await core.run_round()
+        assert full.chosen.holdings[register_of(1)].number == 3
+        assert register_of(1) not in full.acceptor.holdings
+        # Room again: the copy that is owed is kept with the next round.
+        full.records.is_full = False
+        await core.run_round()
+        assert full.acceptor.holdings[register_of(1)].number == 3
+
+    asyncio.run(test())
+
+
+def test_two_full_disks_of_three_make_changes_unknown_and_lose_nothing():
+    async def test():
+        core = Core(3, FailingRecords)
+        await core.change(core.addresses[0], register_of(1), put(1, 1))
+        for address in core.addresses[1:]:
+            core.members[address].records.is_full = True
+        with pytest.raises(MeshError, match="no majority"):
+            await core.members[core.addresses[0]].proposer.change(register_of(1), put(1, 2), 0.0)
+        for member in core.members.values():
+            member.records.is_full = False
+        for address in core.addresses:
+            core.restart(address)
+        await core.run_round()
+        holding = await core.change(core.addresses[1], register_of(1), put(1, 3))
+        assert holding.number in (2, 3)
+
+    asyncio.run(test())
+
+
+def test_a_store_that_hangs_holds_up_no_proposer():
+    async def test():
+        core = Core(3)
+        hung = core.members[core.addresses[2]]
+        never = asyncio.get_running_loop().create_future()
+        reached = core.members[core.addresses[0]].call
+
+        async def call(peer, message):
+            # Its disk answers nothing, so its loop answers nobody.
+            return await (never if peer == hung.address else reached(peer, message))
+
+        core.members[core.addresses[0]].call = call
+        async with asyncio.timeout(20):
+            for number in range(1, 21):
+                holding = await core.members[core.addresses[0]].proposer.change(
+                    register_of(1), put(1, number), 1.0
+                )
+                assert holding.number == number
+        never.cancel()
+
+    asyncio.run(test())
+
+
+def test_a_view_that_could_not_be_written_is_written_before_the_next_answer(monkeypatch):
+    disk = SimulatedDisk()
+    disk.install(monkeypatch)
+    acceptor = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, True)
+    following = View(2, "mark", (*PEERS, "d:1"))
+    prepare = kinds.StoreCall(
+        kind="prepare",
+        view=following.pack(),
+        register="configuration",
+        ballot=kinds.Ballot(counter=1, proposer="b:1"),
+    )
+    disk.is_full = True
+    assert not answer_call(acceptor, prepare).agreed
+    disk.is_full = False
+    assert answer_call(acceptor, prepare).agreed
+    again = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, False)
+    assert again.view == following
