--- a/marblefold/register_store/chosen_registers.py
+++ b/marblefold/register_store/chosen_registers.py
@@ -1,6 +1,7 @@
 """What is known to be chosen, and who wants to hear of it."""
 
-import hashlib
+# The accelerator itself: hashlib would load OpenSSL, 4 MB in every process.
+from _blake2 import blake2b
 
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message
@@ -48,7 +49,7 @@
         """Tells whether two stores know the same: 16 bytes over registers and ballots."""
         if not self._digest:
             marks = sorted((name, *holding.ballot) for name, holding in self.holdings.items())
-            self._digest = hashlib.blake2b(repr(marks).encode(), digest_size=16).digest()
+            self._digest = blake2b(repr(marks).encode(), digest_size=16).digest()
         return self._digest
 
     def ballots(self) -> list[kinds.Accepted]:
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -2,7 +2,7 @@
 
 import asyncio
 import math
-import secrets
+import os
 import signal
 import time
 from datetime import timedelta
@@ -54,7 +54,7 @@
         self._watch = watch
         self._config = config
         # Drawn, not read off the time of day, which may be set back to a past life's.
-        self.catalogue = Catalogue(secrets.randbits(48))
+        self.catalogue = Catalogue(int.from_bytes(os.urandom(6)))
         self.store_client = StoreClient(
             inner_address(config.host, config, STORE), self._seed_stores, self._on_record
         )
