--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -26,6 +26,8 @@
         return _answer_from_disk(acceptor, call)
     except DiskError as error:
         return kinds.StoreAnswer(reason=f"disk: {error.reason}")
+    except MeshError as error:
+        return kinds.StoreAnswer(reason=str(error))
 
 
 def _answer_from_disk(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -207,29 +207,6 @@
     asyncio.run(test())
 
 
-def test_a_store_that_hangs_holds_up_no_proposer():
-    async def test():
-        core = Core(3)
-        hung = core.members[core.addresses[2]]
-        never = asyncio.get_running_loop().create_future()
-        reached = core.members[core.addresses[0]].call
-
-        async def call(peer, message):
-            # Its disk answers nothing, so its loop answers nobody.
-            return await (never if peer == hung.address else reached(peer, message))
-
-        core.members[core.addresses[0]].call = call
-        async with asyncio.timeout(20):
-            for number in range(1, 21):
-                holding = await core.members[core.addresses[0]].proposer.change(
-                    register_of(1), put(1, number), 1.0
-                )
-                assert holding.number == number
-        never.cancel()
-
-    asyncio.run(test())
-
-
 def test_a_view_that_could_not_be_written_is_written_before_the_next_answer(monkeypatch):
     disk = SimulatedDisk()
     disk.install(monkeypatch)
@@ -247,3 +224,13 @@
     assert answer_call(acceptor, prepare).agreed
     again = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, False)
     assert again.view == following
+
+
+def test_a_register_whose_name_no_file_can_bear_is_refused_and_stops_no_other(tmp_path):
+    acceptor = Acceptor(OWN, RegisterFiles(str(tmp_path), META_RECORD), PEERS, True)
+    for register, is_agreed in (("evacuation/" + "z" * 250, False), ("evacuation/z", True)):
+        ballot = kinds.Ballot(counter=1, proposer="b:1")
+        prepare = kinds.StoreCall(
+            kind="prepare", view=acceptor.pack_view(), register=register, ballot=ballot
+        )
+        assert answer_call(acceptor, prepare).agreed is is_agreed
--- a/tests/test_hung_disks.py
+++ b/tests/test_hung_disks.py
@@ -1,4 +1,4 @@
-"""Disks that answer nothing, or lose what is written, under a registry that serves on."""
+"""Disks that answer nothing, or lose what is written, in one program; the others go on."""
 
 import asyncio
 import json
@@ -11,9 +11,34 @@
 from marblefold.history import keeper as history
 from marblefold.http_connections.call_router import Call
 from marblefold.ownership.background_records import BackgroundRecords
+from tests.many_changes import put, register_of
+from tests.simulated_core import Core
 from tests.test_ownership import Disk, Ownership
 
 
+def test_a_store_that_hangs_holds_up_no_proposer():
+    async def test():
+        core = Core(3)
+        hung = core.members[core.addresses[2]]
+        never = asyncio.get_running_loop().create_future()
+        reached = core.members[core.addresses[0]].call
+
+        async def call(peer, message):
+            # Its disk answers nothing, so its loop answers nobody.
+            return await (never if peer == hung.address else reached(peer, message))
+
+        core.members[core.addresses[0]].call = call
+        async with asyncio.timeout(20):
+            for number in range(1, 21):
+                holding = await core.members[core.addresses[0]].proposer.change(
+                    register_of(1), put(1, number), 1.0
+                )
+                assert holding.number == number
+        never.cancel()
+
+    asyncio.run(test())
+
+
 class HungRecords:
     """A disk that answers nothing until the test lets it."""
 
