--- a/marblefold/register_store/comparing.py
+++ b/marblefold/register_store/comparing.py
@@ -6,7 +6,6 @@
 """
 
 import asyncio
-import random
 from collections.abc import Awaitable, Callable
 
 from marblefold.errors import DiskError, MeshError
@@ -14,44 +13,47 @@
 from marblefold.logs import log
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.ballots import Holding, read_holding
+from marblefold.register_store.calls import CallKind
 from marblefold.register_store.chosen_registers import ChosenRegisters
+from marblefold.register_store.store_timing import REAL_TIMING, StoreTiming
+from marblefold.register_store.view import read_view
 
 __all__ = ["Comparing", "answer_comparison"]
 
-# The answer of each peer asked, in their order; None from one that gave none.
-AskEach = Callable[[list[str], kinds.StoreCall], Awaitable[list[kinds.StoreAnswer | None]]]
+# The answers by peer, of those that answer.
+AskAll = Callable[[list[str], kinds.StoreCall], Awaitable[dict[str, kinds.StoreAnswer]]]
 
 
 class Comparing:
     """One store's side of comparing."""
 
-    def __init__(self, acceptor: Acceptor, chosen: ChosenRegisters, ask_each: AskEach) -> None:
+    def __init__(
+        self,
+        acceptor: Acceptor,
+        chosen: ChosenRegisters,
+        ask_all: AskAll,
+        timing: StoreTiming = REAL_TIMING,
+    ) -> None:
         self._acceptor = acceptor
         self._chosen = chosen
-        self._ask_each = ask_each
-
-    async def run_round(self) -> None:
-        """Compares with every other member, and catches up with one that differs."""
-        acceptor = self._acceptor
-        if acceptor.view is None:
-            return
-        others = [peer for peer in acceptor.view.members if peer != acceptor.address]
+        self._ask_all = ask_all
+        self._timing = timing
+
+    async def run_round(self, others: list[str]) -> None:
+        """Compares with the stores named, and catches up with one that differs."""
         call = kinds.StoreCall(
-            kind="compare", view=acceptor.pack_view(), value=self._chosen.digest()
+            kind=CallKind.COMPARE,
+            view=self._acceptor.pack_view(),
+            value=self._chosen.digest(),
         )
-        answers = await self._ask_each(others, call)
-        differing = [
-            peer
-            for peer, answer in zip(others, answers, strict=True)
-            if answer is not None and not answer.agreed
-        ]
-        # A store of the version before knows no digests: it sends everything.
-        for answer in answers:
-            if answer is not None:
-                await self._take_all(answer)
+        answers = await self._ask_all(others, call)
+        for answer in answers.values():
+            if answer.view:
+                self._acceptor.take_view(read_view(answer.view))
+        differing = [peer for peer, answer in answers.items() if not answer.agreed]
         if differing:
             # One at a time: all of them would send the same over one link.
-            await self._catch_up(random.choice(differing))
+            await self._catch_up(self._pick(differing))
         self._keep_copies()
 
     def take(self, register: str, holding: Holding) -> bool:
@@ -69,14 +71,19 @@
         held = self._acceptor.holdings.get(register)
         return known is not None and (held is None or held.ballot <= known.ballot)
 
+    def _pick(self, peers: list[str]) -> str:
+        return min(peers, key=lambda _peer: self._timing.uniform(0, 1))
+
     async def _catch_up(self, peer: str) -> None:
         """Takes answer after answer until one holds no news; MeshError if one is missing."""
         is_behind = True
         while is_behind:
             call = kinds.StoreCall(
-                kind="compare", view=self._acceptor.pack_view(), chosen=self._chosen.ballots()
+                kind=CallKind.COMPARE,
+                view=self._acceptor.pack_view(),
+                chosen=self._chosen.ballots(),
             )
-            answer = (await self._ask_each([peer], call))[0]
+            answer = (await self._ask_all([peer], call)).get(peer)
             if answer is None:
                 # The next round asks another, before anything is settled here.
                 raise MeshError("compare", "no answer", peer)
@@ -105,8 +112,16 @@
         return True
 
 
-def answer_comparison(chosen: ChosenRegisters, call: kinds.StoreCall) -> kinds.StoreAnswer:
-    """Whether the caller knows the same, or what is newer here than its ballots."""
+def answer_comparison(
+    chosen: ChosenRegisters, call: kinds.StoreCall, view: bytes
+) -> kinds.StoreAnswer:
+    """Whether the caller knows the same, or what is newer here than its ballots.
+
+    The view goes along where the caller named another one.
+    """
+    if call.view == view:
+        view = b""
     if call.value:
-        return kinds.StoreAnswer(agreed=call.value == chosen.digest())
-    return kinds.StoreAnswer(agreed=True, accepted=chosen.newer_than(list(call.chosen)))
+        return kinds.StoreAnswer(agreed=call.value == chosen.digest(), view=view)
+    accepted = chosen.newer_than(list(call.chosen))
+    return kinds.StoreAnswer(agreed=True, view=view, accepted=accepted)
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -1,6 +1,7 @@
 """Carries calls between stores, our own acceptor among those called."""
 
 import time
+from collections.abc import Callable
 
 from marblefold.errors import DiskError, MeshError
 from marblefold.inner_protocol.frames import FrameKind
@@ -8,13 +9,14 @@
 from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.ballots import Holding, pack_holding
+from marblefold.register_store.calls import CallKind
 from marblefold.register_store.view import View, read_view
 
 __all__ = ["StorePeers", "answer_call"]
 
 _CALL_SECONDS = 1.0
 # The calls whose answers rest on what lasts.
-_FROM_DISK = ("prepare", "accept", "read")
+_FROM_DISK = (CallKind.PREPARE, CallKind.ACCEPT, CallKind.READ)
 
 
 def answer_call(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
@@ -37,9 +39,9 @@
     if call.kind not in _FROM_DISK:
         return None
     acceptor.settle_disk()
-    if call.kind == "prepare":
+    if call.kind == CallKind.PREPARE:
         return acceptor.prepare(call)
-    if call.kind == "accept":
+    if call.kind == CallKind.ACCEPT:
         return acceptor.accept(call)
     return acceptor.answer_read(call)
 
@@ -47,10 +49,16 @@
 class StorePeers:
     """The other stores, and when each was last heard."""
 
-    def __init__(self, acceptor: Acceptor, peers: PeerBook) -> None:
+    def __init__(
+        self,
+        acceptor: Acceptor,
+        peers: PeerBook,
+        clock: Callable[[], float] = time.monotonic,
+    ) -> None:
         self.heard: dict[str, float] = {}
         self._acceptor = acceptor
         self._peers = peers
+        self._clock = clock
 
     def current_view(self) -> View | None:
         """The newest chosen view known."""
@@ -62,14 +70,14 @@
 
     def note_heard(self, peer: str) -> None:
         """The peer said something."""
-        self.heard[peer] = time.monotonic()
+        self.heard[peer] = self._clock()
 
     def silence(self, peer: str, since: float) -> float:
-        """For how long the peer has said nothing."""
-        return time.monotonic() - max(self.heard.get(peer, since), since)
+        """For how many seconds the peer has said nothing."""
+        return self._clock() - max(self.heard.get(peer, since), since)
 
     def tell_chosen(self, peer: str, register: str, holding: Holding) -> None:
-        """Tells a peer that is in reach what was chosen; repair does the rest."""
+        """Tells a peer that is in reach what was chosen; comparing does the rest."""
         connection = self._peers.find(peer)
         if connection is not None:
             connection.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
--- /dev/null
+++ b/marblefold/register_store/settling.py
@@ -0,0 +1,52 @@
+"""Finds out by ballot what the registers hold, and takes in what is chosen."""
+
+from marblefold.register_store.acceptor import Acceptor
+from marblefold.register_store.ballots import Holding
+from marblefold.register_store.changes import Change, keep
+from marblefold.register_store.comparing import Comparing
+from marblefold.register_store.peer_calls import StorePeers
+from marblefold.register_store.proposer import Proposer
+
+__all__ = ["Settler"]
+
+_SETTLE_SECONDS = 1.5
+
+
+class Settler:
+    """Proposes on a store's own account, and spreads what comes of it."""
+
+    def __init__(
+        self,
+        acceptor: Acceptor,
+        proposer: Proposer,
+        peers: StorePeers,
+        comparing: Comparing,
+    ) -> None:
+        self._acceptor = acceptor
+        self._proposer = proposer
+        self._peers = peers
+        self._comparing = comparing
+
+    async def settle(self, register: str) -> None:
+        """A ballot that changes nothing: what the register holds, a majority holds."""
+        await self.propose(register, keep)
+
+    async def settle_all(self) -> None:
+        """Settles every register that is known here; MeshError if one cannot be."""
+        for register in list(self._acceptor.holdings):
+            await self.settle(register)
+
+    async def propose(self, register: str, change: Change) -> Holding:
+        """What holds after the change, taken in here and told to the members."""
+        holding = await self._proposer.change(register, change, _SETTLE_SECONDS)
+        self.take_chosen(register, holding)
+        # After a start of all, each register is settled by one and not by every one.
+        if holding.value and self._acceptor.view:
+            for member in self._acceptor.view.members:
+                if member != self._acceptor.address:
+                    self._peers.tell_chosen(member, register, holding)
+        return holding
+
+    def take_chosen(self, register: str, holding: Holding) -> None:
+        """Something is known to be chosen."""
+        self._comparing.take(register, holding)
--- a/tests/test_hung_disks.py
+++ b/tests/test_hung_disks.py
@@ -12,7 +12,7 @@
 from marblefold.http_connections.call_router import Call
 from marblefold.ownership.background_records import BackgroundRecords
 from tests.many_changes import put, register_of
-from tests.simulated_core import Core
+from tests.simulated_replicas import Core
 from tests.test_ownership import Disk, Ownership
 
 
