--- a/marblefold/http_connections/target_connections.py
+++ b/marblefold/http_connections/target_connections.py
@@ -4,10 +4,14 @@
 import time
 
 from marblefold.errors import MeshError
-from marblefold.http_connections.target_connection import ConnectionState, TargetConnection
+from marblefold.http_connections.target_connection import (
+    CONNECT_STEP,
+    ConnectionState,
+    TargetConnection,
+)
 from marblefold.node_config.reading import Address
 
-__all__ = ["TargetConnections"]
+__all__ = ["CONNECT_STEP", "TargetConnections"]
 
 # A target that forgot a connection is thought to forget the next ones after half
 # of that rest; the memory of it fades, since such troubles pass.
@@ -75,6 +79,12 @@
         if connection.finish():
             self._kept.append(connection)
 
+    def put_back(self, connection: TargetConnection) -> None:
+        """Keeps a connection that was taken and not written to."""
+        self._used -= 1
+        if connection.state is ConnectionState.IDLE:
+            self._kept.append(connection)
+
     def discard(self, connection: TargetConnection) -> None:
         """Ends a connection that was in use."""
         self._used -= 1
@@ -131,9 +141,7 @@
                     self._address.port,
                 )
         except (OSError, TimeoutError) as error:
-            raise MeshError(
-                "connect to target", str(error) or "no answer", str(self._address)
-            ) from error
+            raise MeshError(CONNECT_STEP, str(error) or "no answer", str(self._address)) from error
         self._note_heard()
         return connection
 
--- a/marblefold/request_path/target_caller.py
+++ b/marblefold/request_path/target_caller.py
@@ -9,7 +9,8 @@
 from marblefold import wire_names
 from marblefold.errors import MeshError
 from marblefold.http_connections.heads import ANSWER_ONLY_HERE, find_header, make_header_block
-from marblefold.http_connections.target_connection import TargetAnswer, TargetConnection
+from marblefold.http_connections.target_answer import TargetAnswer
+from marblefold.http_connections.target_connection import ConnectionLostUnused, TargetConnection
 from marblefold.http_connections.target_connections import TargetConnections
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
@@ -25,6 +26,8 @@
 # twice.
 _LONGEST_REST = 0.2
 _PROMISES = (408, 421, 429, 503)
+# Less time than this is not worth an offer.
+_LEAST_SECONDS = 0.003
 
 
 class TargetCaller:
@@ -40,26 +43,42 @@
         seconds: float,
         may_send: Callable[[], bool] | None = None,
     ):
-        """The AnswerHead of the hop; the body may follow on the exchange."""
-        started = time.monotonic()
+        """The AnswerHead of the hop; the body may follow on the exchange.
+
+        The request must be answered within the given seconds.  NEVER_OFFERED
+        is said only where not a byte of it was written to the target.
+        """
+        deadline = time.monotonic() + seconds
         try:
             # Whatever goes out on a connection that the target forgot may have run.
             rest = None if head.route_type == wire_names.READ_ONLY else _LONGEST_REST
             connection = await self._connections.take(rest)
         except MeshError as error:
             return _never_offered(error.step)
-        is_kept = False
         # Asked with the connection in hand: nothing is waited for from here on.
+        # Opening it took its time, and the whole process may have stood still.
+        left = deadline - time.monotonic()
+        if left < _LEAST_SECONDS:
+            self._connections.put_back(connection)
+            return _never_offered("deadline")
         if may_send is not None and not may_send():
-            self._connections.discard(connection)
+            self._connections.put_back(connection)
             return _never_offered("not allowed any more")
+        head.deadline_left_ms = min(head.deadline_left_ms, max(1, int(left * 1000)))
+        return await self._offer_on(connection, exchange, head, left)
+
+    async def _offer_on(self, connection: TargetConnection, exchange: Exchange, head, left: float):
+        """Writes the request to the connection and reads what comes of it."""
+        is_kept = False
         try:
-            async with asyncio.timeout(max(0.001, seconds - (time.monotonic() - started))):
+            async with asyncio.timeout(left):
                 answer = await self._exchange(connection, exchange, head)
                 result, is_kept = await self._relay(answer, exchange, head.expected_instance != "")
                 return result
         except TimeoutError:
             return _unknown("deadline")
+        except ConnectionLostUnused as error:
+            return _never_offered(error.step)
         except MeshError as error:
             return _unknown(error.step)
         except (ConnectionError, HttpProcessingError) as error:
@@ -76,7 +95,7 @@
     ) -> TargetAnswer:
         await connection.begin(pack_request(head), head.attempt_id.encode("latin-1", "replace"))
         if head.body_follows:
-            await _send_rest(connection, exchange, head.body_length < 0)
+            await _send_rest(connection, exchange, head)
         return await connection.answer()
 
     async def _relay(self, answer: TargetAnswer, exchange: Exchange, is_sealed: bool):
@@ -158,13 +177,20 @@
     )
 
 
-async def _send_rest(connection: TargetConnection, exchange: Exchange, is_chunked: bool) -> None:
+async def _send_rest(connection: TargetConnection, exchange: Exchange, head) -> None:
+    is_chunked = head.body_length < 0
+    sent = len(head.body)
     while chunk := await exchange.incoming.read():
+        sent += len(chunk)
         if is_chunked:
             chunk = b"%x\r\n" % len(chunk) + chunk + b"\r\n"
         await connection.send(chunk)
     if is_chunked:
         await connection.send(b"0\r\n\r\n")
+    elif sent != head.body_length:
+        # A target that answered early would take the next request's bytes for
+        # the rest of this body.
+        raise MeshError("body", f"{sent} bytes of {head.body_length}")
 
 
 def _read_load(answer: TargetAnswer, result) -> None:
