--- a/marblefold/inner_protocol/body_pipe.py
+++ b/marblefold/inner_protocol/body_pipe.py
@@ -42,6 +42,11 @@
         self._broken = error
         self._wake()
 
+    @property
+    def is_ended(self) -> bool:
+        """Whether the whole body has come, read or not."""
+        return self._ended
+
     async def read(self) -> bytes:
         """The next chunk, or nothing at the end of a whole body."""
         while not self._chunks:
--- a/marblefold/inner_protocol/exchange.py
+++ b/marblefold/inner_protocol/exchange.py
@@ -3,25 +3,38 @@
 import asyncio
 import struct
 from collections.abc import Callable
-from typing import TYPE_CHECKING
+from typing import Protocol
 
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.frames import FrameKind
 
-if TYPE_CHECKING:
-    from marblefold.inner_protocol.peer_connection import PeerConnection
-
-__all__ = ["Exchange", "take_frame"]
+__all__ = ["Exchange", "FrameCarrier", "take_frame"]
 
 _CREDIT = struct.Struct("!I")
 _CHUNK = 64 * 1024
 
 
+class FrameCarrier(Protocol):
+    """What an exchange asks of the connection that carries it."""
+
+    peer: str
+
+    def send(self, kind: int, number: int, payload: bytes = b"") -> None: ...
+
+    async def drain(self) -> None: ...
+
+    def forget(self, number: int) -> None: ...
+
+
 class Exchange:
-    """One hop on a connection, at either end."""
+    """One hop on a connection, at either end.
 
-    def __init__(self, connection: "PeerConnection", number: int, credit: int) -> None:
+    Its number is its own for as long as the connection lasts, so a frame that
+    comes late can only be for an exchange that is over.
+    """
+
+    def __init__(self, connection: FrameCarrier, number: int, credit: int) -> None:
         self.connection = connection
         self.number = number
         self.answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
@@ -75,6 +88,12 @@
         """The exchange is over at this end."""
         self.connection.forget(self.number)
 
+    def abandon(self) -> None:
+        """The sender waits no longer: the peer is told, whatever it is at."""
+        if not self.incoming.is_ended:
+            self.send(FrameKind.CANCEL)
+        self.close()
+
     def grant(self, size: int) -> None:
         """Lets the peer send more of the body."""
         self.connection.send(FrameKind.CREDIT, self.number, _CREDIT.pack(size))
--- a/marblefold/inner_protocol/peer_book.py
+++ b/marblefold/inner_protocol/peer_book.py
@@ -26,13 +26,17 @@
         self._keep_alive = keep_alive
         self._connect_seconds = connect_seconds
         self._connections: dict[str, PeerConnection] = {}
+        # Used up; they end with their last exchange.
+        self._replaced: set[PeerConnection] = set()
         self._connecting: dict[str, asyncio.Task] = {}
         self._shunned_until: dict[str, float] = {}
 
     def find(self, peer: str) -> PeerConnection | None:
         """The open connection to the peer, if there is one now."""
         connection = self._connections.get(peer)
-        return connection if connection is not None and connection.is_open else None
+        if connection is None or not connection.is_open or connection.is_used_up:
+            return None
+        return connection
 
     async def reach(self, peer: str) -> PeerConnection:
         """An open connection to the peer, or a MeshError if it cannot be had soon."""
@@ -51,7 +55,9 @@
 
     def connections(self) -> list[PeerConnection]:
         """The connections that are open now."""
-        return [connection for connection in self._connections.values() if connection.is_open]
+        self._replaced = {connection for connection in self._replaced if connection.is_open}
+        known = [*self._connections.values(), *self._replaced]
+        return [connection for connection in known if connection.is_open]
 
     def drop(self, peer: str) -> None:
         """Ends the connection to a peer that is gone."""
@@ -72,6 +78,8 @@
         """Ends all connections."""
         for peer in list(self._connections):
             self.drop(peer)
+        for connection in self._replaced:
+            connection.close()
 
     def _note_connected(self, peer: str, done: asyncio.Task) -> None:
         self._connecting.pop(peer, None)
@@ -93,5 +101,8 @@
             self._shunned_until[peer] = time.monotonic() + _SHUN_SECONDS
             raise MeshError("connect", str(error) or "no answer", peer) from error
         self._shunned_until.pop(peer, None)
+        old = self._connections.get(peer)
+        if old is not None and old.is_open:
+            self._replaced.add(old)
         self._connections[peer] = connection
         return connection
--- a/marblefold/inner_protocol/peer_connection.py
+++ b/marblefold/inner_protocol/peer_connection.py
@@ -10,10 +10,12 @@
 from marblefold.inner_protocol.exchange import Exchange, take_frame
 from marblefold.inner_protocol.frames import Frame, FrameKind, FrameReader, pack_frame
 
-__all__ = ["PeerConnection", "PEER_KEEP_ALIVE", "ConnectionOwner"]
+__all__ = ["ConnectionOwner", "LAST_NUMBER", "PEER_KEEP_ALIVE", "PeerConnection"]
 
 # A cut says nothing: bytes not acknowledged for so long end the connection.
 _UNHEARD_MILLISECONDS = 2000
+# The largest number that a frame holds.
+LAST_NUMBER = 0xFFFFFFFF
 # Where many peers are connected, idle connections are asked for a sign of life
 # rarely: every node has one to every other, so what they say grows with all of
 # them.  Hops in flight are looked after by pings, and probes of members tell
@@ -104,24 +106,41 @@
         """Whether nothing is under way on it."""
         return not self._exchanges and not self._calls
 
+    @property
+    def is_used_up(self) -> bool:
+        """Whether no number is left that was never used here.
+
+        A number is not used twice, so what comes late for an exchange that
+        was given up cannot reach another one.
+        """
+        return self._next_number >= LAST_NUMBER
+
     def open_exchange(self) -> Exchange:
-        """Begins a hop toward the peer."""
-        self._next_number += 1
+        """Begins a hop toward the peer; a MeshError means that nothing was sent."""
+        if not self.is_open:
+            raise MeshError("connect", "connection is closed", self.peer)
         # The guard lets a body come when it has a place for it.
-        exchange = Exchange(self, self._next_number, 0)
+        exchange = Exchange(self, self._take_number(), 0)
         self._exchanges[exchange.number] = exchange
         return exchange
 
     def forget(self, number: int) -> None:
         """Drops an exchange that is over."""
         self._exchanges.pop(number, None)
+        if self.is_used_up and self.is_idle:
+            self.close()
+
+    def _take_number(self) -> int:
+        if self.is_used_up:
+            raise MeshError("connect", "numbers are used up", self.peer)
+        self._next_number += 1
+        return self._next_number
 
     async def call(self, message: bytes, seconds: float) -> bytes:
         """Sends a message and waits for the reply, or a MeshError."""
         if not self.is_open:
             raise MeshError("call", "connection is closed", self.peer)
-        self._next_number += 1
-        number = self._next_number
+        number = self._take_number()
         future = asyncio.get_running_loop().create_future()
         self._calls[number] = future
         self.send(FrameKind.CALL, number, message)
@@ -162,6 +181,9 @@
     def _take(self, frame: Frame) -> None:
         kind, number, payload = frame
         if kind == FrameKind.HEAD:
+            # No peer of ours begins two hops under one number.
+            if number in self._exchanges:
+                raise ValueError(f"a second hop with number {number}")
             exchange = Exchange(self, number, FIRST_CREDIT)
             self._exchanges[number] = exchange
             self._owner.on_hop(exchange, payload)
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -1,6 +1,7 @@
 """Sends one hop to the proxy beside a target and tells how it ended."""
 
 import asyncio
+import math
 import time
 from collections.abc import Callable
 from typing import Protocol
@@ -25,6 +26,8 @@
 # A sign of life may stand behind so much else on a narrow link.
 _AHEAD_BYTES = 96 * 1024
 _LOOK_SECONDS = 0.1
+# Less time than this is not worth a hop.
+_LEAST_SECONDS = 0.004
 # How long after the deadline the guard's own word is still waited for.
 _GUARD_WORD_SECONDS = 0.03
 
@@ -86,15 +89,24 @@
         seconds: float,
     ) -> HopResult:
         """The hop's end; it raises only BodyTooLarge and a lost client."""
+        started = time.monotonic()
         try:
             connection = await self._peers.reach(peer)
+            exchange = connection.open_exchange()
         except MeshError as error:
             # No connection, nothing sent: certain.
             return HopResult(HopOutcome.NEVER_OFFERED, step=error.step)
-        exchange = connection.open_exchange()
+        # Reaching the peer took its time, and this process may have stood still.
+        spent = time.monotonic() - started
+        seconds -= spent
+        if seconds < _LEAST_SECONDS:
+            exchange.close()
+            return HopResult(HopOutcome.NEVER_OFFERED, step="deadline")
+        _take_off(head, spent)
         exchange.is_repeatable = head.route_type == wire_names.READ_ONLY
         sender: asyncio.Task | None = None
         is_over = False
+        has_answer = False
         try:
             exchange.send(FrameKind.HEAD, head.SerializeToString())
             if head.body_follows:
@@ -104,8 +116,9 @@
             async with asyncio.timeout(seconds + _GUARD_WORD_SECONDS):
                 payload = await exchange.answer
             answer_head = kinds.AnswerHead.FromString(payload)
+            has_answer = True
             is_over = not answer_head.body_follows
-            return make_result(answer_head, exchange.incoming, exchange.close, request.method)
+            return make_result(answer_head, exchange.incoming, exchange.abandon, request.method)
         except TimeoutError:
             return HopResult(HopOutcome.UNKNOWN, step="deadline")
         except MeshError as error:
@@ -113,17 +126,23 @@
             if too_large and isinstance(sender.exception(), BodyTooLarge):
                 raise sender.exception() from error
             return HopResult(HopOutcome.UNKNOWN, step=error.step)
-        except asyncio.CancelledError:
-            exchange.send(FrameKind.CANCEL)
-            raise
         finally:
             if sender is not None and not sender.done():
                 sender.cancel()
-            if is_over or not exchange.answer.done() or exchange.broken:
-                # A guard still at work is told that nobody waits.
-                if not exchange.answer.done():
-                    exchange.send(FrameKind.CANCEL)
+            if is_over:
                 exchange.close()
+            elif not has_answer:
+                # A guard still at work is told that nobody waits; one that is
+                # silent now finds this behind the hop and does not begin it.
+                exchange.abandon()
+
+
+def _take_off(head, spent: float) -> None:
+    """The guard and the target are handed no more time than is left."""
+    milliseconds = math.ceil(spent * 1000)
+    head.deadline_left_ms = max(1, head.deadline_left_ms - milliseconds)
+    head.queue_left_ms = max(0, head.queue_left_ms - milliseconds)
+    head.aim_left_ms -= milliseconds
 
 
 async def _send_rest(exchange: Exchange, request: ClientRequest, bound: int) -> None:
--- a/tests/simulated_connections.py
+++ b/tests/simulated_connections.py
@@ -17,10 +17,13 @@
         self.written = bytearray()
         self.moved = 0
         self.is_open = True
+        # Called in the moment in which something is written.
+        self.on_write = lambda: None
 
     def write(self, data):
         if self.is_open:
             self.written += data
+            self.on_write()
 
     def close(self):
         self.lose(None)
@@ -84,6 +87,13 @@
         self._patch = mock.patch.object(time, "monotonic", lambda: self.now)
         self._patch.start()
         self.loop = ListLoop()
+        # What was found wrong inside the programs' own tasks, which go on.
+        self.faults = []
+
+    def expect(self, holds, *what):
+        """As assert, from inside a task that would take an error for its own."""
+        if not holds:
+            self.faults.append(what)
 
     def turn(self, turns=8):
         async def turn():
--- /dev/null
+++ b/tests/simulated_peer.py
@@ -0,0 +1,78 @@
+"""The far end of hops: one life of a peer, which answers when the test says so."""
+
+import asyncio
+
+from marblefold.errors import MeshError
+from marblefold.inner_protocol.frames import FrameKind
+from marblefold.inner_protocol.messages import kinds
+
+
+class Body:
+    """The body of a request, in parts."""
+
+    method = "POST"
+
+    def __init__(self, text):
+        self._parts = [text[place : place + 5] for place in range(0, len(text), 5)]
+
+    async def read_chunk(self, _most):
+        return self._parts.pop(0) if self._parts else b""
+
+
+class Hop:
+    """A hop as the far end holds it."""
+
+    def __init__(self, name, exchange, stage):
+        self.name, self.exchange, self.is_cancelled, self.is_over = name, exchange, False, False
+        self.tasks, self.body = [], None
+        # Set when the rest of a long answer may go.
+        self.gate, self.is_answering = asyncio.Event(), False
+        exchange.on_cancel = self.cancel
+        self.stage = stage
+
+    def cancel(self):
+        self.is_cancelled = self.is_over = True
+        for task in self.tasks:
+            task.cancel()
+        self.exchange.close()
+
+    async def read(self):
+        body = b""
+        try:
+            while chunk := await self.exchange.incoming.read():
+                body += chunk
+                self.exchange.grant(len(chunk))
+        except MeshError:
+            return
+        self.body = body
+
+    async def answer_at_length(self, head):
+        self.exchange.send(FrameKind.ANSWER, head.SerializeToString())
+        try:
+            await self.exchange.send_body(b"answer ")
+            await self.gate.wait()
+            await self.exchange.send_body(b"of " + self.name.encode())
+        except MeshError:
+            return
+        self.exchange.send(FrameKind.BODY_END)
+        self.exchange.close()
+        self.is_over = True
+
+
+class Far:
+    """One life of the peer."""
+
+    def __init__(self, machine):
+        self.machine, self.hops = machine, []
+
+    def on_hop(self, exchange, payload):
+        head = kinds.RequestHead.FromString(payload)
+        hop = Hop(head.attempt_id, exchange, self.machine.stage)
+        self.hops.append(hop)
+        self.machine.hops.append(hop)
+        if head.body_follows:
+            exchange.grant(7)
+            hop.tasks.append(self.machine.stage.loop.create_task(hop.read()))
+
+    def on_lost(self, connection):
+        pass
