--- a/marblefold/register_store/member_changes.py
+++ b/marblefold/register_store/member_changes.py
@@ -23,7 +23,8 @@
 __all__ = ["MemberChanges"]
 
 _GONE_SECONDS = 2.0
-_WAITING_SECONDS = 2.0
+# A round that asks stores out of reach may take two call times and more.
+_WAITING_SECONDS = 5.0
 _HAND_OVER_PAUSE = 0.1
 
 
--- a/marblefold/register_store/upkeep.py
+++ b/marblefold/register_store/upkeep.py
@@ -1,6 +1,7 @@
 """What a store does of its own accord: reads, settles, compares, changes members."""
 
 import asyncio
+from collections.abc import Awaitable, Callable
 
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
@@ -47,15 +48,23 @@
         self._unsettled: set[str] | None = None
 
     async def run(self) -> None:
-        """Makes rounds for ever; one that fails is made again."""
+        """Acts and compares for ever, each by itself.
+
+        Neither waits for the other: a store that finds no majority in an old
+        view hears of the newer one by comparing, and stores out of reach, which
+        comparing waits for, delay no change of members.
+        """
+        async with asyncio.TaskGroup() as group:
+            group.create_task(self._repeat(self._act))
+            group.create_task(self._repeat(self._compare))
+
+    async def _repeat(self, step: Callable[[], Awaitable[None]]) -> None:
+        """Makes rounds of the step for ever; one that fails is made again."""
         while True:
-            # Compared in any case: a store that finds no majority in an old
-            # view hears of the newer one there.
-            for step in (self._act, self._compare):
-                try:
-                    await step()
-                except MeshError as error:
-                    log.info("round", step=error.step, peer=error.peer, reason=error.reason)
+            try:
+                await step()
+            except MeshError as error:
+                log.info("round", step=error.step, peer=error.peer, reason=error.reason)
             await self._timing.sleep(_ROUND_SECONDS * self._timing.uniform(0.8, 1.2))
 
     async def hand_over(self, seconds: float) -> None:
--- a/tests/core_troubles.py
+++ b/tests/core_troubles.py
@@ -43,16 +43,29 @@
     async def _play(self, seconds):
         orders = self.core.loop.create_task(self._order())
         await asyncio.sleep(CATCH_UP)
+        assert self.is_whole(), f"not grown in time; {self.describe()}"
+        core = self.core
+        core.late_share, core.loss_share, core.slow_share = 0.01, 0.005, 0.2
         end = self.now + seconds
         while self.now < end:
-            await asyncio.sleep(self.chance.choice([0.01, 0.2, 1.0, 2.5]) * self.chance.random())
+            await asyncio.sleep(self.chance.choice([0.0, 0.2, 1.0, 2.5]) * self.chance.random())
+            if self.chance.random() < 0.7:
+                await self._await_acknowledgement(end)
             self._strike()
+        core.late_share = core.loss_share = core.slow_share = 0.0
         while self.pending or self._count_lost():
             await asyncio.sleep(0.1)
         self.is_calm = True
         await self._check_liveness()
         await self._stop(orders)
 
+    async def _await_acknowledgement(self, end):
+        """Until the next order is acknowledged, and a few milliseconds more."""
+        known = self.acknowledged
+        while self.acknowledged == known and self.now < end:
+            await asyncio.sleep(0.002)
+        await asyncio.sleep(self.chance.uniform(0.0, 0.02))
+
     async def _stop(self, orders):
         orders.cancel()
         await asyncio.gather(orders, return_exceptions=True)
@@ -70,14 +83,16 @@
         for address in down:
             core.machines[address].start()
         end = self.now + VOTE_BOUND
-        while self.now < end and set(core.voters()) != set(core.view().members):
+        while self.now < end and not self.is_whole():
             await asyncio.sleep(0.1)
-        assert set(core.voters()) == set(core.view().members), (
-            f"not every member votes; {self.describe()}"
-        )
-        assert len(core.view().members) == 2 * self.losses + 1
+        assert self.is_whole(), f"not every member votes; {self.describe()}"
         assert await self.order_once(1.0), self.describe()
 
+    def is_whole(self):
+        """Whether the view has its full size and each member votes."""
+        members = self.core.view().members
+        return len(members) == 2 * self.losses + 1 and set(self.core.voters()) == set(members)
+
     def _take_borne_losses(self):
         members = [peer for peer in self.core.view().members if self.core.machines[peer].is_up]
         down = self.chance.sample(members, min(len(members), self.chance.randint(0, self.losses)))
@@ -102,7 +117,7 @@
         running = set()
         while True:
             running.add(self.core.loop.create_task(self.order_once()))
-            await asyncio.sleep(self.chance.uniform(0.02, 0.3))
+            await asyncio.sleep(self.chance.uniform(0.01, 0.12))
             for task in [task for task in running if task.done()]:
                 running.discard(task)
                 task.result()
--- a/tests/simulated_core.py
+++ b/tests/simulated_core.py
@@ -25,6 +25,12 @@
     """The machine's power went in the midst of a write."""
 
 
+def _is_power_lost(error):
+    if isinstance(error, BaseExceptionGroup):
+        return any(_is_power_lost(each) for each in error.exceptions)
+    return isinstance(error, PowerLost)
+
+
 class Disk:
     """Records that last; power can fail at a write, which is then kept or lost."""
 
@@ -178,7 +184,7 @@
         run = self.run
 
         def done(task):
-            if not task.cancelled() and isinstance(task.exception(), PowerLost) and run == self.run:
+            if not task.cancelled() and _is_power_lost(task.exception()) and run == self.run:
                 self.stop()
 
         task.add_done_callback(done)
@@ -206,7 +212,7 @@
         self.seeds = [f"m{index}:1" for index in range(3)]
         self.machines = {}
         self.cuts = set()
-        self.late_share = 0.01
+        self.late_share = self.loss_share = self.slow_share = 0.0
         # Tests may lose calls of one kind; of sender, receiver and kind.
         self.is_blocked = lambda _sender, _receiver, _kind: False
         for index in range(first_machines):
@@ -220,7 +226,11 @@
         """Delivers after a while, or never across a cut, or seconds late."""
         if (sender, receiver) in self.cuts:
             return
+        if may_be_late and self.chance.random() < self.loss_share:
+            return
         delay = self.chance.uniform(0.0005, 0.015)
+        if self.chance.random() < self.slow_share:
+            delay = self.chance.uniform(0.015, 0.3)
         if may_be_late and self.chance.random() < self.late_share:
             delay = self.chance.uniform(0.5, 6.0)
         self.loop.call_later(delay, act)
--- a/tests/test_membership_liveness.py
+++ b/tests/test_membership_liveness.py
@@ -14,9 +14,7 @@
 
 
 def make_core(losses, first=None):
-    core = Core(1, losses, first or 2 * losses + 1)
-    core.late_share = 0.0
-    return core
+    return Core(1, losses, first or 2 * losses + 1)
 
 
 def add_newcomer(core, address):
