--- a/tests/test_lost_promises.py
+++ b/tests/test_lost_promises.py
@@ -9,7 +9,8 @@
 from marblefold.register_store.changes import hold_configuration, keep
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
-from marblefold.register_store.view import read_view
+from marblefold.register_store.reading import is_enough
+from marblefold.register_store.view import View, read_view
 from tests.simulated_stores import MemoryRecords
 
 FIVE = [f"{name}:1" for name in "uwxyz"]
@@ -191,3 +192,30 @@
     second = acceptor.view.swap("z:1", "n:1", "second")
     acceptor.take_view(second.swap("y:1", "o:1", "third"))
     assert acceptor.is_member and acceptor.standing is Standing.READING
+
+
+def test_a_member_votes_only_after_it_has_met_every_majority():
+    three = View(1, "first", ("a:1", "b:1", "c:1"))
+    assert not is_enough(three, None, "a:1", ["b:1"])
+    assert is_enough(three, None, "a:1", ["b:1", "c:1"])
+    five = View(1, "first", tuple(FIVE))
+    assert not is_enough(five, None, "u:1", ["w:1", "x:1"])
+    assert is_enough(five, None, "u:1", ["w:1", "x:1", "y:1"])
+    # A newcomer may count the member that it replaces, but only in the very
+    # life in which it waited for its place.
+    swapped = three.swap("c:1", "n:1", "second")
+    assert is_enough(swapped, three, "n:1", ["b:1", "c:1"])
+    assert not is_enough(swapped, three, "n:1", ["c:1"])
+    assert not is_enough(swapped, None, "n:1", ["b:1", "c:1"])
+    # A member of both views never counts the one that left.
+    assert not is_enough(swapped, three, "a:1", ["b:1", "c:1"])
+
+
+def test_a_newcomer_that_lost_its_disk_does_not_count_the_member_that_left():
+    newcomer = Acceptor("n:1", MemoryRecords(), FIVE, False)
+    first = Acceptor("w:1", MemoryRecords(), FIVE, True).view
+    newcomer.take_view(first)
+    newcomer.take_view(first.swap("z:1", "n:1", "second"))
+    assert newcomer.previous == first
+    assert newcomer.outlive("7-an earlier life that was noted")
+    assert newcomer.previous is None
