--- a/marblefold/register_store/upkeep.py
+++ b/marblefold/register_store/upkeep.py
@@ -1,6 +1,8 @@
 """What a store does of its own accord: reads, settles, compares, changes members."""
 
 import asyncio
+import contextlib
+from collections.abc import Awaitable, Callable
 
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
@@ -49,21 +51,24 @@
         self._unsettled: set[str] | None = None
 
     async def run(self) -> None:
-        """Makes rounds for ever; one that fails is made again."""
-        while True:
-            await self.run_round()
-            await self._timing.sleep(_ROUND_SECONDS * self._timing.uniform(0.8, 1.2))
+        """Acts and compares for ever, each by itself.
 
-    async def run_round(self) -> None:
-        """Reads if need be, compares, then settles and changes members; a step may fail."""
-        # Compared in any case: a store that finds no majority in an old view
-        # hears of the newer one there.  And before settling: whatever a peer
-        # knows to be chosen is settled.
-        for step in (self._read_if_due, self._compare, self._act):
+        Neither waits for the other: a store that finds no majority in an old
+        view hears of the newer one by comparing, and stores out of reach, which
+        comparing waits for, delay no change of members.
+        """
+        async with asyncio.TaskGroup() as group:
+            group.create_task(self._repeat(self._act))
+            group.create_task(self._repeat(self._compare))
+
+    async def _repeat(self, step: Callable[[], Awaitable[None]]) -> None:
+        """Makes rounds of the step for ever; one that fails is made again."""
+        while True:
             try:
                 await step()
             except MeshError as error:
                 log.info("round", step=error.step, peer=error.peer, reason=error.reason)
+            await self._timing.sleep(_ROUND_SECONDS * self._timing.uniform(0.8, 1.2))
 
     async def hand_over(self, seconds: float) -> None:
         """Before a planned end: gives our place to a store that waits, if one does."""
@@ -89,12 +94,10 @@
             return kinds.StoreAnswer(view=view, reason=Refusal.WAIT)
         return kinds.StoreAnswer(view=view, reason=Refusal.UNKNOWN_CALL)
 
-    async def _read_if_due(self) -> None:
-        if self._acceptor.standing is Standing.READING and not self._members.is_leaving:
-            await self._read()
-
     async def _act(self) -> None:
         acceptor = self._acceptor
+        if acceptor.standing is Standing.READING and not self._members.is_leaving:
+            await self._read()
         if acceptor.standing is Standing.VOTING:
             if acceptor.has_open_view:
                 await self._settler.settle(VIEW_REGISTER)
@@ -153,6 +156,10 @@
         """After a start, finds out which of the registers held here are chosen."""
         if self._unsettled is None:
             self._unsettled = set(self._acceptor.holdings)
+        if self._unsettled:
+            # Whatever a peer knows to be chosen needs no ballot here.
+            with contextlib.suppress(MeshError):
+                await self._compare()
         # Each member in an order of its own, or all would try for the same one.
         for register in sorted(self._unsettled, key=lambda _register: self._timing.uniform(0, 1)):
             if not self._comparing.is_settled(register):
--- a/tests/simulated_replicas.py
+++ b/tests/simulated_replicas.py
@@ -6,6 +6,7 @@
 
 import asyncio
 import collections
+import contextlib
 
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
@@ -45,7 +46,11 @@
         """One round of upkeep, of those named or of all that are here."""
         for address in addresses or self.addresses:
             if address not in self.away:
-                await self.members[address].upkeep.run_round()
+                upkeep = self.members[address].upkeep
+                for step in (upkeep._act, upkeep._compare):
+                    # As the loops of the store do: one that fails is made again.
+                    with contextlib.suppress(MeshError):
+                        await step()
 
     def restart(self, address, records=None, is_first=False):
         """The process starts again, on its disk or on another one."""
