--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -66,7 +66,9 @@
         self.executor = RequestExecutor(
             self.surroundings, PartnerHops(hops, hops, self.view), RunningWork(), ""
         )
-        self.outbound = HttpServer(self.executor.serve, max(4, free - for_targets))
+        self.outbound = HttpServer(
+            self.executor.serve, max(4, free - for_targets), self.executor.may_run_ahead
+        )
         ready = CallRouter()
         ready.add(*wire_names.READINESS_CALL, self._readiness)
         self._readiness_server = HttpServer(ready.handle)
--- a/marblefold/http_connections/client_connection.py
+++ b/marblefold/http_connections/client_connection.py
@@ -17,7 +17,9 @@
 
 from marblefold.errors import MeshError
 from marblefold.http_connections.answer import Answer, own_answer, pack_head
+from marblefold.http_connections.answer_place import AnswerPlace
 from marblefold.http_connections.client_request import ClientRequest
+from marblefold.logs import log
 
 __all__ = ["ClientConnection", "ConnectionKeeper"]
 
@@ -38,16 +40,7 @@
 
     def handle(self, request: ClientRequest) -> Awaitable[Answer]: ...
 
-
-class _Place:
-    """The place of one request in the order of answers."""
-
-    __slots__ = ("request", "task", "answer")
-
-    def __init__(self, request: ClientRequest | None) -> None:
-        self.request = request
-        self.task: asyncio.Task | None = None
-        self.answer: Answer | None = None
+    def may_run_ahead(self, request: ClientRequest) -> bool: ...
 
 
 class ClientConnection(BaseProtocol):
@@ -64,9 +57,9 @@
             max_line_size=keeper.header_bytes,
             max_field_size=keeper.header_bytes,
         )
-        self._places: deque[_Place] = deque()
+        self._places: deque[AnswerPlace] = deque()
         self._is_closing = False
-        self._streaming: asyncio.Task | None = None
+        self._writing: asyncio.Task | None = None
         self._payload = None
         self.quiet_since = time.monotonic()
         # When the first bytes of a head came that is not whole yet.
@@ -75,7 +68,7 @@
     @property
     def is_idle(self) -> bool:
         """Whether no request is being served."""
-        return not self._places and self._streaming is None
+        return not self._places and self._writing is None
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
@@ -88,10 +81,9 @@
             self._payload.set_exception(ConnectionResetError("client left"))
         # Nobody waits for these any more: stop the work at the targets too.
         for place in self._places:
-            if place.task is not None:
-                place.task.cancel()
-        if self._streaming is not None:
-            self._streaming.cancel()
+            place.drop()
+        if self._writing is not None:
+            self._writing.cancel()
         self._places.clear()
         self._keeper.on_lost(self)
 
@@ -111,7 +103,7 @@
                 self._refuse_bytes(LineTooLong("head", self._keeper.header_bytes))
                 return
             self._places.append(
-                _Place(ClientRequest(message, payload, self.quiet_since, self._write_continue))
+                AnswerPlace(ClientRequest(message, payload, self.quiet_since, self._write_continue))
             )
         if messages:
             self.head_since = None
@@ -131,9 +123,10 @@
         return True
 
     def turn_away(self) -> None:
-        """Ends the connection before anything was read from it."""
+        """Ends the connection at once, without a word."""
         self._is_closing = True
-        self.transport.abort()
+        if self.transport is not None:
+            self.transport.abort()
 
     def _close(self) -> None:
         self._is_closing = True
@@ -141,13 +134,16 @@
             self.transport.close()
 
     def _refuse_bytes(self, error: Exception) -> None:
-        # Whatever follows bytes that are no request cannot be told apart.
+        # Whatever follows bytes that are no request cannot be told apart, and
+        # a body that was under way will not be whole.
+        if self._payload is not None and not self._payload.is_eof():
+            self._payload.set_exception(ConnectionResetError("the body cannot be read"))
         is_long = isinstance(error, LineTooLong) and not isinstance(error, BadStatusLine)
         status = 431 if is_long else 400
         self._append_answer(own_answer(status, "the request cannot be read", closes=True))
 
     def _append_answer(self, answer: Answer) -> None:
-        place = _Place(None)
+        place = AnswerPlace(None)
         place.answer = answer
         self._places.append(place)
         self._flush()
@@ -164,7 +160,7 @@
                 break
             is_repeatable = request.method in _REPEATABLE and not request.has_body
             # What may not be repeated keeps its turn: alone and in order.
-            if together and not is_repeatable:
+            if together and not (is_repeatable and self._keeper.may_run_ahead(request)):
                 break
             if place.task is None and place.answer is None:
                 place.task = self._loop.create_task(self._serve(place))
@@ -172,19 +168,29 @@
             if not is_repeatable or together >= _MOST_TOGETHER:
                 break
 
-    async def _serve(self, place: _Place) -> None:
-        place.answer = await self._keeper.handle(place.request)
+    async def _serve(self, place: AnswerPlace) -> None:
+        try:
+            answer = await self._keeper.handle(place.request)
+        except ConnectionError:
+            # Its body was cut short or cannot be read: there is no request.
+            answer = own_answer(400, "the body cannot be read", closes=True)
+        except Exception as error:
+            # Nothing is known of what was begun; only a cut promises nothing.
+            log.error("request failed", attempt=place.request.attempt_id, error=repr(error))
+            self.turn_away()
+            return
+        place.take_answer(answer)
         self._flush()
 
     def _flush(self) -> None:
         """Writes the answers whose turn has come."""
-        while self._places and self._streaming is None and not self._is_closing:
+        while self._places and self._writing is None and not self._is_closing:
             place = self._places[0]
             answer = place.answer
             if answer is None:
                 break
             if answer.pipe is not None:
-                self._streaming = self._loop.create_task(self._connection(place, answer))
+                self._writing = self._loop.create_task(self._write_in_parts(place, answer))
                 break
             closes = self._closes(place, answer)
             self.transport.write(pack_head(answer, closes, False) + answer.body)
@@ -192,7 +198,7 @@
         if not self._is_closing:
             self._start_places()
 
-    def _closes(self, place: _Place, answer: Answer) -> bool:
+    def _closes(self, place: AnswerPlace, answer: Answer) -> bool:
         request = place.request
         if request is None or answer.closes or request.closes:
             return True
@@ -206,12 +212,11 @@
         self.quiet_since = time.monotonic()
         if closes:
             for place in self._places:
-                if place.task is not None:
-                    place.task.cancel()
+                place.drop()
             self._places.clear()
             self._close()
 
-    async def _connection(self, place: _Place, answer: Answer) -> None:
+    async def _write_in_parts(self, place: AnswerPlace, answer: Answer) -> None:
         is_chunked = not place.request.is_old_version
         closes = self._closes(place, answer) or not is_chunked
         try:
@@ -229,7 +234,7 @@
                 self.transport.abort()
             return
         finally:
-            self._streaming = None
+            self._writing = None
             if answer.release is not None:
                 answer.release()
         self._finish(closes)
--- a/marblefold/http_connections/http_server.py
+++ b/marblefold/http_connections/http_server.py
@@ -9,6 +9,7 @@
 from marblefold.http_connections.answer import Answer, own_answer
 from marblefold.http_connections.client_connection import ClientConnection
 from marblefold.http_connections.client_request import ClientRequest
+from marblefold.loop_watch import LoopWatch
 from marblefold.node_config.reading import Address
 
 __all__ = ["HttpServer"]
@@ -25,7 +26,12 @@
         self,
         handle: Callable[[ClientRequest], Awaitable[Answer]],
         most_connections: int | None = None,
+        may_run_ahead: Callable[[ClientRequest], bool] = lambda request: True,
     ) -> None:
+        """Whether a pipelined request may run before the ones ahead of it are
+        answered is asked of may_run_ahead; a client sends it again where one of
+        those ends the connection.
+        """
         self.is_leaving = False
         # Late in leaving what still comes is refused, never begun.
         self.turns_away = False
@@ -35,6 +41,8 @@
         self.last_arrival = time.monotonic()
         self.in_progress = 0
         self._handle = handle
+        self._may_run_ahead = may_run_ahead
+        self._watch = LoopWatch(_SWEEP.total_seconds())
         self._most_connections = most_connections
         self._connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
@@ -51,6 +59,7 @@
         self.last_arrival = request.arrived
         self.in_progress += 1
         try:
+            await self._watch.settle()
             if self.turns_away:
                 # Read whole first: a close with unread bytes resets the answer.
                 await request.gather(_LARGEST_UNSERVED, _LARGEST_UNSERVED)
@@ -59,6 +68,10 @@
         finally:
             self.in_progress -= 1
 
+    def may_run_ahead(self, request: ClientRequest) -> bool:
+        """Whether the request may run twice, and so before its turn."""
+        return self._may_run_ahead(request)
+
     def on_made(self, connection: ClientConnection) -> None:
         """A client has come."""
         self._connections.add(connection)
@@ -104,6 +117,7 @@
         while True:
             await asyncio.sleep(_SWEEP.total_seconds())
             now = time.monotonic()
+            self._watch.tick(now)
             idle_before = now - self.idle_time.total_seconds()
             head_before = now - self.header_time.total_seconds()
             for connection in list(self._connections):
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -1,16 +1,18 @@
 """Takes a client's request through the mesh, as its decision says."""
 
+import asyncio
 import random
 import time
 
+from marblefold import wire_names
 from marblefold.configuration.rows import Route
 from marblefold.http_connections.answer import Answer, own_answer
 from marblefold.http_connections.client_request import BodyTooLarge, ClientRequest, HeldRequest
-from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
 from marblefold.request_path.hop_sender import Hops
 from marblefold.request_path.outcome import HopOutcome, HopResult
+from marblefold.request_path.request_head import make_head
 from marblefold.request_path.running_work import RunningWork
 from marblefold.request_path.surroundings import Surroundings
 from marblefold.request_path.tracers import RequestTracer
@@ -19,9 +21,10 @@
 
 # A body up to this is held, so that it can be offered once more.
 _HELD_BODY = 512 * 1024
-# A body up to this goes with its head; a larger one comes when it is let.
-_INLINE_BODY = 16 * 1024
 _NO_DEADLINE_SECONDS = 600.0
+# When to come back with a body that was not in by its deadline.
+_AGAIN_SECONDS = 0.1
+_LONGEST_ID = 200
 # How a request ends that nobody waits for any more.
 _CANCELLED = Conclude(Answer(0), "cancelled")
 
@@ -65,7 +68,13 @@
         body_limit = self._surroundings.view.table.limits.body_bytes
         deadline = self._find_deadline(request, route)
         try:
-            body, is_whole = await request.gather(_HELD_BODY, body_limit)
+            body, is_whole = await _gather(request, body_limit, deadline)
+        except TimeoutError:
+            # Nothing was begun, and the rest of the body will be read by nobody.
+            return own_answer(503, "not run: body", request.attempt_id, _AGAIN_SECONDS, closes=True)
+        except BodyTooLarge:
+            return own_answer(413, "the body is too large", request.attempt_id, closes=True)
+        try:
             return await self._run(request, route, deadline, body, is_whole, body_limit)
         except BodyTooLarge:
             return own_answer(413, "the body is too large", request.attempt_id, closes=True)
@@ -98,7 +107,10 @@
         )
         now = time.monotonic()
         surroundings.note_request(upstream, now)
-        head = self._make_head(request, route, upstream, body, is_whole)
+        owner = surroundings.view.owners.get(upstream)
+        head = make_head(request, route, upstream, self.caller, body, is_whole)
+        head.config_version = surroundings.view.table.number
+        head.owner_epoch = owner.epoch if owner is not None else 0
         if parent is not None:
             # Work was put into the run already: its calls go first.
             head.priority = 0
@@ -178,6 +190,15 @@
             if hop is not None:
                 self.tracer.finish_hop(hop, result)
 
+    def may_run_ahead(self, request: ClientRequest) -> bool:
+        """Whether a pipelined request may run before those ahead of it are answered.
+
+        The method does not tell what may be repeated; the route does.
+        """
+        table = self._surroundings.view.table
+        route = table.find(request.host, request.path) if table is not None else None
+        return route is not None and route.kind == wire_names.READ_ONLY
+
     def _find_route(self, request: ClientRequest) -> tuple[Answer | None, Route | None]:
         """The route of the request, or the answer that refuses it."""
         table = self._surroundings.view.table
@@ -185,7 +206,8 @@
             return own_answer(503, "no configuration yet", request.attempt_id, 0.5), None
         if request.is_upgrade or request.method == "CONNECT":
             return own_answer(400, "no such use of the connection", closes=True), None
-        if not request.attempt_id or len(request.attempt_id) > 200:
+        attempt = request.attempt_id
+        if not attempt or len(attempt) > _LONGEST_ID or not attempt.isascii():
             return own_answer(400, "no Attempt-Id"), None
         route = table.find(request.host, request.path)
         if route is None:
@@ -206,32 +228,10 @@
             return route.upstreams[0]
         return self._random.choices(route.upstreams, route.weights)[0]
 
-    def _make_head(
-        self,
-        request: ClientRequest,
-        route: Route,
-        upstream: str,
-        body: bytes,
-        is_whole: bool,
-    ):
-        owner = self._surroundings.view.owners.get(upstream)
-        length = -1
-        if is_whole:
-            length = len(body) if request.has_body or request.body_length == 0 else -1
-        elif request.body_length >= 0:
-            length = request.body_length
-        return kinds.RequestHead(
-            attempt_id=request.attempt_id,
-            method=request.method,
-            path=request.path.encode("utf-8", "surrogateescape"),
-            header_block=request.header_block(),
-            upstream=upstream,
-            caller_service=self.caller,
-            route_type=route.kind,
-            config_version=self._surroundings.view.table.number,
-            owner_epoch=owner.epoch if owner is not None else 0,
-            priority=1 + max(0, route.priority),
-            body=body if not is_whole or len(body) <= _INLINE_BODY else b"",
-            body_follows=not is_whole or len(body) > _INLINE_BODY,
-            body_length=length,
-        )
+
+async def _gather(request: ClientRequest, most: int, deadline: float) -> tuple[bytes, bool]:
+    """What is held of the body; TimeoutError if it is not in by the deadline."""
+    if not request.has_body:
+        return b"", True
+    async with asyncio.timeout(max(0.0, deadline - time.monotonic())):
+        return await request.gather(_HELD_BODY, most)
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -8,13 +8,16 @@
 import time
 
 from marblefold import wire_names
-from marblefold.http_connections.target_connections import TargetConnections
+from marblefold.http_connections.target_connections import CONNECT_STEP, TargetConnections
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
+from marblefold.logs import log
+from marblefold.loop_watch import LoopWatch
 from marblefold.node_config.model import Address, Bounds
 from marblefold.request_path.cold_limit import ColdLimit
 from marblefold.request_path.intake import Intake
+from marblefold.request_path.leaving_rule import LeavingRule
 from marblefold.request_path.local_target import LocalTarget, TargetState
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.offered_hops import OfferedHops
@@ -30,11 +33,6 @@
 # A leaving target takes what has no other place to go for this part of its
 # drain time; the rest of that time is for what is then under way.
 _DRAIN_SHARE = 0.4
-# The same for a proxy that leaves, of its grace period.
-_LEAVING_SHARE = 0.3
-# Until peers can have heard of it, a leaving proxy takes all that it is sent:
-# its target is as good as ever, and what it refuses others must bear.
-_UNTOLD_SHARE = 0.16
 _LEAST_SECONDS = 0.003
 # A body that is not in by this part of its aim had better go elsewhere.
 _BODY_AIM_SHARE = 0.6
@@ -67,8 +65,9 @@
         self._caller: TargetCaller | None = None
         self._tasks: set[asyncio.Task] = set()
         self._offered = OfferedHops()
+        self._watch = LoopWatch(_LOOK_SECONDS)
         self._unreachable_until = 0.0
-        self._leaving_since: float | None = None
+        self._leaving = LeavingRule(bounds)
         # Told of every hop, where this node traces.
         self.tracer: GuardTracer | None = None
 
@@ -79,7 +78,7 @@
 
     def begin_leaving(self, now: float) -> None:
         """The proxy is about to end: what is taken in must be over by then."""
-        self._leaving_since = now
+        self._leaving.since = now
 
     def set_address(self, address: Address) -> None:
         """The target's own address, known from the config."""
@@ -91,16 +90,22 @@
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
         """A hop has come from a peer."""
         head = kinds.RequestHead.FromString(payload)
-        task = asyncio.get_running_loop().create_task(self._serve(exchange, head))
+        task = asyncio.get_running_loop().create_task(self._serve(exchange, head, time.monotonic()))
         self._tasks.add(task)
-        task.add_done_callback(self._tasks.discard)
+        task.add_done_callback(lambda done: self._note_done(done, exchange))
         exchange.on_cancel = task.cancel
 
+    def _note_done(self, task: asyncio.Task, exchange: Exchange) -> None:
+        self._tasks.discard(task)
+        # A task that is cancelled before its first step does not clean up.
+        exchange.close()
+
     async def run(self) -> None:
         """Looks whether the target fell silent, for ever."""
         while True:
             await asyncio.sleep(_LOOK_SECONDS)
             now = time.monotonic()
+            self._watch.tick(now)
             # One long request is no sign; several and not a byte are.
             waiting = self._offered.count_older(now, _QUIET_SECONDS)
             if waiting < 2 or now - self._connections.heard_at < _QUIET_SECONDS:
@@ -115,12 +120,13 @@
             if exchange.on_cancel is not None:
                 exchange.on_cancel()
 
-    async def _serve(self, exchange: Exchange, head) -> None:
+    async def _serve(self, exchange: Exchange, head, came: float) -> None:
         is_traced = self.tracer is not None and head.trace_id
         span = self.tracer.begin_serve(head) if is_traced else None
         answer = None
         try:
-            answer = await self._pass(exchange, head, time.monotonic(), span)
+            await self._watch.settle()
+            answer = await self._pass(exchange, head, came, span)
             answer.running = self.slots.running
             answer.waiting = self.slots.waiting + self._intake.waiting
             answer.slots = self.slots.limit
@@ -131,6 +137,10 @@
             # The peer gave it up, or we did: in both cases this is the end.
             exchange.send(FrameKind.RESET)
             raise
+        except Exception as error:
+            # The peer must not wait for a hop that is over.
+            exchange.send(FrameKind.RESET)
+            log.error("hop failed", attempt=head.attempt_id, error=repr(error))
         finally:
             exchange.close()
             if span is not None:
@@ -180,7 +190,8 @@
             self.work.end(run)
             self.slots.give_back()
         if answer.outcome == HopOutcome.NEVER_OFFERED:
-            self._unreachable_until = time.monotonic() + _SHUN_SECONDS
+            if answer.step == CONNECT_STEP:
+                self._unreachable_until = time.monotonic() + _SHUN_SECONDS
             answer.retry_after_ms = int(_SHUN_SECONDS * 1000)
         self._learn(answer, time.monotonic() - started)
         return answer
@@ -206,7 +217,7 @@
             share = self._bounds.drain_time.total_seconds() * _DRAIN_SHARE
             if not head.last_resort or time.monotonic() - target.drain_since > share:
                 return _refuse("draining", 0.0)
-        elif self._is_too_late(head):
+        elif self._leaving.is_too_late(time.monotonic(), head.last_resort):
             return _refuse("leaving", 0.0)
         elif target.state is not TargetState.READY:
             return _refuse(target.state.value, 0.0)
@@ -225,17 +236,6 @@
         epoch = self._view.leases.epoch(head.upstream, time.monotonic())
         return epoch != 0 and epoch == head.owner_epoch
 
-    def _is_too_late(self, head) -> bool:
-        if self._leaving_since is None:
-            return False
-        # Peers that know of nothing better are served a little longer; then
-        # the rest of the grace period is for what is under way.
-        grace = self._bounds.grace_period.total_seconds()
-        age = time.monotonic() - self._leaving_since
-        if age < grace * _UNTOLD_SHARE:
-            return False
-        return not head.last_resort or age > grace * _LEAVING_SHARE
-
 
 def _refuse(step: str, retry_after: float):
     return kinds.AnswerHead(
--- /dev/null
+++ b/marblefold/request_path/request_head.py
@@ -0,0 +1,44 @@
+"""The head of a hop, as it is sent to the proxy beside a target."""
+
+from marblefold.configuration.rows import Route
+from marblefold.http_connections.client_request import ClientRequest
+from marblefold.inner_protocol.messages import kinds
+
+__all__ = ["make_head"]
+
+# A body up to this goes with its head; a larger one comes when it is let.
+_INLINE_BODY = 16 * 1024
+
+
+def make_head(
+    request: ClientRequest,
+    route: Route,
+    upstream: str,
+    caller: str,
+    body: bytes,
+    is_whole: bool,
+):
+    """The RequestHead of a client's request; what changes from hop to hop is left open.
+
+    The body is what was held of it, is_whole tells whether that is all.
+    """
+    length = -1
+    if is_whole:
+        length = len(body) if request.has_body or request.body_length == 0 else -1
+    elif request.body_length >= 0:
+        length = request.body_length
+    is_inline = is_whole and len(body) <= _INLINE_BODY
+    return kinds.RequestHead(
+        attempt_id=request.attempt_id,
+        method=request.method,
+        path=request.path.encode("utf-8", "surrogateescape"),
+        header_block=request.header_block(),
+        upstream=upstream,
+        caller_service=caller,
+        route_type=route.kind,
+        priority=1 + max(0, route.priority),
+        # What is whole and not inline is sent from its beginning behind the head.
+        body=body if is_inline or not is_whole else b"",
+        body_follows=not is_inline,
+        body_length=length,
+    )
--- /dev/null
+++ b/tests/simulated_path.py
@@ -0,0 +1,68 @@
+"""A configuration, targets and the client's view for the whole way of a request."""
+
+import re
+from datetime import timedelta
+from types import SimpleNamespace
+
+from marblefold.configuration.rows import Limits as RouteLimits
+from marblefold.configuration.rows import Route, Rows, Upstream
+from marblefold.inner_protocol.messages import kinds
+
+MOST = 2
+ANSWER = re.compile(rb"HTTP/1\.1 (\d+) [^\r]*\r\n((?:[^\r]+\r\n)*)\r\n(.*)", re.DOTALL)
+
+
+def make_rows():
+    routes = [
+        Route(
+            name,
+            "shop",
+            f"/{name}/",
+            kind,
+            timedelta(seconds=2),
+            timedelta(seconds=1),
+            MOST,
+            0,
+            ("quotes",),
+            (1.0,),
+            (),
+        )
+        for name, kind in (("read", "read_only"), ("book", "mutating"))
+    ]
+    limits = RouteLimits(16384, 1_000_000, timedelta(seconds=3), timedelta(seconds=15))
+    return Rows(3, tuple(routes), (Upstream("quotes", "/health", 100, 0.0),), limits)
+
+
+def make_entry(number):
+    notice = kinds.TargetNotice(
+        node=f"n{number}",
+        address=f"10.0.0.{number}:7600",
+        zone="hall",
+        region="here",
+        instance=f"i{number}",
+        upstream="quotes",
+        slots=4,
+        state="ready",
+    )
+    return kinds.Entry(
+        kind="target", key=f"n{number}", life=1, number=1, value=notice.SerializeToString()
+    )
+
+
+class Asked:
+    """A request as its client sees it."""
+
+    def __init__(self, name, is_mutating, at, ends, transport):
+        self.name, self.is_mutating, self.at, self.ends = name, is_mutating, at, ends
+        self.transport, self.has_left = transport, False
+        # Each writing of it to a target, and whether that was turned away.
+        self.writes, self.written_when_left, self.given = [], None, {}
+
+    @property
+    def answer(self):
+        found = ANSWER.match(bytes(self.transport.written))
+        return (int(found[1]), found[2], found[3]) if found else None
+
+
+class Write(SimpleNamespace):
+    """One writing of a request to a target."""
--- /dev/null
+++ b/tests/test_given_up_in_time.py
@@ -0,0 +1,190 @@
+"""What nobody waits for any more is not begun, and nobody waits for what is over."""
+
+import asyncio
+
+import pytest
+
+from marblefold.errors import MeshError
+from marblefold.http_connections.answer import own_answer
+from marblefold.http_connections.client_connection import ClientConnection
+from marblefold.http_connections.http_server import HttpServer
+from marblefold.http_connections.target_connections import TargetConnections
+from marblefold.inner_protocol.body_pipe import BodyPipe
+from marblefold.inner_protocol.frames import FrameKind, FrameReader, pack_frame
+from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.peer_connection import PeerConnection
+from marblefold.loop_watch import LoopWatch
+from marblefold.node_config.model import Address
+from marblefold.node_config.reading import parse_config
+from marblefold.request_path.executor import _gather
+from marblefold.request_path.guard import Guard
+from marblefold.request_path.local_target import LocalTarget
+from marblefold.request_path.mesh_view import MeshView
+from marblefold.request_path.outcome import HopOutcome
+from marblefold.request_path.target_caller import TargetCaller
+from tests.mesh_on_loopback import make_config
+from tests.simulated_connections import ListTransport, Stage
+
+GET = b"GET /1 HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\n\r\n"
+
+
+@pytest.fixture
+def stage():
+    stage = Stage()
+    yield stage
+    stage.close()
+
+
+def open_client(stage, server):
+    connection = stage.call(ClientConnection, server)
+    transport = ListTransport(connection, stage.loop)
+    stage.call(connection.connection_made, transport)
+    return connection, transport
+
+
+@pytest.mark.parametrize("stood_still, is_begun", [(0.0, True), (1.5, False)])
+def test_a_client_that_left_during_a_freeze_is_not_served(stage, stood_still, is_begun):
+    begun = []
+
+    async def handle(request):
+        begun.append(request)
+        await asyncio.Event().wait()
+
+    server = HttpServer(handle)
+    stage.start(server.run())
+    stage.advance(0.5)
+    connection, transport = open_client(stage, server)
+    stage.now += stood_still
+
+    async def wake():
+        # Its request is read in one turn of the loop and its end in the next.
+        connection.data_received(GET)
+        await asyncio.sleep(0)
+        transport.reset()
+
+    stage.loop.run_until_complete(wake())
+    stage.turn()
+    assert bool(begun) == is_begun
+
+
+def test_a_watch_tells_a_freeze_from_an_idle_loop():
+    watch = LoopWatch(0.5)
+    assert not watch.is_catching_up(1e9)
+    watch.tick(10.0)
+    assert not watch.is_catching_up(11.0) and watch.is_catching_up(11.1)
+    watch.tick(12.0)
+    # What lay in the sockets is read in the turns that follow.
+    assert watch.is_catching_up(12.05) and not watch.is_catching_up(12.2)
+
+
+def make_guard(stage):
+    bounds = parse_config(make_config("10.0.0.1", 7000, "")).bounds
+    guard = stage.call(Guard, LocalTarget(lambda: None), MeshView("n"), bounds)
+    connection = PeerConnection(guard)
+    guard.on_lost = lambda _connection: None
+    transport = ListTransport(connection, stage.loop)
+    stage.call(connection.connection_made, transport)
+    return guard, connection, transport
+
+
+def test_a_hop_given_up_before_its_first_step_is_not_begun_and_leaves_nothing(stage):
+    guard, connection, transport = make_guard(stage)
+    head = pack_frame(FrameKind.HEAD, 1, kinds.RequestHead().SerializeToString())
+    stage.call(connection.data_received, head + pack_frame(FrameKind.CANCEL, 1))
+    assert transport.written == b""
+    assert connection.is_idle and guard.in_progress == 0
+
+
+def test_a_hop_that_fails_unforeseen_is_ended_for_its_peer(stage):
+    guard, connection, transport = make_guard(stage)
+
+    def fail(_head):
+        raise RuntimeError("unforeseen")
+
+    guard._find_refusal = fail
+    head = pack_frame(FrameKind.HEAD, 1, kinds.RequestHead().SerializeToString())
+    stage.call(connection.data_received, head)
+    frames = list(FrameReader().feed(bytes(transport.written)))
+    assert [frame.kind for frame in frames] == [FrameKind.RESET]
+    assert connection.is_idle
+
+
+def test_a_second_hop_under_a_number_in_use_ends_the_connection(stage):
+    _guard, connection, transport = make_guard(stage)
+    head = pack_frame(FrameKind.HEAD, 1, kinds.RequestHead().SerializeToString())
+    stage.call(connection.data_received, head + head)
+    assert not transport.is_open
+
+
+class ShortBody:
+    """An exchange whose body ends early."""
+
+    def __init__(self):
+        self.incoming = BodyPipe()
+        self.incoming.feed(b"half")
+        self.incoming.finish()
+
+
+def test_a_body_that_ends_early_leaves_no_connection_to_the_next_request(stage):
+    lines = []
+    stage.loop.connector = lambda _address, transport: lines.append(transport)
+    connections = stage.call(TargetConnections, Address("10.0.0.1", 80))
+    head = kinds.RequestHead(
+        attempt_id="a",
+        method="POST",
+        path=b"/",
+        body_follows=True,
+        body_length=9,
+        deadline_left_ms=1000,
+    )
+    offer = TargetCaller(connections).offer(stage.call(ShortBody), head, 9.0)
+    task = stage.loop.create_task(offer)
+    # The target answers before it has read the body and would keep the connection.
+    stage.turn(2)
+    if lines and lines[0].is_open and lines[0].written:
+        answer = b"HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n"
+        stage.call(lines[0].protocol.data_received, answer)
+    stage.turn()
+    assert task.result().outcome == HopOutcome.UNKNOWN
+    assert connections.idle_count == 0 and not lines[0].is_open
+
+
+class SlowBody:
+    """A request whose body does not come."""
+
+    has_body = True
+
+    async def gather(self, _bound, _most):
+        await asyncio.Event().wait()
+
+
+def test_a_body_that_does_not_come_is_waited_for_until_the_deadline(stage):
+    task = stage.start(_gather(SlowBody(), 100, stage.now + 2.0))
+    stage.advance(1.9)
+    assert not task.done()
+    stage.advance(0.2)
+    with pytest.raises(TimeoutError):
+        task.result()
+
+
+def test_a_body_that_cannot_be_read_is_answered_and_ends_the_connection(stage):
+    async def handle(request):
+        await request.gather(100, 100)
+        return own_answer(200, "never")
+
+    connection, transport = open_client(stage, HttpServer(handle))
+    head = b"POST /1 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
+    stage.call(connection.data_received, head)
+    stage.call(connection.data_received, b"no chunk at all\r\n")
+    assert transport.written.startswith(b"HTTP/1.1 400 ") and not transport.is_open
+    assert transport.written.count(b"HTTP/1.1") == 1
+
+
+@pytest.mark.parametrize("error", [RuntimeError("unforeseen"), MeshError("step", "reason")])
+def test_a_request_that_fails_unforeseen_is_cut_and_promises_nothing(stage, error):
+    async def handle(_request):
+        raise error
+
+    connection, transport = open_client(stage, HttpServer(handle))
+    stage.call(connection.data_received, GET)
+    assert transport.written == b"" and not transport.is_open
