--- a/marblefold/partners/orders.py
+++ b/marblefold/partners/orders.py
@@ -148,9 +148,9 @@
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise ExceptionGroup("body", [MeshError("read body", f"body: {error}")]) from error
+        raise ExceptionGroup("word", [MeshError("read word", f"body: {error}")]) from error
     if not isinstance(document, dict):
-        raise ExceptionGroup("body", [MeshError("read body", "body: not an object")])
+        raise ExceptionGroup("word", [MeshError("read word", "body: not an object")])
     try:
         return _converter.structure(document, kind)
     except cattrs.BaseValidationError as error:
@@ -160,7 +160,7 @@
             # A message may contain the value, and a credential must not be shown.
             shown = "bad value" if "credential" in place else fault
             lines.append(f"{place.removeprefix('$.').replace('_', '-')}: {shown}")
-        raise ExceptionGroup("body", [MeshError("read body", line) for line in lines]) from None
+        raise ExceptionGroup("word", [MeshError("read word", line) for line in lines]) from None
 
 
 def _raise(faults: list[str]) -> None:
