--- a/marblefold/http_connections/call_router.py
+++ b/marblefold/http_connections/call_router.py
@@ -47,7 +47,10 @@
 
 def faults_answer(group: ExceptionGroup) -> Answer:
     """A word that cannot hold, with every fault and its place."""
-    return json_answer(400, {wire_names.REASON: [fault.reason for fault in group.exceptions]})
+    return json_answer(
+        400,
+        {wire_names.REASON: [getattr(fault, "reason", str(fault)) for fault in group.exceptions]},
+    )
 
 
 class _Route(NamedTuple):
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -202,6 +202,8 @@
 
     async def _probe(self, path: str) -> None:
         config = self._watch.config
+        if config.app_address is None:
+            return
         health = await ask_health(config.app_address, path)
         if health is not None:
             self.target.take_health(
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -31,9 +31,11 @@
 class FeedTaker(Protocol):
     """What takes the news in."""
 
-    registries: set[str]
     proxies: int
 
+    @property
+    def registries(self) -> set[str]: ...
+
     def take(self, entry) -> bool: ...
 
     def is_news(self, entry) -> bool: ...
--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -115,10 +115,11 @@
 
     def take_view(self, view: View) -> bool:
         """Takes in a view that is known to be chosen, if it is newer."""
-        if self.view is not None and view.number <= self.view.number:
+        held = self.view
+        if held is not None and view.number <= held.number:
             return False
         # Only who was a member all along knows what was held meanwhile.
-        follows = self.is_member and view.number == self.view.number + 1
+        follows = held is not None and self.is_member and view.number == held.number + 1
         self.view = view
         if self.standing is Standing.VOTING and not (follows and self.is_member):
             self.begin_reading()
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -70,6 +70,8 @@
         call.sender = own.address
         call.sender_life = own.life
         connection = await self._peers.reach(peer)
-        answer = unpack_message(await connection.call(pack_message(call), _CALL_SECONDS))
+        reply: kinds.StoreAnswer = unpack_message(
+            await connection.call(pack_message(call), _CALL_SECONDS)
+        )
         self.note_heard(peer)
-        return answer
+        return reply
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -58,7 +58,7 @@
             self._acceptor, self._peers, self._proposer, self._words, seeds, config.machine_losses
         )
         self._stop = asyncio.Event()
-        self._tasks: set[asyncio.Task] = set()
+        self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
         """Serves until a SIGTERM."""
--- a/marblefold/registry/feed.py
+++ b/marblefold/registry/feed.py
@@ -103,7 +103,7 @@
         """The changes, or a snapshot of the catalogue where there are none to be had."""
         is_snapshot = changes is None
         entries = [
-            _defer(entry) for entry in (self._catalogue.snapshot() if is_snapshot else changes)
+            _defer(entry) for entry in (self._catalogue.snapshot() if changes is None else changes)
         ]
         feed = kinds.Feed(
             registry_life=self._catalogue.life,
