--- a/marblefold/maintenance/duty.py
+++ b/marblefold/maintenance/duty.py
@@ -13,6 +13,8 @@
 from marblefold.logs import log
 from marblefold.maintenance.model import Document, Window, WindowState
 from marblefold.maintenance.planning import LiveSlots, change_state, plan_windows, shortfalls
+from marblefold.register_store.call_kinds import RegisterCallKind
+from marblefold.register_store.changes import EvacuationState
 
 __all__ = ["MaintenanceDuty", "REGISTER", "Surroundings"]
 
@@ -83,14 +85,16 @@
         self._warn_of_shortfalls()
 
     async def _act(self, window: Window) -> Window:
-        register = "evacuation/" + window.zone
         if window.state is WindowState.RUNNING and not window.is_emptied:
-            await self._store_client.ask("window-empty", register)
+            emptied = await self._change_zone(RegisterCallKind.WINDOW_EMPTY, window.zone)
+            # Another order came in between: judged anew in the next round.
+            if emptied is EvacuationState.OFF:
+                return window
             log.info("window runs", window=window.name, zone=window.zone)
             return window._replace(is_emptied=True)
         if (
             window.state is WindowState.RUNNING
-            and self._surroundings.evacuation(window.zone) == b"off"
+            and self._surroundings.evacuation(window.zone) == EvacuationState.OFF.value
         ):
             # An operator's own order goes before ours.
             return change_state(
@@ -98,7 +102,9 @@
             )
         if window.state.is_over and window.is_emptied:
             if not self._is_zone_in_use(window.zone):
-                await self._store_client.ask("window-release", register)
+                released = await self._change_zone(RegisterCallKind.WINDOW_RELEASE, window.zone)
+                if released is EvacuationState.WINDOW:
+                    return window
                 log.info("window over", window=window.name, zone=window.zone)
             return window._replace(is_emptied=False)
         return window
@@ -107,9 +113,16 @@
         """Gives back zones that a late act of an older holder emptied."""
         for zone in self._surroundings.window_zones():
             if not self._is_zone_in_use(zone):
-                await self._store_client.ask("window-release", "evacuation/" + zone)
+                await self._change_zone(RegisterCallKind.WINDOW_RELEASE, zone)
                 log.warning("zone was emptied for no window", zone=zone)
 
+    async def _change_zone(self, kind: RegisterCallKind, zone: str) -> EvacuationState:
+        """What holds for the zone after a change that is tied to what held before it."""
+        register = "evacuation/" + zone
+        base = await self._store_client.ask(RegisterCallKind.DESCRIBE, register)
+        held = await self._store_client.ask(kind, register, base.number)
+        return EvacuationState.read(held.value)
+
     def _is_zone_in_use(self, zone: str) -> bool:
         return any(
             window.zone == zone and window.state is WindowState.RUNNING
@@ -119,7 +132,9 @@
     async def _hold(self, document: Document) -> bool:
         """Whether the document was taken at the number that we acted on."""
         value = document.pack()
-        answer = await self._store_client.ask(REGISTER, REGISTER, self.number, value)
+        answer = await self._store_client.ask(
+            RegisterCallKind.MAINTENANCE, REGISTER, self.number, value
+        )
         self.take(answer.number, answer.value)
         return answer.value == value
 
--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -96,7 +96,8 @@
         ballot = Ballot.read(call.ballot)
         if ballot < self.holdings.get(call.register, NOTHING).promised:
             return self._refuse("promised higher", call.register)
-        self._hold(call.register, Holding(ballot, ballot, call.number, call.value))
+        orders = tuple(call.orders)
+        self._hold(call.register, Holding(ballot, ballot, call.number, call.value, orders))
         return self._agree([])
 
     def take_chosen(self, register: str, holding: Holding) -> bool:
--- a/marblefold/register_store/ballots.py
+++ b/marblefold/register_store/ballots.py
@@ -33,6 +33,8 @@
     ballot: Ballot
     number: int
     value: bytes
+    # The ids of the last orders that changed the register, oldest first.
+    orders: tuple[bytes, ...] = ()
 
 
 NOTHING = Holding(NO_BALLOT, NO_BALLOT, 0, b"")
@@ -46,11 +48,16 @@
         number=holding.number,
         value=holding.value,
         promised=holding.promised.pack(),
+        orders=holding.orders,
     )
 
 
 def read_holding(message: kinds.Accepted) -> Holding:
     """The holding in a message."""
     return Holding(
-        Ballot.read(message.promised), Ballot.read(message.ballot), message.number, message.value
+        Ballot.read(message.promised),
+        Ballot.read(message.ballot),
+        message.number,
+        message.value,
+        tuple(message.orders),
     )
--- a/marblefold/register_store/changes.py
+++ b/marblefold/register_store/changes.py
@@ -1,5 +1,6 @@
-"""What the operator's words do to a register: pure functions of what it holds."""
+"""What orders do to a register: pure functions of what it holds."""
 
+import enum
 from collections.abc import Callable
 from typing import NamedTuple
 
@@ -7,22 +8,44 @@
 
 __all__ = [
     "Change",
+    "EvacuationState",
     "Held",
     "change_view",
     "empty_for_window",
-    "hold_evacuation",
+    "fence",
     "hold_configuration",
+    "hold_evacuation",
     "keep",
     "release_from_window",
     "replace_at",
 ]
 
+# An order is asked about again only for as long as its registry tries, and no
+# more than eight orders are under way at once.
+_ORDERS_KEPT = 8
+
+
+class EvacuationState(enum.Enum):
+    """What the register of a zone's evacuation holds, once it was ever set."""
+
+    ON = b"on"
+    OFF = b"off"
+    # Evacuated for a maintenance window, by no order of an operator.
+    WINDOW = b"window"
+
+    @classmethod
+    def read(cls, value: bytes) -> "EvacuationState":
+        """The state in a register's value; nothing means that it was never set."""
+        return cls(value) if value else cls.OFF
+
 
 class Held(NamedTuple):
-    """The number and value of a register."""
+    """What a register holds: its number, its value, and who made it so."""
 
     number: int
     value: bytes
+    # The ids of the last orders that changed it, oldest first.
+    orders: tuple[bytes, ...] = ()
 
 
 # A change gives the very value it was given where it changes nothing.
@@ -35,16 +58,19 @@
 
 
 def hold_configuration(number: int, body: bytes) -> Change:
-    """The highest number holds."""
+    """The highest number holds, with the content that was chosen first under it."""
     return lambda held: Held(number, body) if not held.value or number > held.number else held
 
 
 def hold_evacuation(value: bytes) -> Change:
-    """Starts and stops follow each other; a repeat of one changes nothing."""
+    """Starts and stops follow each other; a repeat of one changes nothing.
+
+    On its own not idempotent (start, stop, start): orders come through `fence`.
+    """
 
     def change(held: Held) -> Held:
         # What was never evacuated need not be taken back.
-        if held.value == value or (not held.value and value == b"off"):
+        if held.value == value or (not held.value and value == EvacuationState.OFF.value):
             return held
         return Held(held.number + 1, value)
 
@@ -53,14 +79,16 @@
 
 def empty_for_window(held: Held) -> Held:
     """Evacuates a zone for a maintenance window, unless an operator did."""
-    if held.value in (b"on", b"window"):
+    if EvacuationState.read(held.value) is not EvacuationState.OFF:
         return held
-    return Held(held.number + 1, b"window")
+    return Held(held.number + 1, EvacuationState.WINDOW.value)
 
 
 def release_from_window(held: Held) -> Held:
     """Takes back what a window evacuated, never what an operator did."""
-    return Held(held.number + 1, b"off") if held.value == b"window" else held
+    if EvacuationState.read(held.value) is not EvacuationState.WINDOW:
+        return held
+    return Held(held.number + 1, EvacuationState.OFF.value)
 
 
 def replace_at(number: int, value: bytes) -> Change:
@@ -68,6 +96,27 @@
     return lambda held: Held(number + 1, value) if held.number == number else held
 
 
+def fence(base: int, order: bytes, change: Change) -> Change:
+    """The change, at most once: only at the number that its caller had read.
+
+    Numbers only rise, and every change raises the number; so once the order, or
+    any other one, has changed the register, no later try of it does anything,
+    at whatever store.  The id left behind tells its own later tries that it
+    was taken.
+    """
+
+    def fenced(held: Held) -> Held:
+        if held.number != base or (order and order in held.orders):
+            return held
+        after = change(held)
+        if after == held:
+            return held
+        orders = (*held.orders, order) if order else held.orders
+        return after._replace(orders=orders[-_ORDERS_KEPT:])
+
+    return fenced
+
+
 def change_view(base: View, following: View) -> Change:
     """Swaps a member if the view is still the one that the swap was made for."""
 
--- /dev/null
+++ b/marblefold/register_store/orders.py
@@ -0,0 +1,83 @@
+"""Reads the calls of registries as orders: what each does, and what came of it."""
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from marblefold.inner_protocol.messages import kinds
+from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
+from marblefold.register_store.changes import (
+    Change,
+    Held,
+    empty_for_window,
+    fence,
+    hold_configuration,
+    hold_evacuation,
+    keep,
+    release_from_window,
+    replace_at,
+)
+
+__all__ = ["Order", "read_order"]
+
+
+class Order(NamedTuple):
+    """A change, and the judgement on what a majority holds after it."""
+
+    change: Change
+    judge: Callable[[Held], Outcome]
+
+
+def read_order(call: kinds.RegisterCall) -> Order | None:
+    """The order in a call; None if it is none."""
+    try:
+        kind = RegisterCallKind(call.kind)
+    except ValueError:
+        return None
+    if kind is RegisterCallKind.DESCRIBE:
+        return Order(keep, lambda _held: Outcome.HELD)
+    if kind is RegisterCallKind.CONFIGURATION:
+        return _order_configuration(call.number, call.value)
+    if kind in (RegisterCallKind.MAINTENANCE, RegisterCallKind.DUTY):
+        return _order_replacement(call)
+    if kind is RegisterCallKind.EVACUATION:
+        return _order_state(call, hold_evacuation(call.value))
+    if kind is RegisterCallKind.WINDOW_EMPTY:
+        return _order_state(call, empty_for_window)
+    if kind is RegisterCallKind.WINDOW_RELEASE:
+        return _order_state(call, release_from_window)
+    return None
+
+
+def _order_configuration(number: int, body: bytes) -> Order:
+    """Contents are compared as they were sent, byte for byte."""
+
+    def judge(held: Held) -> Outcome:
+        if held.number != number:
+            return Outcome.OVERTAKEN
+        return Outcome.HELD if held.value == body else Outcome.CONFLICT
+
+    return Order(hold_configuration(number, body), judge)
+
+
+def _order_replacement(call: kinds.RegisterCall) -> Order:
+    """A document goes on from the number at which its writer read it."""
+
+    def judge(held: Held) -> Outcome:
+        is_known = bool(call.order) and call.order in held.orders
+        is_ours = (held.number, held.value) == (call.number + 1, call.value)
+        return Outcome.HELD if is_known or is_ours else Outcome.OVERTAKEN
+
+    return Order(fence(call.number, call.order, replace_at(call.number, call.value)), judge)
+
+
+def _order_state(call: kinds.RegisterCall, change: Change) -> Order:
+    """An evacuation is answered by what holds now.
+
+    One that was taken and then taken back by another order is not acknowledged
+    any more: whoever counted from that answer on would count wrongly.
+    """
+
+    def judge(held: Held) -> Outcome:
+        return Outcome.HELD if change(held) == held else Outcome.OVERTAKEN
+
+    return Order(fence(call.number, call.order, change), judge)
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -15,16 +15,10 @@
 from marblefold.node_config.watching import ConfigWatch
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor
 from marblefold.register_store.ballots import Holding, read_holding
-from marblefold.register_store.changes import (
-    Change,
-    empty_for_window,
-    hold_configuration,
-    hold_evacuation,
-    keep,
-    release_from_window,
-    replace_at,
-)
+from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
+from marblefold.register_store.changes import Held
 from marblefold.register_store.chosen_registers import ChosenRegisters
+from marblefold.register_store.orders import read_order
 from marblefold.register_store.peer_calls import StorePeers, answer_call
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.register_files import RegisterFiles
@@ -130,19 +124,20 @@
         connection.send(FrameKind.REPLY, number, pack_message(answer))
 
     async def _make_answer(self, connection: PeerConnection, call) -> kinds.RegisterAnswer:
-        if call.kind == "watch":
+        if call.kind == RegisterCallKind.WATCH:
             self._words.watch(connection)
             self._tell_view(connection)
-            return kinds.RegisterAnswer(outcome="held")
-        change = _find_change(call)
-        if change is None:
-            return kinds.RegisterAnswer(outcome="unknown", reason="no such call")
+            return kinds.RegisterAnswer(outcome=Outcome.HELD)
+        order = read_order(call)
+        if order is None:
+            return kinds.RegisterAnswer(outcome=Outcome.UNKNOWN, reason="no such call")
         try:
-            holding = await self._proposer.change(call.register, change, _WORD_SECONDS)
+            holding = await self._proposer.change(call.register, order.change, _WORD_SECONDS)
         except MeshError as error:
-            return kinds.RegisterAnswer(outcome="unknown", reason=str(error))
+            return kinds.RegisterAnswer(outcome=Outcome.UNKNOWN, reason=str(error))
         self._spread(call.register, holding)
-        return kinds.RegisterAnswer(outcome="held", number=holding.number, value=holding.value)
+        outcome = order.judge(Held(holding.number, holding.value, holding.orders))
+        return kinds.RegisterAnswer(outcome=outcome, number=holding.number, value=holding.value)
 
     def _tell_view(self, connection: PeerConnection) -> None:
         """The first view was never proposed: no register tells it."""
@@ -161,17 +156,3 @@
         view = self._acceptor.view
         for peer in view.members if view else ():
             self._peers.tell_chosen(peer, register, holding)
-
-
-def _find_change(call: kinds.RegisterCall) -> Change | None:
-    if call.kind == "configuration":
-        return hold_configuration(call.number, call.value)
-    if call.kind == "evacuation":
-        return hold_evacuation(call.value)
-    if call.kind in ("maintenance", "duty"):
-        return replace_at(call.number, call.value)
-    return {
-        "describe": keep,
-        "window-empty": empty_for_window,
-        "window-release": release_from_window,
-    }.get(call.kind)
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -77,7 +77,7 @@
         if promises is None:
             return None
         newest = max(promises.holdings, key=lambda holding: holding.ballot)
-        held = Held(newest.number, newest.value)
+        held = Held(newest.number, newest.value, newest.orders)
         wanted = change(held)
         # Held by a whole majority under one ballot already: nothing to settle.
         is_settled = all(holding.ballot == newest.ballot for holding in promises.holdings)
@@ -90,12 +90,13 @@
             ballot=ballot.pack(),
             number=wanted.number,
             value=wanted.value,
+            orders=wanted.orders,
             lives=promises.lives,
         )
         answers = await self._ask(list(promises.lives), call, view.majority)
         if len(answers) < view.majority:
             return None
-        return Holding(NO_BALLOT, ballot, wanted.number, wanted.value)
+        return Holding(NO_BALLOT, ballot, *wanted)
 
     async def _prepare(self, view: View, register: str, ballot: Ballot) -> _Promises | None:
         call = kinds.StoreCall(
--- a/marblefold/registry/control_calls.py
+++ b/marblefold/registry/control_calls.py
@@ -1,5 +1,6 @@
 """The calls of operators, and of targets that come here."""
 
+import time
 from collections.abc import Callable
 from typing import Protocol
 
@@ -9,14 +10,19 @@
 from marblefold.http_connections.answer import Answer
 from marblefold.http_connections.call_router import Call, CallRouter, json_answer, not_now_answer
 from marblefold.logs import log
+from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
+from marblefold.register_store.changes import EvacuationState
 
 __all__ = ["ControlCalls", "RegisterClient"]
 
 _LARGEST_CONFIGURATION = 64 * 1024 * 1024
+_CONFIGURATION_REGISTER = "configuration"
+# Callers go on to another node after a second of silence.
+_BASE_SECONDS = 0.8
 
 
 class RegisterClient(Protocol):
-    """Where the operator's words are kept."""
+    """Where the operator's orders are kept."""
 
     async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
 
@@ -29,10 +35,12 @@
         store_client: RegisterClient,
         zones: Callable[[], set[str]],
         state: Callable[[], dict],
+        clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self._store_client = store_client
         self._zones = zones
         self._state = state
+        self._clock = clock
 
     def add_to(self, router: CallRouter) -> None:
         """Serves these calls at the router."""
@@ -47,46 +55,67 @@
 
     async def _replace(self, call: Call) -> Answer:
         try:
-            configuration = read_configuration(call.body)
+            number = read_configuration(call.body).configuration_number
         except InvalidConfiguration as invalid:
             log.info("configuration refused", faults=invalid.faults[:5])
             return json_answer(400, {wire_names.REASON: invalid.faults[:50]})
-        answer = await self._hold(
-            "configuration", "configuration", configuration.config_version, call.body
-        )
-        if answer is not None:
-            return answer
-        log.info("configuration held", number=configuration.config_version)
-        return json_answer(200, {wire_names.CONFIG_VERSION: configuration.config_version})
+        try:
+            # The body goes as it was sent: contents are compared byte for byte.
+            held = await self._store_client.ask(
+                RegisterCallKind.CONFIGURATION, _CONFIGURATION_REGISTER, number, call.body
+            )
+        except MeshError as error:
+            return not_now_answer(error)
+        if Outcome.read(held.outcome) is Outcome.CONFLICT:
+            return _answer_conflict(held.number)
+        log.info("configuration held", number=number, newest=held.number)
+        return json_answer(200, {wire_names.CONFIG_VERSION: number})
 
     async def _describe(self, _call: Call) -> Answer:
         try:
-            record = await self._store_client.ask("describe", "configuration")
+            held = await self._store_client.ask(RegisterCallKind.DESCRIBE, _CONFIGURATION_REGISTER)
         except MeshError as error:
             return not_now_answer(error)
-        if not record.value:
+        if not held.value:
             return json_answer(404, {wire_names.REASON: "no configuration yet"})
-        return Answer(200, header_block=b"Content-Type: application/json\r\n", body=record.value)
+        return Answer(200, header_block=b"Content-Type: application/json\r\n", body=held.value)
 
     async def _start_evacuation(self, call: Call) -> Answer:
-        return await self._evacuate(call.subject, b"on")
+        return await self._evacuate(call.subject, EvacuationState.ON)
 
     async def _stop_evacuation(self, call: Call) -> Answer:
-        return await self._evacuate(call.subject, b"off")
+        return await self._evacuate(call.subject, EvacuationState.OFF)
 
-    async def _evacuate(self, zone: str, value: bytes) -> Answer:
+    async def _evacuate(self, zone: str, state: EvacuationState) -> Answer:
         if zone not in self._zones():
-            return json_answer(404, {wire_names.REASON: f"no zone {zone!r}"})
-        answer = await self._hold("evacuation", "evacuation/" + zone, 0, value)
-        if answer is not None:
-            return answer
-        log.info("evacuation held", zone=zone, state=value.decode())
-        return json_answer(200, {})
-
-    async def _hold(self, kind: str, register: str, number: int, value: bytes) -> Answer | None:
-        """None once a majority holds the record, else the answer that says no."""
+            return json_answer(404, {wire_names.REASON: f"zone: no zone {zone!r}"})
         try:
-            await self._store_client.ask(kind, register, number, value)
+            await self._order_evacuation("evacuation/" + zone, state)
         except MeshError as error:
             return not_now_answer(error)
-        return None
+        log.info("evacuation held", zone=zone, state=state.name)
+        return json_answer(200, {})
+
+    async def _order_evacuation(self, register: str, state: EvacuationState) -> None:
+        """Has a majority hold the state; MeshError where that is not clear.
+
+        The order is tied to the number that held while its caller was still
+        waiting here.  Later its caller may have gone on, had it done elsewhere
+        and taken it back: then that number holds no more and nothing is changed.
+        """
+        began = self._clock()
+        base = await self._store_client.ask(RegisterCallKind.DESCRIBE, register)
+        if self._clock() - began > _BASE_SECONDS:
+            raise MeshError("evacuation", "read too late: its caller may have gone on")
+        held = await self._store_client.ask(
+            RegisterCallKind.EVACUATION, register, base.number, state.value
+        )
+        if Outcome.read(held.outcome) is not Outcome.HELD:
+            raise MeshError("evacuation", "another order came in between")
+
+
+def _answer_conflict(number: int) -> Answer:
+    """Another content was confirmed under the number; sending again changes nothing."""
+    reason = f"{wire_names.CONFIG_VERSION}: {number} holds with another content"
+    log.warning("configuration refused", number=number, reason=reason)
+    return json_answer(409, {wire_names.REASON: reason, wire_names.CONFIG_VERSION: number})
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -1,6 +1,7 @@
 """The registry's way to the stores: asks for words to hold, hears what holds."""
 
 import asyncio
+import os
 import time
 from collections.abc import Callable
 from typing import NamedTuple
@@ -45,7 +46,9 @@
     async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""):
         """The stores' answer; MeshError if no store could give a clear one."""
         call = pack_message(
-            kinds.RegisterCall(kind=kind, register=register, number=number, value=value)
+            kinds.RegisterCall(
+                kind=kind, register=register, number=number, value=value, order=os.urandom(12)
+            )
         )
         started = time.monotonic()
         last: MeshError | None = None
--- a/tests/test_maintenance_duty.py
+++ b/tests/test_maintenance_duty.py
@@ -16,7 +16,9 @@
 from marblefold.register_store.changes import (
     Held,
     empty_for_window,
+    fence,
     hold_evacuation,
+    keep,
     release_from_window,
     replace_at,
 )
@@ -44,9 +46,10 @@
         if not self.is_reachable:
             raise MeshError(kind, "no majority")
         change = {
+            "describe": keep,
             REGISTER: replace_at(number, value),
-            "window-empty": empty_for_window,
-            "window-release": release_from_window,
+            "window-empty": fence(number, b"", empty_for_window),
+            "window-release": fence(number, b"", release_from_window),
         }[kind]
         held = self.change(register, change)
         return types.SimpleNamespace(number=held.number, value=held.value)
--- /dev/null
+++ b/tests/test_orders_take_effect_once.py
@@ -0,0 +1,214 @@
+"""Orders to evacuate take effect at most once, and never after a later one.
+
+The real control calls, orders, proposers and acceptors; the test owns the
+network and the clock.  The plain model is one operator that does one thing
+after the other: it sends an order, goes on to another node after a second of
+silence, and sends the next order once the last one was acknowledged.  From an
+acknowledgement until its next order, only what was acknowledged may be read.
+"""
+
+import pytest
+from hypothesis import HealthCheck, Phase, settings
+from hypothesis import strategies as st
+from hypothesis.stateful import RuleBasedStateMachine, rule
+
+from marblefold.http_connections.call_router import Call
+from marblefold.inner_protocol.messages import kinds
+from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
+from marblefold.register_store.changes import Held, keep
+from marblefold.register_store.orders import read_order
+from marblefold.registry.control_calls import ControlCalls
+from tests.simulated_orders import OrderedStores, StoreClient, held_of
+from tests.simulated_stores import SEEDS
+
+ZONE = "hall-a"
+REGISTER = "evacuation/" + ZONE
+METHODS = {b"on": "_start_evacuation", b"off": "_stop_evacuation"}
+
+
+class Operator(RuleBasedStateMachine):
+    """One operator, three stores, abandoned tries that go on by themselves."""
+
+    def __init__(self):
+        super().__init__()
+        self.now = 0.0
+        self.stores = OrderedStores(lambda: self.now)
+        self.wanted = None
+        self.acknowledged = b""
+        self.attempt = None
+        self.reads = []
+
+    def turn(self):
+        self.stores.turn()
+        if self.attempt is not None and self.attempt.done():
+            answer, self.attempt = self.attempt.result(), None
+            if answer.status == 200:
+                self.acknowledged, self.wanted = self.wanted, None
+        for read in [read for read in self.reads if read.done()]:
+            self.reads.remove(read)
+            if read.exception() is None and self.wanted is None:
+                assert (read.result().value or b"off") == (self.acknowledged or b"off")
+
+    def send(self, addresses):
+        client = StoreClient(self.stores, addresses)
+        calls = ControlCalls(client, lambda: {ZONE}, dict, clock=lambda: self.now)
+        serve = getattr(calls, METHODS[self.wanted])
+        self.attempt = self.stores.start(serve(Call(ZONE, b"")))
+        self.turn()
+
+    @rule(value=st.sampled_from([b"on", b"off"]), addresses=st.permutations(SEEDS))
+    def order(self, value, addresses):
+        if self.wanted is None:
+            # What was begun before the order may see it, or not.
+            self.reads.clear()
+            self.wanted = value
+            self.send(addresses[:1])
+
+    @rule(addresses=st.permutations(SEEDS), hedged=st.integers(1, 2))
+    def go_on(self, addresses, hedged):
+        """A second went by without an answer: the same order to another node."""
+        if self.wanted is not None:
+            self.now += 1.0
+            self.send(addresses[:hedged])
+
+    @rule(
+        value=st.sampled_from([b"on", b"off"]),
+        addresses=st.permutations(SEEDS),
+        steps=st.integers(0, 8),
+    )
+    def order_past_a_slow_store(self, value, addresses, steps):
+        """The first store asked falls silent at some step; another does the order."""
+        slow, other, _third = addresses
+        self.order(value, [slow])
+        for _ in range(steps):
+            self.deliver(0, 1)
+        self.go_on([other], 1)
+        self.deliver_all(slow)
+
+    @rule(but=st.sampled_from(["", *SEEDS]))
+    def deliver_all(self, but):
+        self.stores.deliver_all(but, self.turn)
+
+    @rule(index=st.integers(0, 30), repeat=st.integers(1, 12))
+    def deliver(self, index, repeat):
+        for _ in range(repeat):
+            self.stores.deliver(index)
+            self.turn()
+
+    @rule(index=st.integers(0, 30))
+    def lose(self, index):
+        self.stores.lose(index)
+        self.turn()
+
+    @rule(address=st.sampled_from(SEEDS))
+    def lose_power(self, address):
+        self.stores.stores[address].lose_power()
+
+    @rule(address=st.sampled_from(SEEDS))
+    def read_back(self, address):
+        if self.wanted is None:
+            proposer = self.stores.stores[address].proposer
+            self.reads.append(self.stores.start(proposer.change(REGISTER, keep, 5.0)))
+            self.turn()
+
+    @rule(address=st.sampled_from(SEEDS))
+    def read_back_at_once(self, address):
+        self.read_back(address)
+        self.deliver_all("")
+
+    def teardown(self):
+        self.stores.close()
+
+
+Operator.TestCase.settings = settings(
+    max_examples=150,
+    stateful_step_count=30,
+    deadline=None,
+    # Shrinking on simulated networks takes minutes and shows little more.
+    phases=[Phase.explicit, Phase.reuse, Phase.generate],
+    suppress_health_check=list(HealthCheck),
+)
+TestOneOperator = Operator.TestCase
+
+
+@pytest.mark.parametrize("steps", range(10))
+def test_a_start_that_falls_silent_at_any_step_does_not_outlive_its_stop(steps):
+    """Start at a, which falls silent; start and stop at b; then a goes on."""
+    model = Operator()
+    model.order(b"off", ["b:1"])
+    model.deliver_all("")
+    model.order_past_a_slow_store(b"on", ["a:1", "b:1", "c:1"], steps)
+    model.order(b"off", ["b:1"])
+    model.deliver_all("a:1")
+    assert model.wanted is None and model.acknowledged == b"off"
+    model.deliver_all("")
+    model.read_back_at_once("c:1")
+    assert not model.reads
+    model.teardown()
+
+
+def make_call(kind, value, number, order=b"one"):
+    return kinds.RegisterCall(kind=kind, register=REGISTER, number=number, value=value, order=order)
+
+
+def test_a_start_left_at_a_minority_does_not_follow_a_stop_that_was_acknowledged():
+    stores = OrderedStores(lambda: 0.0)
+    for number, value in ((0, b"on"), (1, b"off")):
+        stores.do("a:1", make_call(RegisterCallKind.EVACUATION, value, number, value))
+    start = make_call(RegisterCallKind.EVACUATION, b"on", 2, b"late")
+    late = stores.propose("a:1", start)
+    stores.deliver_until(lambda: held_of(stores, "a:1", REGISTER).value == b"on")
+    # Its accept stands at its own store alone; b and c never heard of it.
+    stores.lose_all()
+    stop = make_call(RegisterCallKind.EVACUATION, b"on", 2, b"again")
+    assert stores.do("b:1", stop, but="a:1") is Outcome.HELD
+    stop = make_call(RegisterCallKind.EVACUATION, b"off", 3, b"stop")
+    assert stores.do("b:1", stop, but="a:1") is Outcome.HELD
+    stores.deliver_all("", stores.turn)
+    assert late.done() and late.result() is Outcome.OVERTAKEN
+    assert stores.read("c:1", REGISTER).value == b"off"
+    stores.close()
+
+
+def test_one_order_at_two_stores_at_once_takes_effect_once():
+    stores = OrderedStores(lambda: 0.0)
+    call = make_call(RegisterCallKind.DUTY, b"document", 0)
+    tries = [stores.propose(address, call) for address in ("a:1", "b:1")]
+    # Both have prepared; then one gets through, and the other after it.
+    stores.deliver_until(lambda: len(stores.network.waiting) > 4 or tries[0].done())
+    stores.deliver_all("a:1", stores.turn)
+    stores.deliver_all("", stores.turn)
+    assert [one.result() for one in tries] == [Outcome.HELD, Outcome.HELD]
+    assert stores.read("c:1", REGISTER)[:2] == (1, b"document")
+    stores.close()
+
+
+def test_a_document_that_was_taken_and_then_replaced_is_known_by_its_order():
+    held = Held(0, b"")
+    first = read_order(make_call(RegisterCallKind.DUTY, b"first", 0))
+    held = first.change(held)
+    held = read_order(make_call(RegisterCallKind.DUTY, b"second", 1, b"two")).change(held)
+    assert first.change(held) == held and first.judge(held) is Outcome.HELD
+    never = read_order(make_call(RegisterCallKind.DUTY, b"first", 0, b"never"))
+    assert never.change(held) == held and never.judge(held) is Outcome.OVERTAKEN
+
+
+def test_a_start_that_is_sent_again_after_nothing_else_happened_holds():
+    stores = OrderedStores(lambda: 0.0)
+    start = make_call(RegisterCallKind.EVACUATION, b"on", 0, b"one")
+    first = stores.propose("a:1", start)
+    stores.lose_all()
+    again = make_call(RegisterCallKind.EVACUATION, b"on", 0, b"two")
+    assert stores.do("b:1", again, but="a:1") is Outcome.HELD
+    stores.deliver_all("", stores.turn)
+    assert first.result() is Outcome.HELD
+    assert stores.read("c:1", REGISTER)[:2] == (1, b"on")
+    stores.close()
+
+
+def test_the_orders_kept_are_few_and_outlast_those_under_way_at_once():
+    held = Held(0, b"")
+    for number in range(30):
+        order = b"%d" % number
+        held = read_order(make_call(RegisterCallKind.DUTY, b"x", number, order)).change(held)
+    assert held.number == 30 and held.orders == tuple(b"%d" % one for one in range(22, 30))
