--- a/marblefold/configuration/checking.py
+++ b/marblefold/configuration/checking.py
@@ -4,18 +4,22 @@
 from datetime import timedelta
 
 from marblefold import wire_names
-from marblefold.configuration.model import Configuration, Route
+from marblefold.configuration.model import Configuration, Limits, Route
 
 __all__ = ["find_faults"]
 
 _KINDS = (wire_names.READ_ONLY, wire_names.MUTATING, wire_names.UPLOAD)
 _LONGEST_TIME_LIMIT = timedelta(minutes=10)
+_LONGEST_LIMIT = timedelta(days=1)
+# What the rows for proxies can hold of a number (configuration/laying_out.py).
+_MOST = 2**31 - 1
 
 
 def find_faults(configuration: Configuration) -> Iterator[str]:
     """Every fault of the configuration, each with its place."""
     if configuration.config_version < 0:
         yield "config-version: below zero"
+    yield from _find_limit_faults(configuration.limits)
     upstreams = set()
     for upstream in configuration.service_list:
         if not upstream.name:
@@ -23,6 +27,8 @@
         if upstream.name in upstreams:
             yield f"service-list: {upstream.name} stands twice"
         upstreams.add(upstream.name)
+        if not 0 <= upstream.max_connections <= _MOST:
+            yield f"service-list: {upstream.name}: max-connections: not from 0 to {_MOST}"
     places: dict[tuple[str, str], str] = {}
     for index, route in enumerate(configuration.route_list):
         place = f"route-list[{index}] {route.name}"
@@ -34,6 +40,17 @@
         places[key] = route.name
 
 
+def _find_limit_faults(limits: Limits) -> Iterator[str]:
+    if not 0 <= limits.max_header_bytes <= _MOST:
+        yield f"limits.max-header-bytes: not from 0 to {_MOST}"
+    if limits.max_body_bytes < 0:
+        yield "limits.max-body-bytes: below zero"
+    if not timedelta(0) <= limits.header_timeout_ms <= _LONGEST_LIMIT:
+        yield "limits.header-timeout-ms: not within a day"
+    if not timedelta(0) <= limits.idle_timeout_ms <= _LONGEST_LIMIT:
+        yield "limits.idle-timeout-ms: not within a day"
+
+
 def _find_route_faults(route: Route, upstreams: set[str]) -> Iterator[str]:
     if not route.host_name:
         yield "host-name: empty"
@@ -45,8 +62,10 @@
         yield "timeout-ms: not within ten minutes"
     if route.target_latency_ms < timedelta(0):
         yield "target-latency-ms: below zero"
-    if route.max_attempts < 1:
-        yield "max-attempts: below one"
+    if not 1 <= route.max_attempts <= _MOST:
+        yield f"max-attempts: below one, or over {_MOST}"
+    if not -_MOST <= route.priority <= _MOST:
+        yield f"priority: over {_MOST}"
     if route.upstream is None and not route.weighted_targets:
         yield "upstream: neither an upstream nor a split"
     for split in route.splits:
--- a/marblefold/configuration/reading.py
+++ b/marblefold/configuration/reading.py
@@ -1,6 +1,5 @@
 """Reads a configuration from the operator's bytes and finds all that is wrong with it."""
 
-import json
 from datetime import timedelta
 
 import cattrs
@@ -9,6 +8,7 @@
 from marblefold.configuration.checking import find_faults
 from marblefold.configuration.model import Configuration, Limits, Route, Split, Upstream
 from marblefold.errors import MeshError
+from marblefold.json_bodies import BadBody, read_object, require_lists
 
 __all__ = ["InvalidConfiguration", "read_configuration"]
 
@@ -57,6 +57,7 @@
     converter.register_structure_hook(int, _strict_whole)
     converter.register_structure_hook(str, _strict_text)
     converter.register_structure_hook(timedelta, _milliseconds)
+    require_lists(converter)
     for kind in (Split, Upstream, Limits, Route, Configuration):
         names = {}
         for field in kind.__attrs_attrs__:
@@ -83,15 +84,11 @@
 def read_configuration(body: bytes) -> Configuration:
     """The configuration in the body, or InvalidConfiguration with every fault found."""
     try:
-        document = json.loads(body)
-    except (ValueError, RecursionError) as error:
+        document = read_object(body)
+    except BadBody as error:
         raise InvalidConfiguration(
-            "configuration", [MeshError("read configuration", f"body: {error}")]
+            "configuration", [MeshError("read configuration", str(error))]
         ) from error
-    if not isinstance(document, dict):
-        raise InvalidConfiguration(
-            "configuration", [MeshError("read configuration", "body: not an object")]
-        )
     try:
         configuration = _converter.structure(document, Configuration)
     except cattrs.BaseValidationError as error:
--- a/marblefold/history/keeper.py
+++ b/marblefold/history/keeper.py
@@ -16,6 +16,7 @@
 
 # More than this waiting means a disk that stalls: the oldest are let go.
 _MOST_WAITING = 16
+_LONGEST_NUMBER = 18
 
 
 class HistoryKeeper:
@@ -95,7 +96,7 @@
         if not self._folder:
             return json_answer(404, {wire_names.REASON: "no history is kept here"})
         number = call.subject.removeprefix("r")
-        if not number.isdigit():
+        if not (number.isascii() and number.isdigit() and len(number) <= _LONGEST_NUMBER):
             return json_answer(400, {wire_names.REASON: "version: not a number"})
         try:
             body = await self._do(lambda: self._open().read(int(number)))
--- a/marblefold/http_connections/call_router.py
+++ b/marblefold/http_connections/call_router.py
@@ -15,6 +15,7 @@
 __all__ = ["Call", "CallRouter", "faults_answer", "json_answer", "not_now_answer"]
 
 _RETRY_SECONDS = 0.2
+_LONGEST_PATH = 1024
 
 
 class Call(NamedTuple):
@@ -57,6 +58,19 @@
     most_bytes: int
 
 
+async def _serve(route: _Route, call: Call) -> Answer:
+    """The answer of a call; a fault of ours leaves it without a clear one.
+
+    What was ordered may hold or not, so only 503 says nothing wrong.
+    """
+    try:
+        return await route.serve(call)
+    except Exception as error:
+        log.exception("control call failed", subject=ascii(call.subject))
+        reason = f"a fault of ours: {type(error).__name__}"
+        return json_answer(503, {wire_names.REASON: reason}, _RETRY_SECONDS)
+
+
 class CallRouter:
     """Knows each path once; other paths are 404, other methods 405."""
 
@@ -70,6 +84,8 @@
     async def handle(self, request: ClientRequest) -> Answer:
         """The answer to any call."""
         path, _sign, query = request.path.partition("?")
+        if not path.isprintable() or len(path) > _LONGEST_PATH:
+            return json_answer(400, {wire_names.REASON: "path: too long, or not readable"})
         methods, subject = self._find(path)
         if methods is None:
             return json_answer(404, {wire_names.REASON: f"no call at {path}"})
@@ -89,7 +105,7 @@
             return json_answer(400, {wire_names.REASON: "the body broke off"})
         told = find_header(request.headers, b"Authorization") or b""
         credential = told.decode("latin-1").removeprefix("Bearer ")
-        return await route.serve(Call(subject, body, credential, query))
+        return await _serve(route, Call(subject, body, credential, query))
 
     def _find(self, path: str) -> tuple[dict[str, _Route] | None, str]:
         methods = self._routes.get(path)
--- a/marblefold/maintenance/calls.py
+++ b/marblefold/maintenance/calls.py
@@ -16,6 +16,7 @@
 from marblefold.maintenance.duty import REGISTER, RegisterClient
 from marblefold.maintenance.model import Document, WindowState, read_floors_body, read_window_body
 from marblefold.maintenance.planning import change_state
+from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 
 __all__ = ["MaintenanceCalls"]
 
@@ -54,7 +55,7 @@
 
     async def _list(self, _call: Call) -> Answer:
         try:
-            held = await self._store_client.ask("describe", REGISTER)
+            held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
         except MeshError as error:
             return not_now_answer(error)
         document = Document.read(held.value)
@@ -78,6 +79,9 @@
 
         def change(document: Document) -> Document:
             known = document.windows.get(window.name)
+            # Sent again after a lost answer: it was taken, wherever it stands now.
+            if known is not None and known.is_wished_like(window) and not known.state.is_over:
+                return document
             # What runs, or still has its zone to give back, is not overwritten.
             if known is not None and (known.state is WindowState.RUNNING or known.is_emptied):
                 raise _Refused(409, f"window {window.name} is running")
@@ -102,10 +106,14 @@
         """Changes the document at the number it was read at, or tries again."""
         try:
             for _ in range(_TRIES):
-                held = await self._store_client.ask("describe", REGISTER)
+                held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
                 value = change(Document.read(held.value)).pack()
-                answer = await self._store_client.ask(REGISTER, REGISTER, held.number, value)
-                if answer.value == value:
+                if value == held.value:
+                    return json_answer(200, {})
+                answer = await self._store_client.ask(
+                    RegisterCallKind.MAINTENANCE, REGISTER, held.number, value
+                )
+                if Outcome.read(answer.outcome) is Outcome.HELD:
                     return json_answer(200, {})
         except _Refused as refused:
             return json_answer(refused.status, {wire_names.REASON: str(refused)})
--- a/marblefold/ownership/agent.py
+++ b/marblefold/ownership/agent.py
@@ -15,6 +15,7 @@
 from marblefold.leases.held_leases import DRIFT_MARGIN, LEASE_SECONDS, OwnedLease
 from marblefold.logs import log
 from marblefold.ownership.claims import Claim, Owner, Verdict, read_owners, settle
+from marblefold.register_store.call_kinds import RegisterCallKind
 
 __all__ = ["OWNERS_REGISTER", "OWNER_PREFIX", "SiteAgent"]
 
@@ -102,7 +103,7 @@
         """Claims one service once."""
         register = OWNER_PREFIX + upstream
         began = self._clock()
-        held = await self._store_client.ask("describe", register)
+        held = await self._store_client.ask(RegisterCallKind.DESCRIBE, register)
         owner = Owner.read(held.value)
         seen = self._seen.get(upstream)
         if seen is None or seen.number != held.number:
@@ -136,7 +137,7 @@
     ) -> Verdict:
         asked = self._clock()
         value = wanted.pack()
-        answer = await self._store_client.ask("duty", register, number, value)
+        answer = await self._store_client.ask(RegisterCallKind.DUTY, register, number, value)
         # Another was faster; what it wrote is judged in the next round.
         if answer.value != value:
             return Verdict.WAITING
--- a/marblefold/ownership/calls.py
+++ b/marblefold/ownership/calls.py
@@ -14,14 +14,17 @@
     json_answer,
     not_now_answer,
 )
+from marblefold.json_bodies import BadBody, read_object
 from marblefold.logs import log
 from marblefold.ownership.agent import OWNERS_REGISTER
 from marblefold.ownership.claims import Owner, find_clashes, read_owners
 from marblefold.partners.duty import RegisterClient
+from marblefold.register_store.call_kinds import RegisterCallKind
 
 __all__ = ["Claimed", "OwnerCalls"]
 
 _LARGEST_WORD = 1024 * 1024
+_LARGEST_NUMBER = 10**15
 
 
 class Claimed(NamedTuple):
@@ -45,7 +48,7 @@
 
     async def _show(self, _call: Call) -> Answer:
         try:
-            held = await self._store_client.ask("describe", OWNERS_REGISTER)
+            held = await self._store_client.ask(RegisterCallKind.DESCRIBE, OWNERS_REGISTER)
         except MeshError as error:
             return not_now_answer(error)
         claimed = self._claimed()
@@ -69,7 +72,9 @@
             return faults_answer(group)
         value = json.dumps({"services": services}, sort_keys=True).encode()
         try:
-            held = await self._store_client.ask("configuration", OWNERS_REGISTER, number, value)
+            held = await self._store_client.ask(
+                RegisterCallKind.CONFIGURATION, OWNERS_REGISTER, number, value
+            )
         except MeshError as error:
             return not_now_answer(error)
         if held.value != value or held.number != number:
@@ -87,14 +92,16 @@
 def read_owners_body(body: bytes) -> tuple[int, dict[str, list[str]]]:
     """The number and the sites of each service; an ExceptionGroup of all faults."""
     try:
-        document = json.loads(body)
-    except (ValueError, RecursionError) as error:
-        raise ExceptionGroup("owners", [MeshError("read", f"body: {error}")]) from error
+        document = read_object(body)
+    except BadBody as error:
+        raise ExceptionGroup("owners", [MeshError("read", str(error))]) from error
     faults = []
-    number = document.get("number") if isinstance(document, dict) else None
-    if isinstance(number, bool) or not isinstance(number, int) or number < 1:
-        faults.append("number: not a whole number above zero")
-    services = document.get("services") if isinstance(document, dict) else None
+    number = document.get("number")
+    if isinstance(number, bool) or not isinstance(number, int):
+        faults.append("number: not a whole number")
+    elif not 1 <= number <= _LARGEST_NUMBER:
+        faults.append(f"number: not from 1 to {_LARGEST_NUMBER}")
+    services = document.get("services")
     if not isinstance(services, dict):
         faults.append("services: not an object")
         services = {}
--- a/marblefold/partners/calls.py
+++ b/marblefold/partners/calls.py
@@ -24,6 +24,7 @@
 from marblefold.partners.duty import ENFORCED_AFTER, REGISTER, PartnerDuty, RegisterClient
 from marblefold.partners.merging import merge
 from marblefold.partners.orders import is_credential, read_exports, read_grant
+from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 
 __all__ = ["PartnerCalls"]
 
@@ -56,7 +57,7 @@
 
     async def _list(self, _call: Call) -> Answer:
         try:
-            held = await self._store_client.ask("describe", REGISTER)
+            held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
         except MeshError as error:
             return not_now_answer(error)
         partners = {
@@ -103,12 +104,18 @@
         """Holds the change, and answers once it is enforced everywhere."""
         try:
             for _ in range(_TRIES):
-                held = await self._store_client.ask("describe", REGISTER)
+                held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
                 value = change(Document.read(held.value)).pack()
-                answer = await self._store_client.ask("duty", REGISTER, held.number, value)
-                if answer.value == value:
-                    self._duty.take(answer.number, value)
-                    return await self._wait_enforced(held.number, held.value, answer.number, value)
+                if value == held.value:
+                    return await self._answer_unchanged(held.number, value)
+                answer = await self._store_client.ask(
+                    RegisterCallKind.DUTY, REGISTER, held.number, value
+                )
+                if Outcome.read(answer.outcome) is Outcome.HELD:
+                    self._duty.take(answer.number, answer.value)
+                    return await self._wait_enforced(
+                        held.number, held.value, held.number + 1, value
+                    )
         except Refused as refused:
             log.info("partner's word refused", status=refused.status, reason=refused.reason)
             document = {wire_names.REASON: refused.reason}
@@ -121,6 +128,12 @@
             503, {wire_names.REASON: "others change it all the time"}, _RETRY_SECONDS
         )
 
+    async def _answer_unchanged(self, number: int, value: bytes) -> Answer:
+        """It was taken before, perhaps only now: waited for as if it had been now."""
+        await self._sleep(ENFORCED_AFTER.total_seconds())
+        digest = merge(number, value).digest
+        return json_answer(200, {"number": number, "digest": digest, "enforced": True})
+
     async def _wait_enforced(
         self,
         old_number: int,
--- a/marblefold/partners/document.py
+++ b/marblefold/partners/document.py
@@ -45,6 +45,9 @@
 def grant_partner(document: Document, name: str, grant: Grant) -> Document:
     """The operator's word: who the partner is and what it may speak for."""
     held = document.partners.get(name)
+    # Sent again after a lost answer: it was taken, so it is not refused.
+    if held is not None and _is_same_grant(held, grant):
+        return document
     _check_number(held, "number", grant.number)
     # What it exported before must be read again under the new grant.
     return document.with_partner(
@@ -120,6 +123,16 @@
     return document.with_partner(name, {**held, "lapsed": True})
 
 
+def _is_same_grant(held: dict, grant: Grant) -> bool:
+    return not held["withdrawn"] and (
+        held["number"],
+        tuple(held["hosts"]),
+        held["address"],
+        held["credential"],
+        held["lapse-after-s"],
+    ) == (grant.number, grant.hosts, grant.address, grant.credential, grant.lapse_after_s)
+
+
 def _find(document: Document, name: str) -> dict:
     held = document.partners.get(name)
     if held is None:
--- a/marblefold/partners/duty.py
+++ b/marblefold/partners/duty.py
@@ -16,6 +16,7 @@
 from marblefold.logs import log
 from marblefold.partners.document import Document, lapse
 from marblefold.partners.merging import PartnerTable, merge
+from marblefold.register_store.call_kinds import RegisterCallKind
 
 __all__ = ["PartnerDuty", "REGISTER", "ENFORCED_AFTER"]
 
@@ -77,7 +78,7 @@
     async def step(self) -> None:
         """One round: a read that meets a majority, then who fell silent."""
         began = self._clock()
-        held = await self._store_client.ask("describe", REGISTER)
+        held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
         self.take(held.number, held.value)
         # Whatever was chosen before the read began was seen by it.
         if held.number == self.number:
@@ -96,7 +97,9 @@
             # A partner that drops out stays out until its word is read again.
             if now - since > partner["lapse-after-s"] and self._is_holder():
                 changed = lapse(document, name, reads)
-                answer = await self._store_client.ask("duty", REGISTER, self.number, changed.pack())
+                answer = await self._store_client.ask(
+                    RegisterCallKind.DUTY, REGISTER, self.number, changed.pack()
+                )
                 self.take(answer.number, answer.value)
                 log.warning("partner lapsed", partner=name, silent=round(now - since, 1))
                 return
--- a/marblefold/partners/orders.py
+++ b/marblefold/partners/orders.py
@@ -1,6 +1,5 @@
 """The words of operators and partners, read and checked."""
 
-import json
 from datetime import timedelta
 
 import attrs
@@ -9,6 +8,7 @@
 
 from marblefold import wire_names
 from marblefold.errors import MeshError
+from marblefold.json_bodies import BadBody, read_object, require_lists
 from marblefold.node_config.reading import Address
 
 __all__ = ["Export", "Exports", "Grant", "is_credential", "read_exports", "read_grant"]
@@ -65,6 +65,7 @@
     converter.register_structure_hook(str, _strict(str))
     converter.register_structure_hook(int, _strict(int))
     converter.register_structure_hook(float, _strict((int, float)))
+    require_lists(converter)
     for kind in (Export, Exports, Grant):
         names = {
             field.name: override(rename=field.name.replace("_", "-"))
@@ -140,11 +141,9 @@
 
 def _read(body: bytes, kind: type):
     try:
-        document = json.loads(body)
-    except (ValueError, RecursionError) as error:
-        raise ExceptionGroup("word", [MeshError("read word", f"body: {error}")]) from error
-    if not isinstance(document, dict):
-        raise ExceptionGroup("word", [MeshError("read word", "body: not an object")])
+        document = read_object(body)
+    except BadBody as error:
+        raise ExceptionGroup("word", [MeshError("read word", str(error))]) from error
     try:
         return _converter.structure(document, kind)
     except cattrs.BaseValidationError as error:
--- a/marblefold/registry/control_calls.py
+++ b/marblefold/registry/control_calls.py
@@ -18,7 +18,7 @@
 _LARGEST_CONFIGURATION = 64 * 1024 * 1024
 _CONFIGURATION_REGISTER = "configuration"
 # Callers go on to another node after a second of silence.
-_BASE_SECONDS = 0.8
+_BASE_SECONDS = 0.6
 
 
 class RegisterClient(Protocol):
@@ -55,7 +55,7 @@
 
     async def _replace(self, call: Call) -> Answer:
         try:
-            number = read_configuration(call.body).configuration_number
+            number = read_configuration(call.body).config_version
         except InvalidConfiguration as invalid:
             log.info("configuration refused", faults=invalid.faults[:5])
             return json_answer(400, {wire_names.REASON: invalid.faults[:50]})
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -62,6 +62,11 @@
         (make_configuration()[:-20], "body"),
         (b"[]", "body"),
         (b"[" * 100000, "body"),
+        (make_configuration(more="\ud800"), "body"),
+        (make_configuration(more=float("nan")), "body"),
+        (make_configuration(**{"route-list": {}}), "route-list"),
+        (changed(**{"allowed-regions": "east"}), "allowed-regions"),
+        (changed(priority=2**31), "priority"),
         (make_configuration(**{"config-version": "r7"}), "config-version"),
         (make_configuration(**{"config-version": None}), "config-version"),
         (
