--- a/marblefold/history/keeper.py
+++ b/marblefold/history/keeper.py
@@ -20,6 +20,7 @@
 _MOST_WAITING = 16
 # A call on the history is answered by then, also while the disk answers nothing.
 _CALL_SECONDS = 1.0
+_LONGEST_NUMBER = 18
 
 
 class HistoryKeeper:
@@ -116,7 +117,7 @@
         if not self._folder:
             return json_answer(404, {wire_names.REASON: "no history is kept here"})
         number = call.subject.removeprefix("r")
-        if not number.isdigit():
+        if not (number.isascii() and number.isdigit() and len(number) <= _LONGEST_NUMBER):
             return json_answer(400, {wire_names.REASON: "version: not a number"})
         try:
             body = await self._answer(lambda: self._open().read(int(number)))
--- a/marblefold/maintenance/duty.py
+++ b/marblefold/maintenance/duty.py
@@ -13,6 +13,8 @@
 from marblefold.logs import log
 from marblefold.maintenance.model import Document, Window, WindowState
 from marblefold.maintenance.planning import LiveSlots, change_state, plan_windows, shortfalls
+from marblefold.register_store.call_kinds import RegisterCallKind
+from marblefold.register_store.changes import EvacuationState
 
 __all__ = ["MaintenanceDuty", "REGISTER", "Surroundings"]
 
@@ -86,14 +88,16 @@
         self._warn_of_shortfalls()
 
     async def _act(self, window: Window) -> Window:
-        register = "evacuation/" + window.zone
         if window.state is WindowState.RUNNING and not window.is_emptied:
-            await self._store_client.ask("window-empty", register)
+            emptied = await self._change_zone(RegisterCallKind.WINDOW_EMPTY, window.zone)
+            # Another order came in between: judged anew in the next round.
+            if emptied is EvacuationState.OFF:
+                return window
             log.info("window runs", window=window.name, zone=window.zone)
             return window._replace(is_emptied=True)
         if (
             window.state is WindowState.RUNNING
-            and self._surroundings.evacuation(window.zone) == b"off"
+            and self._surroundings.evacuation(window.zone) == EvacuationState.OFF.value
         ):
             # The operator's own order takes precedence.
             return change_state(
@@ -101,7 +105,9 @@
             )
         if window.state.is_over and window.is_emptied:
             if not self._is_zone_in_use(window.zone):
-                await self._store_client.ask("window-release", register)
+                released = await self._change_zone(RegisterCallKind.WINDOW_RELEASE, window.zone)
+                if released is EvacuationState.WINDOW:
+                    return window
                 log.info("window over", window=window.name, zone=window.zone)
             return window._replace(is_emptied=False)
         return window
@@ -110,9 +116,16 @@
         """Restores zones that a delayed action of an earlier holder evacuated."""
         for zone in self._surroundings.window_zones():
             if not self._is_zone_in_use(zone):
-                await self._store_client.ask("window-release", "evacuation/" + zone)
+                await self._change_zone(RegisterCallKind.WINDOW_RELEASE, zone)
                 log.warning("zone was emptied for no window", zone=zone)
 
+    async def _change_zone(self, kind: RegisterCallKind, zone: str) -> EvacuationState:
+        """What holds for the zone after a change that is tied to what held before it."""
+        register = "evacuation/" + zone
+        base = await self._store_client.ask(RegisterCallKind.DESCRIBE, register)
+        held = await self._store_client.ask(kind, register, base.number)
+        return EvacuationState.read(held.value)
+
     def _is_zone_in_use(self, zone: str) -> bool:
         return any(
             window.zone == zone and window.state is WindowState.RUNNING
@@ -122,7 +135,9 @@
     async def _hold(self, document: Document) -> bool:
         """Whether the document was stored at the number it was made from."""
         value = document.pack()
-        answer = await self._store_client.ask(REGISTER, REGISTER, self.number, value)
+        answer = await self._store_client.ask(
+            RegisterCallKind.MAINTENANCE, REGISTER, self.number, value
+        )
         self.take(answer.number, answer.value)
         return answer.value == value
 
--- a/marblefold/partners/duty.py
+++ b/marblefold/partners/duty.py
@@ -17,6 +17,7 @@
 from marblefold.logs import log
 from marblefold.partners.document import Document, lapse
 from marblefold.partners.merging import PartnerTable, merge
+from marblefold.register_store.call_kinds import RegisterCallKind
 
 __all__ = ["PartnerDuty", "REGISTER", "ENFORCED_AFTER"]
 
@@ -78,7 +79,7 @@
     async def step(self) -> None:
         """Reads through a majority, then marks lapsed partners. Raises MeshError without one."""
         began = self._clock()
-        held = await self._store_client.ask("describe", REGISTER)
+        held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
         self.take(held.number, held.value)
         # The read saw every change that was chosen before it began.
         if held.number == self.number:
@@ -97,7 +98,9 @@
             # A lapsed partner stays so until it sends its exports again.
             if now - since > partner["lapse-after-s"] and self._is_holder():
                 changed = lapse(document, name, reads)
-                answer = await self._store_client.ask("duty", REGISTER, self.number, changed.pack())
+                answer = await self._store_client.ask(
+                    RegisterCallKind.DUTY, REGISTER, self.number, changed.pack()
+                )
                 self.take(answer.number, answer.value)
                 log.warning("partner lapsed", partner=name, silent=round(now - since, 1))
                 return
--- a/marblefold/partners/orders.py
+++ b/marblefold/partners/orders.py
@@ -1,6 +1,5 @@
 """Reads and checks the grants of operators and the exports of partners."""
 
-import json
 from datetime import timedelta
 from typing import Any
 
@@ -10,6 +9,7 @@
 
 from marblefold import wire_names
 from marblefold.errors import MeshError
+from marblefold.json_bodies import BadBody, read_object, require_lists
 from marblefold.node_config.reading import Address
 
 __all__ = ["Export", "Exports", "Grant", "is_credential", "read_exports", "read_grant"]
@@ -70,6 +70,7 @@
     converter.register_structure_hook(str, _strict(str))
     converter.register_structure_hook(int, _strict(int))
     converter.register_structure_hook(float, _strict((int, float)))
+    require_lists(converter)
     for kind in (Export, Exports, Grant):
         # Any: the function's other keyword arguments have types of their own.
         names: dict[str, Any] = {
@@ -146,11 +147,9 @@
 
 def _read(body: bytes, kind: type):
     try:
-        document = json.loads(body)
-    except (ValueError, RecursionError) as error:
-        raise ExceptionGroup("word", [MeshError("read word", f"body: {error}")]) from error
-    if not isinstance(document, dict):
-        raise ExceptionGroup("word", [MeshError("read word", "body: not an object")])
+        document = read_object(body)
+    except BadBody as error:
+        raise ExceptionGroup("word", [MeshError("read word", str(error))]) from error
     try:
         return _converter.structure(document, kind)
     except cattrs.BaseValidationError as error:
--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -117,7 +117,8 @@
         ballot = Ballot.read(call.ballot)
         if ballot < self.holdings.get(call.register, NOTHING).promised:
             return self._refuse(Refusal.PROMISED_HIGHER, call.register)
-        self._hold(call.register, Holding(ballot, ballot, call.number, call.value))
+        orders = tuple(call.orders)
+        self._hold(call.register, Holding(ballot, ballot, call.number, call.value, orders))
         self._unproven.discard(call.register)
         return self._agree([])
 
