--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -25,6 +25,7 @@
     replace_at,
 )
 from marblefold.register_store.chosen_registers import ChosenRegisters
+from marblefold.register_store.heartbeat import HEARTBEAT, answer_heartbeat
 from marblefold.register_store.peer_calls import StorePeers, answer_call
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.register_files import RegisterFiles
@@ -134,6 +135,8 @@
             self._words.watch(connection)
             self._tell_view(connection)
             return kinds.RegisterAnswer(outcome="held")
+        if call.kind == HEARTBEAT:
+            return answer_heartbeat(self._acceptor)
         change = _find_change(call)
         if change is None:
             return kinds.RegisterAnswer(outcome="unknown", reason="no such call")
