--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -13,6 +13,7 @@
 from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.logs import log
+from marblefold.proxy.first_news import FirstNews, Told
 from marblefold.proxy.lease_client import LeaseClient
 from marblefold.proxy.wants import Wants
 
@@ -60,6 +61,7 @@
         self._most = most
         self._peers = PeerBook(self)
         self._wants = Wants(view.is_news, self.send_to)
+        self._first_news = FirstNews()
         self._places: dict[str, tuple[int, int]] = {}
         self._following: set[str] = set()
         self._touched: dict[str, float] = {}
@@ -105,6 +107,7 @@
                         group.create_task(self._follow(peer))
             self._ask_leases(time.monotonic())
             self._wants.repeat(time.monotonic())
+            self.release_first_news(time.monotonic())
             await asyncio.sleep(_LOOK_EVERY)
 
     def _ask_leases(self, now: float) -> None:
@@ -174,9 +177,17 @@
         if feed.in_touch:
             self._touched[connection.peer] = time.monotonic()
         self._take_count(feed.proxies, time.monotonic())
-        for entry in entries:
+        now = time.monotonic()
+        self._take(self._first_news.admit(connection.peer, entries, feed.in_touch, now), now)
+
+    def release_first_news(self, now: float) -> None:
+        """Takes what was held back, if no registry in contact can be found; steady seconds."""
+        self._take(self._first_news.admit("", (), False, now), now)
+
+    def _take(self, told: list[Told], now: float) -> None:
+        for peer, entry in told:
             if entry.deferred:
-                self._wants.hear(connection.peer, entry, time.monotonic())
+                self._wants.hear(peer, entry, now)
             else:
                 self._view.take(entry)
 
