--- a/marblefold/registry/control_calls.py
+++ b/marblefold/registry/control_calls.py
@@ -9,6 +9,7 @@
 from marblefold.http_connections.answer import Answer
 from marblefold.http_connections.call_router import Call, CallRouter, json_answer, not_now_answer
 from marblefold.logs import log
+from marblefold.registry.fenced_orders import set_fenced
 
 __all__ = ["ControlCalls", "RegisterClient"]
 
@@ -29,10 +30,13 @@
         store_client: RegisterClient,
         zones: Callable[[], set[str]],
         state: Callable[[], dict],
+        evacuation_number: Callable[[str], int | None] = lambda zone: None,
     ) -> None:
         self._store_client = store_client
         self._zones = zones
         self._state = state
+        # The number of a zone's register as far as it is known here.
+        self._evacuation_number = evacuation_number
 
     def add_to(self, router: CallRouter) -> None:
         """Serves these calls at the router."""
@@ -77,10 +81,16 @@
     async def _evacuate(self, zone: str, value: bytes) -> Answer:
         if zone not in self._zones():
             return json_answer(404, {wire_names.REASON: f"no zone {zone!r}"})
-        answer = await self._hold("evacuation", "evacuation/" + zone, 0, value)
-        if answer is not None:
-            return answer
-        log.info("evacuation held", zone=zone, state=value.decode())
+        try:
+            number = await set_fenced(
+                self._store_client,
+                "evacuation/" + zone,
+                value,
+                lambda: self._evacuation_number(zone),
+            )
+        except MeshError as error:
+            return not_now_answer(error)
+        log.info("evacuation held", zone=zone, state=value.decode(), number=number)
         return json_answer(200, {})
 
     async def _hold(self, kind: str, register: str, number: int, value: bytes) -> Answer | None:
--- a/marblefold/registry/feed.py
+++ b/marblefold/registry/feed.py
@@ -62,11 +62,15 @@
         """Says regularly that this registry lives and what it reaches."""
         while True:
             await asyncio.sleep(_SIGN_OF_LIFE.total_seconds())
-            payload = self._pack([])
-            for connection, place in list(self._places.items()):
-                # Whoever is behind hears with the push that is due.
-                if place == self._catalogue.place:
-                    connection.send(FrameKind.TELL, 0, payload)
+            self.announce()
+
+    def announce(self) -> None:
+        """Says that this registry lives, and whether it is in contact."""
+        payload = self._pack([])
+        for connection, place in list(self._places.items()):
+            # Whoever is behind hears with the push that is due.
+            if place == self._catalogue.place:
+                connection.send(FrameKind.TELL, 0, payload)
 
     def _on_change(self, _place: int, _entry: kinds.Entry) -> None:
         # Changes that come close together travel together.
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -29,9 +29,13 @@
 from marblefold.registry.control_calls import ControlCalls
 from marblefold.registry.duty_rank import DutyRank
 from marblefold.registry.feed import FeedKeeper
+from marblefold.registry.fenced_orders import WindowOrders
 from marblefold.registry.live_capacity import LiveCapacity
+from marblefold.registry.order_gate import OrderGate
+from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.registry.site_news import PARTNERS_REGISTER, SiteNews
 from marblefold.registry.snapshot_parts import describe_parts
+from marblefold.registry.stall_guard import StallGuard
 from marblefold.registry.state import describe_state
 from marblefold.registry.store_client import ChosenRecord, StoreClient
 from marblefold.registry.traffic_book import TrafficBook
@@ -53,23 +57,28 @@
         self._watch = watch
         self._config = config
         self.catalogue = Catalogue(int(time.time() * 1000))
+        self.contact = QuorumContact(on_change=self._on_contact)
         self.store_client = StoreClient(
-            inner_address(config.host, config, STORE), self._seed_stores, self._on_record
+            inner_address(config.host, config, STORE),
+            self._seed_stores,
+            self._on_record,
+            self.contact,
         )
         self._membership = NodeMembership(watch, "registry", REGISTRY)
         self._registries: set[str] = set()
         self._view_number = 0
-        self.feed = FeedKeeper(self.catalogue, self._is_in_touch, self._count_proxies)
+        self._guard = StallGuard()
+        self.feed = FeedKeeper(self.catalogue, lambda: self.contact.is_held, self._count_proxies)
         self._connections: dict[PeerConnection, str] = {}
         self._own = inner_address(config.host, config, REGISTRY)
         self._duties = DutyRank(
-            self._membership, self._own, lambda: self._registries, self._is_in_touch
+            self._membership, self._own, lambda: self._registries, lambda: self.contact.is_held
         )
         capacity = LiveCapacity(
             self.catalogue, self._membership, self._duties, config.cloud is None
         )
         self._extra_runs = self._make_list_duty(config) if config.cloud is not None else []
-        self.maintenance = MaintenanceDuty(self.store_client, capacity)
+        self.maintenance = MaintenanceDuty(WindowOrders(self.store_client), capacity)
         self._sites = SiteNews(
             config,
             self._own,
@@ -78,7 +87,8 @@
             lambda: self._duties.is_holder(PARTNERS_REGISTER, _LIST_SETTLING),
         )
         self._collector = Collector(read_collected_spans())
-        calls = CallRouter()
+        router = CallRouter()
+        calls = OrderGate(router, self._guard, self.contact)
         TraceCalls(self._collector, time.time).add_to(calls)
         self._traffic = TrafficBook()
         self._history = HistoryKeeper(config.data_directory if is_history_on() else "")
@@ -90,8 +100,9 @@
             self.store_client,
             self._zones,
             self._tell_state,
+            self._evacuation_number,
         ).add_to(calls)
-        self._control = HttpServer(calls.handle)
+        self._control = HttpServer(router.handle)
         self._stop = asyncio.Event()
 
     async def run(self) -> None:
@@ -110,6 +121,7 @@
             self._watch.run(),
             self.store_client.run(),
             self.feed.run(),
+            self._guard.run(),
             self._control.run(),
             self._membership.run(),
             self.maintenance.run(),
@@ -254,14 +266,18 @@
     def _tell_state(self) -> dict:
         members = sorted(self.store_client.stores)
         return describe_state(
-            self.catalogue, members, self._membership.members("proxy"), self._is_in_touch()
+            self.catalogue, members, self._membership.members("proxy"), self.contact.is_held
         )
 
-    def _is_in_touch(self) -> bool:
-        """Whether this registry reaches a majority of the registries."""
-        alive = {member.address for member in self._membership.members("registry")}
-        alive.add(inner_address(self._config.host, self._config, REGISTRY))
-        return len(alive & self._registries) * 2 > len(self._registries)
+    def _on_contact(self, is_held: bool) -> None:
+        """Followers hear at once, not with the next sign of life."""
+        stores = len(self.store_client.stores)
+        log.info("in contact" if is_held else "out of contact", stores=stores)
+        self.feed.announce()
+
+    def _evacuation_number(self, zone: str) -> int | None:
+        entry = self.catalogue.find("evacuation", zone)
+        return entry.number if entry is not None else None
 
     def _count_proxies(self) -> int:
         if self._config.cloud is None:
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -1,6 +1,7 @@
-"""The registry's way to the stores: asks for words to hold, hears what holds."""
+"""The registry's way to the stores: asks them for changes, hears what is chosen."""
 
 import asyncio
+import contextlib
 import time
 from collections.abc import Callable
 from typing import NamedTuple
@@ -11,15 +12,30 @@
 from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.logs import log
+from marblefold.register_store.heartbeat import HEARTBEAT
+from marblefold.register_store.view import read_view
+from marblefold.registry.hedging import ask_hedged
+from marblefold.registry.order_gate import check_order, seconds_left
+from marblefold.registry.quorum_contact import QuorumContact
+from marblefold.task_keeper import TaskKeeper
 
 __all__ = ["ChosenRecord", "StoreClient"]
 
 _LOOK_EVERY = 0.2
-_CALL_SECONDS = 1.5
+_HEARTBEAT_EVERY = 0.4
+_HEARTBEAT_SECONDS = 1.0
+_CALL_SECONDS = 0.9
+# Callers wait longer for what takes longer to carry to a majority.
+_CONFIGURATION_SECONDS = 1.5
+# A store that said nothing for so long is not waited for alone.
+_PATIENCE_SECONDS = 0.4
+_PASS_OVER_SECONDS = 1.0
+# What may take effect at two stores: reads, and changes fenced by a number.
+_REPEATABLE = ("describe", "configuration", "duty", "maintenance")
 
 
 class ChosenRecord(NamedTuple):
-    """A word of the operator that a majority holds."""
+    """A record of the operator that a majority holds."""
 
     register: str
     number: int
@@ -34,67 +50,118 @@
         own_store: str,
         seeds: Callable[[], list[str]],
         on_record: Callable[[ChosenRecord], None],
+        contact: QuorumContact,
+        peers: PeerBook | None = None,
+        clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.stores: set[str] = set()
         self._own_store = own_store
         self._seeds = seeds
         self._on_record = on_record
-        self._peers = PeerBook(self)
-        self._watched: set[str] = set()
-
-    async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""):
-        """The stores' answer; MeshError if no store could give a clear one."""
+        self._contact = contact
+        self._peers = peers or PeerBook(self)
+        self._clock = clock
+        self._attended: set[str] = set()
+        self._passed_over: dict[str, float] = {}
+        self._tasks = TaskKeeper()
+
+    async def ask(
+        self, kind: str, register: str, number: int = 0, value: bytes = b""
+    ) -> kinds.RegisterAnswer:
+        """What a majority holds after the ask; MeshError if no store could say in time.
+
+        After a MeshError it is unclear whether a change took or will take effect.
+        """
+        if kind != "describe":
+            check_order()
         call = pack_message(
             kinds.RegisterCall(kind=kind, register=register, number=number, value=value)
         )
-        started = time.monotonic()
-        last: MeshError | None = None
-        for peer in self._in_order():
-            left = _CALL_SECONDS - (time.monotonic() - started)
-            if left <= 0.05:
-                break
-            try:
-                connection = await self._peers.reach(peer)
-                answer = unpack_message(await connection.call(call, left))
-            except MeshError as error:
-                last = error
-                continue
-            if answer.outcome != "unknown":
-                return answer
-            last = MeshError(kind, answer.reason, peer)
-        raise last or MeshError(kind, "no store known")
+
+        silent: set[str] = set()
+
+        async def ask_one(peer: str, seconds: float) -> kinds.RegisterAnswer:
+            silent.add(peer)
+            connection = await self._peers.reach(peer)
+            answer = unpack_message(await connection.call(call, seconds))
+            silent.discard(peer)
+            if answer.outcome == "unknown":
+                raise MeshError(kind, answer.reason, peer)
+            return answer
+
+        peers = self._in_order()
+        if kind not in _REPEATABLE:
+            peers = peers[:1]
+        is_large = kind == "configuration"
+        seconds = _CONFIGURATION_SECONDS if is_large else seconds_left(_CALL_SECONDS)
+        try:
+            return await ask_hedged(peers, ask_one, _PATIENCE_SECONDS, seconds)
+        finally:
+            # The next ask does not begin with those that this one waited for.
+            until = self._clock() + _PASS_OVER_SECONDS
+            self._passed_over.update(dict.fromkeys(silent, until))
 
     async def run(self) -> None:
-        """Listens to every store, for ever."""
-        while True:
-            async with asyncio.TaskGroup() as group:
+        """Follows every store, for ever."""
+        try:
+            while True:
                 for peer in self._in_order():
-                    if peer not in self._watched:
-                        group.create_task(self._watch(peer))
-            await asyncio.sleep(_LOOK_EVERY)
-
-    async def _watch(self, peer: str) -> None:
+                    if peer not in self._attended:
+                        self._attended.add(peer)
+                        self._tasks.start(self._attend(peer))
+                # What ran out is told, though no answer comes.
+                self._contact.tell_change()
+                await asyncio.sleep(_LOOK_EVERY)
+        finally:
+            self._tasks.cancel()
+
+    async def _attend(self, peer: str) -> None:
+        """Watches one store and sends it heartbeats, until its connection is lost."""
         try:
             connection = await self._peers.reach(peer)
-            self._watched.add(peer)
-            await connection.call(pack_message(kinds.RegisterCall(kind="watch")), _CALL_SECONDS)
+            watch = pack_message(kinds.RegisterCall(kind="watch"))
+            # Asked once for each connection: a store that hangs answers in the end.
+            with contextlib.suppress(MeshError):
+                await connection.call(watch, _HEARTBEAT_SECONDS)
+            while connection.is_open and peer in self._in_order():
+                await self._send_heartbeat(peer, connection)
+                await asyncio.sleep(_HEARTBEAT_EVERY)
+        except MeshError as error:
+            log.info("store out of reach", peer=peer, reason=error.reason)
+        finally:
+            self._attended.discard(peer)
+
+    async def _send_heartbeat(self, peer: str, connection: PeerConnection) -> None:
+        asked_at = self._clock()
+        beat = pack_message(kinds.RegisterCall(kind=HEARTBEAT))
+        try:
+            answer = unpack_message(await connection.call(beat, _HEARTBEAT_SECONDS))
         except MeshError:
-            self._watched.discard(peer)
+            # A store that hangs is still watched: its news come when it goes on.
+            return
+        if answer.outcome == "held":
+            self._contact.take_vote(peer, read_view(answer.value), asked_at)
+        else:
+            self._contact.take_refusal(peer, asked_at)
 
     def _in_order(self) -> list[str]:
-        known = set(self._seeds()) | self.stores
-        others = sorted(known - {self._own_store})
-        return [self._own_store, *others]
+        """The stores to ask: our own first, and those last that are silent."""
+        now = self._clock()
+
+        def rank(peer: str) -> tuple[bool, bool, str]:
+            is_slow = self._contact.is_silent(peer) or self._passed_over.get(peer, now) > now
+            return is_slow, peer != self._own_store, peer
+
+        return sorted({*self._seeds(), *self.stores, self._own_store}, key=rank)
 
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
-        """A store tells a word that holds."""
+        """A store tells a record that is chosen."""
         accepted = unpack_message(payload)
         if isinstance(accepted, kinds.Accepted):
             self._on_record(ChosenRecord(accepted.register, accepted.number, accepted.value))
 
     def on_lost(self, connection: PeerConnection) -> None:
         """A store is out of reach."""
-        self._watched.discard(connection.peer)
         log.info("store lost", peer=connection.peer)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
