--- a/marblefold/register_store/upkeep.py
+++ b/marblefold/register_store/upkeep.py
@@ -10,7 +10,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, Standing
-from marblefold.register_store.ballots import read_holding
+from marblefold.register_store.ballots import NOTHING, Ballot, read_holding
 from marblefold.register_store.changes import change_view, keep
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.peer_calls import StorePeers
@@ -48,6 +48,8 @@
         self._began = time.monotonic()
         self._waiting: dict[str, float] = {}
         self._unsettled: set[str] | None = None
+        # Accepted here, but not known to be chosen, as of the round before.
+        self._unsure: dict[str, Ballot] = {}
 
     async def run(self) -> None:
         """Makes rounds for ever; one that fails is made again."""
@@ -69,6 +71,7 @@
         if acceptor.standing is Standing.VOTING:
             if acceptor.has_open_view:
                 await self._settle(VIEW_REGISTER)
+            self._note_unsure()
             await self._settle_all()
             await self._grow()
             await self._swap_lost()
@@ -103,6 +106,21 @@
             await self._settle(register)
             self._unsettled.discard(register)
 
+    def _note_unsure(self) -> None:
+        """What was accepted a round ago and still not told to be chosen may well be.
+
+        Its proposer tells that once; if it was lost just then, nobody else knows.
+        """
+        unsure = {
+            register: holding.ballot
+            for register, holding in self._acceptor.holdings.items()
+            if register != VIEW_REGISTER
+            and holding.ballot > self._words.holdings.get(register, NOTHING).ballot
+        }
+        if self._unsettled is not None:
+            self._unsettled |= {register for register, _ in unsure.items() & self._unsure.items()}
+        self._unsure = unsure
+
     async def _settle(self, register: str) -> None:
         holding = await self._proposer.change(register, keep, _SETTLE_SECONDS)
         self.take_chosen(register, holding)
