--- a/marblefold/registry/order_gate.py
+++ b/marblefold/registry/order_gate.py
@@ -74,28 +74,27 @@
     return min(most, order.read_at + _ANSWER_SECONDS - order.clock())
 
 
-class OrderGate:
-    """Serves the calls of a router within the bounds."""
+class OrderGate(CallRouter):
+    """A router that serves its calls within the bounds."""
 
     def __init__(
         self,
-        router: CallRouter,
         guard: StallGuard,
         contact: QuorumContact,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self._router = router
+        super().__init__()
         self._guard = guard
         self._contact = contact
         self._clock = clock
 
     def add(self, method: str, path: str, serve: Serve, most_bytes: int = 4096) -> None:
-        """Serves the method at the path, as `CallRouter.add` does."""
+        """Serves the method at the path, as any router does; orders pass the gate."""
         if method not in _READS:
             serve = self._gate(serve)
         elif path in _FROM_THE_FEED:
             serve = self._need_contact(serve)
-        self._router.add(method, path, serve, most_bytes)
+        super().add(method, path, serve, most_bytes)
 
     def _gate(self, serve: Serve) -> Serve:
         async def gated(call: Call) -> Answer:
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -9,7 +9,6 @@
 from marblefold.configuration.laying_out import lay_out
 from marblefold.configuration.reading import read_configuration
 from marblefold.history.keeper import HistoryKeeper
-from marblefold.http_connections.call_router import CallRouter
 from marblefold.http_connections.http_server import HttpServer
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
@@ -87,8 +86,7 @@
             lambda: self._duties.is_holder(PARTNERS_REGISTER, _LIST_SETTLING),
         )
         self._collector = Collector(read_collected_spans())
-        router = CallRouter()
-        calls = OrderGate(router, self._guard, self.contact)
+        calls = OrderGate(self._guard, self.contact)
         TraceCalls(self._collector, time.time).add_to(calls)
         self._traffic = TrafficBook()
         self._history = HistoryKeeper(config.data_directory if is_history_on() else "")
@@ -102,7 +100,7 @@
             self._tell_state,
             self._evacuation_number,
         ).add_to(calls)
-        self._control = HttpServer(router.handle)
+        self._control = HttpServer(calls.handle)
         self._stop = asyncio.Event()
 
     async def run(self) -> None:
--- a/marblefold/registry/quorum_contact.py
+++ b/marblefold/registry/quorum_contact.py
@@ -42,13 +42,15 @@
         self._on_change = on_change
         self._votes: dict[str, _Vote] = {}
         self._view: View | None = None
+        # The sending of the oldest of the newest answers that made a majority.
+        self._asked_at = _NEVER
         self._answered: dict[str, float] = {}
         self._was_held = False
 
     @property
     def is_held(self) -> bool:
         """Whether a majority answered heartbeats that left within CONTACT_SECONDS."""
-        return self._clock() - self._find_quorum_time() < CONTACT_SECONDS
+        return self._clock() - self._asked_at < CONTACT_SECONDS
 
     def take_vote(self, store: str, view: View, asked_at: float) -> None:
         """A store answered a heartbeat: it is a voting member of the view."""
@@ -59,6 +61,8 @@
         # A view is numbered by ballot: of two known ones the higher was chosen later.
         if self._view is None or view.number > self._view.number:
             self._view = view
+        # What a majority once said holds for its time, also while the view changes.
+        self._asked_at = max(self._asked_at, self._find_quorum_time())
         self.tell_change()
 
     def take_refusal(self, store: str, asked_at: float) -> None:
