--- a/marblefold/registry/order_gate.py
+++ b/marblefold/registry/order_gate.py
@@ -52,17 +52,18 @@
 _current: ContextVar[_Order | None] = ContextVar("current order", default=None)
 
 
-def check_order() -> None:
+def check_order(may_be_old: bool = False) -> None:
     """A MeshError if the order being served must not act any more.
 
-    What serves no call, like a duty, is not checked: it is fenced by itself.
+    may_be_old: it is fenced by a number of its own, as a configuration is, and may
+    take long to check.  What serves no call, like a duty, is not looked at here.
     """
     order = _current.get()
     if order is None:
         return
     if order.is_suspect:
         raise MeshError("order", "read after this process stood still")
-    if order.clock() - order.read_at > ORDER_SECONDS:
+    if not may_be_old and order.clock() - order.read_at > ORDER_SECONDS:
         raise MeshError("order", "too old to act")
 
 
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -72,12 +72,12 @@
 
         After a MeshError it is unclear whether a change took or will take effect.
         """
+        is_large = kind == "configuration"
         if kind != "describe":
-            check_order()
+            check_order(may_be_old=is_large)
         call = pack_message(
             kinds.RegisterCall(kind=kind, register=register, number=number, value=value)
         )
-
         silent: set[str] = set()
 
         async def ask_one(peer: str, seconds: float) -> kinds.RegisterAnswer:
@@ -92,7 +92,6 @@
         peers = self._in_order()
         if kind not in _REPEATABLE:
             peers = peers[:1]
-        is_large = kind == "configuration"
         seconds = _CONFIGURATION_SECONDS if is_large else seconds_left(_CALL_SECONDS)
         try:
             return await ask_hedged(peers, ask_one, _PATIENCE_SECONDS, seconds)
@@ -126,8 +125,9 @@
             while connection.is_open and peer in self._in_order():
                 await self._send_heartbeat(peer, connection)
                 await asyncio.sleep(_HEARTBEAT_EVERY)
-        except MeshError as error:
-            log.info("store out of reach", peer=peer, reason=error.reason)
+        except MeshError:
+            # Out of reach: the next look tries again.
+            return
         finally:
             self._attended.discard(peer)
 
