--- a/marblefold/register_store/call_kinds.py
+++ b/marblefold/register_store/call_kinds.py
@@ -16,6 +16,8 @@
     DESCRIBE = "describe"
     # Hear of all that is chosen, from now on.
     WATCH = "watch"
+    # Whether the store has a vote now, and in which view; costs no write.
+    HEARTBEAT = "heartbeat"
     # The highest number holds, with the content that came first under it.
     CONFIGURATION = "configuration"
     # The rest changes the register only at the number that the caller read.
--- a/marblefold/register_store/changes.py
+++ b/marblefold/register_store/changes.py
@@ -63,18 +63,12 @@
 
 
 def hold_evacuation(value: bytes) -> Change:
-    """Starts and stops follow each other; a repeat of one changes nothing.
+    """Starts or stops an evacuation, under a new number even where it holds already.
 
-    On its own not idempotent (start, stop, start): orders come through `fence`.
+    Otherwise an earlier order that is still under way would not be fenced off by
+    this one.  On its own not idempotent: orders come through `fence`.
     """
-
-    def change(held: Held) -> Held:
-        # What was never evacuated need not be taken back.
-        if held.value == value or (not held.value and value == EvacuationState.OFF.value):
-            return held
-        return Held(held.number + 1, value)
-
-    return change
+    return lambda held: Held(held.number + 1, value)
 
 
 def empty_for_window(held: Held) -> Held:
--- a/marblefold/register_store/orders.py
+++ b/marblefold/register_store/orders.py
@@ -40,7 +40,7 @@
     if kind in (RegisterCallKind.MAINTENANCE, RegisterCallKind.DUTY):
         return _order_replacement(call)
     if kind is RegisterCallKind.EVACUATION:
-        return _order_state(call, hold_evacuation(call.value))
+        return _order_evacuation(call)
     if kind is RegisterCallKind.WINDOW_EMPTY:
         return _order_state(call, empty_for_window)
     if kind is RegisterCallKind.WINDOW_RELEASE:
@@ -70,6 +70,16 @@
     return Order(fence(call.number, call.order, replace_at(call.number, call.value)), judge)
 
 
+def _order_evacuation(call: kinds.RegisterCall) -> Order:
+    """An evacuation is answered by what holds now, as that of a window is."""
+
+    def judge(held: Held) -> Outcome:
+        is_behind = held.number > call.number
+        return Outcome.HELD if is_behind and held.value == call.value else Outcome.OVERTAKEN
+
+    return Order(fence(call.number, call.order, hold_evacuation(call.value)), judge)
+
+
 def _order_state(call: kinds.RegisterCall, change: Change) -> Order:
     """An evacuation is answered by what holds now.
 
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -20,6 +20,7 @@
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import Held
 from marblefold.register_store.chosen_registers import ChosenRegisters
+from marblefold.register_store.heartbeat import answer_heartbeat
 from marblefold.register_store.orders import read_order
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.proposer import Proposer
@@ -117,6 +118,8 @@
             self._words.watch(connection)
             self._tell_view(connection)
             return kinds.RegisterAnswer(outcome=Outcome.HELD)
+        if call.kind == RegisterCallKind.HEARTBEAT:
+            return answer_heartbeat(self._acceptor)
         order = read_order(call)
         if order is None:
             return kinds.RegisterAnswer(outcome=Outcome.UNKNOWN, reason="no such call")
--- a/marblefold/register_store/upkeep.py
+++ b/marblefold/register_store/upkeep.py
@@ -8,7 +8,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, Standing
-from marblefold.register_store.ballots import Holding
+from marblefold.register_store.ballots import NOTHING, Ballot, Holding
 from marblefold.register_store.calls import CallKind, Refusal
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.comparing import Comparing, answer_comparison
@@ -49,6 +49,8 @@
         self._settler = Settler(acceptor, proposer, peers, self._comparing)
         self._members = MemberChanges(acceptor, peers, self._settler, machine_losses, timing)
         self._unsettled: set[str] | None = None
+        # Accepted here, but not known to be chosen, as of the round before.
+        self._unsure: dict[str, Ballot] = {}
 
     async def run(self) -> None:
         """Acts and compares for ever, each by itself.
@@ -101,6 +103,7 @@
         if acceptor.standing is Standing.VOTING:
             if acceptor.has_open_view:
                 await self._settler.settle(VIEW_REGISTER)
+            self._note_unsure()
             await self._settle_after_start()
             await self._members.make_next()
 
@@ -166,6 +169,21 @@
                 await self._settler.settle(register)
             self._unsettled.discard(register)
 
+    def _note_unsure(self) -> None:
+        """What was accepted a round ago and still not told to be chosen may well be.
+
+        Its proposer tells that once; if it was lost just then, nobody else knows.
+        """
+        unsure = {
+            register: holding.ballot
+            for register, holding in self._acceptor.holdings.items()
+            if register != VIEW_REGISTER
+            and holding.ballot > self._words.holdings.get(register, NOTHING).ballot
+        }
+        if self._unsettled is not None:
+            self._unsettled |= {register for register, _ in unsure.items() & self._unsure.items()}
+        self._unsure = unsure
+
     async def _compare(self) -> None:
         """Compares with the other stores; whoever is behind takes what is newer."""
         if self._acceptor.view is not None:
--- a/marblefold/registry/control_calls.py
+++ b/marblefold/registry/control_calls.py
@@ -1,6 +1,5 @@
 """The calls of operators, and of targets that come here."""
 
-import time
 from collections.abc import Callable
 from typing import Protocol
 
@@ -12,6 +11,7 @@
 from marblefold.logs import log
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import EvacuationState
+from marblefold.registry.fenced_orders import set_fenced
 
 __all__ = ["ControlCalls", "RegisterClient"]
 
@@ -35,12 +35,13 @@
         store_client: RegisterClient,
         zones: Callable[[], set[str]],
         state: Callable[[], dict],
-        clock: Callable[[], float] = time.monotonic,
+        evacuation_number: Callable[[str], int | None] = lambda zone: None,
     ) -> None:
         self._store_client = store_client
         self._zones = zones
         self._state = state
-        self._clock = clock
+        # The number of a zone's register as far as it is known here.
+        self._evacuation_number = evacuation_number
 
     def add_to(self, router: CallRouter) -> None:
         """Serves these calls at the router."""
@@ -90,29 +91,17 @@
         if zone not in self._zones():
             return json_answer(404, {wire_names.REASON: f"zone: no zone {zone!r}"})
         try:
-            await self._order_evacuation("evacuation/" + zone, state)
+            number = await set_fenced(
+                self._store_client,
+                "evacuation/" + zone,
+                state,
+                lambda: self._evacuation_number(zone),
+            )
         except MeshError as error:
             return not_now_answer(error)
-        log.info("evacuation held", zone=zone, state=state.name)
+        log.info("evacuation held", zone=zone, state=state.name, number=number)
         return json_answer(200, {})
 
-    async def _order_evacuation(self, register: str, state: EvacuationState) -> None:
-        """Has a majority hold the state; MeshError where that is not clear.
-
-        The order is tied to the number that held while its caller was still
-        waiting here.  Later its caller may have gone on, had it done elsewhere
-        and taken it back: then that number holds no more and nothing is changed.
-        """
-        began = self._clock()
-        base = await self._store_client.ask(RegisterCallKind.DESCRIBE, register)
-        if self._clock() - began > _BASE_SECONDS:
-            raise MeshError("evacuation", "read too late: its caller may have gone on")
-        held = await self._store_client.ask(
-            RegisterCallKind.EVACUATION, register, base.number, state.value
-        )
-        if Outcome.read(held.outcome) is not Outcome.HELD:
-            raise MeshError("evacuation", "another order came in between")
-
 
 def _answer_conflict(number: int) -> Answer:
     """Another content was confirmed under the number; sending again changes nothing."""
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -6,11 +6,12 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NOTHING
-from marblefold.register_store.call_kinds import Outcome
+from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import Held, keep
 from marblefold.register_store.orders import read_order
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
+from marblefold.registry.order_gate import check_order
 from tests.simulated_stores import SEEDS, Network, Store
 
 _TRYING_SECONDS = 5.0
@@ -145,6 +146,9 @@
         self._addresses = addresses
 
     async def ask(self, kind, register, number=0, value=b""):
+        # As the registries' own client does.
+        if kind != RegisterCallKind.DESCRIBE:
+            check_order()
         call = kinds.RegisterCall(
             kind=kind, register=register, number=number, value=value, order=os.urandom(12)
         )
--- a/tests/test_one_number_one_content.py
+++ b/tests/test_one_number_one_content.py
@@ -38,7 +38,7 @@
         # Lives order ballots of one store: counted, so that a run repeats itself.
         lives = itertools.count()
         counted = SimpleNamespace(urandom=lambda size: next(lives).to_bytes(size, "big"))
-        self.lives = mock.patch("marblefold.register_store.acceptor.os", counted)
+        self.lives = mock.patch("marblefold.register_store.lives.os", counted)
         self.lives.start()
         super().__init__()
         self.confirmed = {}
--- a/tests/test_orders_take_effect_once.py
+++ b/tests/test_orders_take_effect_once.py
@@ -7,23 +7,29 @@
 acknowledgement until its next order, only what was acknowledged may be read.
 """
 
+from types import SimpleNamespace
+
 import pytest
 from hypothesis import HealthCheck, Phase, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, rule
 
+from marblefold import wire_names
 from marblefold.http_connections.call_router import Call
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import Held, keep
 from marblefold.register_store.orders import read_order
 from marblefold.registry.control_calls import ControlCalls
+from marblefold.registry.order_gate import OrderGate
 from tests.simulated_orders import OrderedStores, StoreClient, held_of
 from tests.simulated_stores import SEEDS
 
 ZONE = "hall-a"
 REGISTER = "evacuation/" + ZONE
-METHODS = {b"on": "_start_evacuation", b"off": "_stop_evacuation"}
+METHODS = {b"on": "PUT", b"off": "DELETE"}
+NEVER_STALLED = SimpleNamespace(is_suspect=lambda: False)
+IN_CONTACT = SimpleNamespace(is_held=True)
 
 
 class Operator(RuleBasedStateMachine):
@@ -51,8 +57,10 @@
 
     def send(self, addresses):
         client = StoreClient(self.stores, addresses)
-        calls = ControlCalls(client, lambda: {ZONE}, dict, clock=lambda: self.now)
-        serve = getattr(calls, METHODS[self.wanted])
+        gate = OrderGate(NEVER_STALLED, IN_CONTACT, lambda: self.now)
+        ControlCalls(client, lambda: {ZONE}, dict).add_to(gate)
+        methods, _subject = gate._find(wire_names.EVACUATION_PATH.format(ZONE))
+        serve = methods[METHODS[self.wanted]].serve
         self.attempt = self.stores.start(serve(Call(ZONE, b"")))
         self.turn()
 
