--- a/marblefold/json_bodies.py
+++ b/marblefold/json_bodies.py
@@ -38,7 +38,7 @@
 
 
 def _check_depth(document: dict) -> None:
-    level: list[object] = [document]
+    level: list[dict | list] = [document]
     for _ in range(_MOST_LEVELS):
         level = [
             item
--- a/marblefold/ownership/calls.py
+++ b/marblefold/ownership/calls.py
@@ -111,6 +111,6 @@
             faults.append(f"services.{upstream}: not a list of names of sites")
         elif len(set(sites)) != len(sites):
             faults.append(f"services.{upstream}: a site stands twice")
-    if faults:
+    if faults or number is None:
         raise ExceptionGroup("owners", [MeshError("check", line) for line in faults])
     return number, services
