--- a/tests/test_client_connection_model.py
+++ b/tests/test_client_connection_model.py
@@ -126,15 +126,19 @@
         if data and self.transport.is_open:
             self.stage.call(self.connection.data_received, data)
 
-    @rule(choice=CHOICE, is_long=st.booleans(), closes=st.sampled_from([False] * 5 + [True]))
-    def answer(self, choice, is_long, closes):
+    @rule(
+        choice=CHOICE,
+        style=st.sampled_from(["short", "short", "long", "long", "broken"]),
+        closes=st.sampled_from([False] * 5 + [True]),
+    )
+    def answer(self, choice, style, closes):
         waiting = [served for served in self.served if not served.future.done()]
         if not waiting:
             return
         served = waiting[choice % len(waiting)]
         own = b"answer %d" % served.number
         served.closes, served.is_answered = closes, True
-        if not is_long:
+        if style == "short":
             served.parts = [own]
             self.stage.call(served.future.set_result, Answer(200, body=own, closes=closes))
             return
@@ -147,6 +151,13 @@
             served.future.set_result,
             Answer(200, pipe=served.pipe, closes=closes, release=release),
         )
+        if style == "broken":
+            self.break_off(served)
+
+    def break_off(self, served):
+        served.is_broken = True
+        served.parts.append(b"")
+        self.stage.call(served.pipe.break_off, MeshError("answer", "cut"))
 
     @rule(choice=CHOICE, end=st.sampled_from(["more", "whole", "whole", "broken"]))
     def go_on(self, choice, end):
@@ -156,9 +167,7 @@
             return
         served = pipes[choice % len(pipes)]
         if end == "broken":
-            served.is_broken = True
-            served.parts.append(b"")
-            self.stage.call(served.pipe.break_off, MeshError("answer", "cut"))
+            self.break_off(served)
         elif end == "whole":
             missing = (b"answer %d" % served.number)[len(b"".join(served.parts)) :]
             self.stage.call(served.pipe.feed, missing) if missing else None
