--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -23,6 +23,8 @@
 
 _LOOK_EVERY = 0.2
 _HEARTBEAT_EVERY = 0.4
+# Out of contact, as after a start: nodes that start too wait for the first of it.
+_HURRIED = 0.05
 _HEARTBEAT_SECONDS = 1.0
 _CALL_SECONDS = 0.9
 # Callers wait longer for what takes longer to carry to a majority.
@@ -110,7 +112,7 @@
                         self._tasks.start(self._attend(peer))
                 # What ran out is told, though no answer comes.
                 self._contact.tell_change()
-                await asyncio.sleep(_LOOK_EVERY)
+                await asyncio.sleep(self._pause(_LOOK_EVERY))
         finally:
             self._tasks.cancel()
 
@@ -124,7 +126,7 @@
                 await connection.call(watch, _HEARTBEAT_SECONDS)
             while connection.is_open and peer in self._in_order():
                 await self._send_heartbeat(peer, connection)
-                await asyncio.sleep(_HEARTBEAT_EVERY)
+                await asyncio.sleep(self._pause(_HEARTBEAT_EVERY))
         except MeshError:
             # Out of reach: the next look tries again.
             return
@@ -144,6 +146,9 @@
         else:
             self._contact.take_refusal(peer, asked_at)
 
+    def _pause(self, calm: float) -> float:
+        return calm if self._contact.is_held else _HURRIED
+
     def _in_order(self) -> list[str]:
         """The stores to ask: our own first, and those last that are silent."""
         now = self._clock()
