--- a/marblefold/maintenance/command.py
+++ b/marblefold/maintenance/command.py
@@ -9,7 +9,7 @@
 
 from marblefold import wire_names
 from marblefold.errors import MeshError
-from marblefold.registry_client import call_for_document
+from marblefold.registry_client import RegistryCall, call_for_document
 
 __all__ = ["run_windows"]
 
@@ -74,7 +74,7 @@
 async def _call(method: str, path: str, document: dict | None) -> int:
     sent = None if document is None else json.dumps(document).encode()
     try:
-        status, body = await call_for_document(FLAGS.system, method, path, sent)
+        status, body = await call_for_document(FLAGS.system, RegistryCall(method, path, sent))
     except MeshError as error:
         print(f"{FLAGS.system}: {error.reason}", file=sys.stderr)
         return _USAGE
--- a/marblefold/planner/command.py
+++ b/marblefold/planner/command.py
@@ -13,7 +13,7 @@
 from marblefold.planner.facts import Facts, read_configuration_rows, read_floors, read_state
 from marblefold.planner.proposing import Proposal, propose
 from marblefold.planner.reporting import to_json, to_text
-from marblefold.registry_client import call_registry
+from marblefold.registry_client import RegistryCall, call_registry
 
 __all__ = ["run_planner"]
 
@@ -73,7 +73,7 @@
     """Bodies of the configuration and of the state."""
     answers = []
     for path in (wire_names.CONFIGURATION_PATH, wire_names.STATE_PATH):
-        status, body = await call_registry(address, "GET", path)
+        status, body = await call_registry(address, RegistryCall("GET", path))
         if status != 200:
             raise MeshError("ask registry", f"{path}: status {status}", address)
         answers.append(body)
--- a/marblefold/registry_client.py
+++ b/marblefold/registry_client.py
@@ -3,36 +3,42 @@
 import asyncio
 import json
 from collections.abc import Mapping
+from typing import NamedTuple
 
 from marblefold import wire_names
 from marblefold.errors import MeshError
 
-__all__ = ["ask_all", "ask_one", "call_for_document", "call_registry", "find_registries"]
+__all__ = [
+    "RegistryCall",
+    "ask_all",
+    "ask_one",
+    "call_for_document",
+    "call_registry",
+    "find_registries",
+]
 
-_CALL_SECONDS = 5.0
 
+class RegistryCall(NamedTuple):
+    """One HTTP call; `seconds` bounds it from connecting to the last byte of the answer."""
 
-async def call_registry(
-    address: str,
-    method: str,
-    path: str,
-    body: bytes | None = None,
-    headers: Mapping[str, str] | None = None,
-    seconds: float = _CALL_SECONDS,
-) -> tuple[int, bytes]:
-    """Status and body of one call to HOST:PORT.
+    method: str
+    path: str
+    body: bytes | None = None
+    headers: Mapping[str, str] | None = None
+    seconds: float = 5.0
 
-    Raises MeshError where there is no whole answer within `seconds`.
-    """
+
+async def call_registry(address: str, call: RegistryCall) -> tuple[int, bytes]:
+    """Status and body of a call to HOST:PORT. Raises MeshError without a whole answer in time."""
     # A tool that only reads files does not load the library.
     import aiohttp
 
-    timeout = aiohttp.ClientTimeout(total=seconds)
+    timeout = aiohttp.ClientTimeout(total=call.seconds)
     try:
         async with (
             aiohttp.ClientSession(timeout=timeout) as session,
             session.request(
-                method, f"http://{address}{path}", data=body, headers=headers
+                call.method, f"http://{address}{call.path}", data=call.body, headers=call.headers
             ) as answer,
         ):
             return answer.status, await answer.read()
@@ -40,16 +46,9 @@
         raise MeshError("ask registry", str(error) or "no answer in time", address) from error
 
 
-async def call_for_document(
-    address: str,
-    method: str,
-    path: str,
-    body: bytes | None = None,
-    headers: Mapping[str, str] | None = None,
-    seconds: float = _CALL_SECONDS,
-) -> tuple[int, dict]:
-    """Status and JSON document of one call; raises MeshError as call_registry, or for no JSON."""
-    status, data = await call_registry(address, method, path, body, headers, seconds)
+async def call_for_document(address: str, call: RegistryCall) -> tuple[int, dict]:
+    """Status and JSON document of a call. Raises MeshError as call_registry, or without JSON."""
+    status, data = await call_registry(address, call)
     try:
         return status, json.loads(data)
     except ValueError as error:
@@ -58,7 +57,7 @@
 
 async def ask_one(address: str, path: str) -> tuple[int, dict]:
     """Status and JSON document of a GET; raises MeshError where there is no answer."""
-    return await call_for_document(address, "GET", path)
+    return await call_for_document(address, RegistryCall("GET", path))
 
 
 async def find_registries(address: str) -> list[str]:
--- a/marblefold/site_command.py
+++ b/marblefold/site_command.py
@@ -10,7 +10,7 @@
 
 from marblefold import wire_names
 from marblefold.errors import MeshError
-from marblefold.registry_client import call_for_document
+from marblefold.registry_client import RegistryCall, call_for_document
 
 __all__ = ["run_owners", "run_partners"]
 
@@ -82,7 +82,7 @@
         headers["Authorization"] = f"Bearer {os.environ[_CREDENTIAL_VARIABLE]}"
     try:
         status, document = await call_for_document(
-            FLAGS.registry, method, path, body, headers, _CALL_SECONDS
+            FLAGS.registry, RegistryCall(method, path, body, headers, _CALL_SECONDS)
         )
     except MeshError as error:
         print(f"{FLAGS.registry}: {error.reason}", file=sys.stderr)
--- a/tests/test_registry_client.py
+++ b/tests/test_registry_client.py
@@ -7,7 +7,13 @@
 import pytest
 
 from marblefold.errors import MeshError
-from marblefold.registry_client import ask_all, ask_one, call_for_document, call_registry
+from marblefold.registry_client import (
+    RegistryCall,
+    ask_all,
+    ask_one,
+    call_for_document,
+    call_registry,
+)
 
 
 class Registry:
@@ -46,7 +52,9 @@
     registry = Registry(lambda line: (409, b'{"held": 7}'))
     status, document = run(
         registry,
-        lambda address: call_for_document(address, "PUT", "/mesh/owners", b'{"number": 6}'),
+        lambda address: call_for_document(
+            address, RegistryCall("PUT", "/mesh/owners", b'{"number": 6}')
+        ),
     )
     assert (status, document) == (409, {"held": 7})
     assert registry.lines == ["PUT /mesh/owners HTTP/1.1"]
@@ -55,7 +63,10 @@
 
 def test_body_is_handed_on_as_it_came():
     registry = Registry(lambda line: (200, b"no json"))
-    assert run(registry, lambda address: call_registry(address, "GET", "/x")) == (200, b"no json")
+    assert run(registry, lambda address: call_registry(address, RegistryCall("GET", "/x"))) == (
+        200,
+        b"no json",
+    )
 
 
 def test_an_answer_that_is_no_json_is_an_error_with_its_peer():
@@ -74,11 +85,11 @@
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         try:
             with pytest.raises(MeshError, match="no answer in time"):
-                await call_registry(address, "GET", "/x", seconds=0.2)
+                await call_registry(address, RegistryCall("GET", "/x", seconds=0.2))
         finally:
             server.close()
         with pytest.raises(MeshError):
-            await call_registry(address, "GET", "/x")
+            await call_registry(address, RegistryCall("GET", "/x"))
 
     asyncio.run(act())
 
