--- a/tests/test_scale_tool.py
+++ b/tests/test_scale_tool.py
@@ -1,9 +1,13 @@
 """The scale tool: its command line, and one small run of real and hollow nodes."""
 
 import json
+import os
 import subprocess
 import sys
 
+# Ports of this process: several suites may run on one machine. Each run takes twenty.
+PORT = 26000 + os.getpid() % 160 * 40
+
 
 def run(*words):
     return subprocess.run(
@@ -34,14 +38,16 @@
         "--seconds=1",
         "--settle=0",
         "--phase=change",
-        "--first_port=26700",
+        f"--first_port={PORT}",
         f"--out={out}",
     )
     assert done.returncode == 0, done.stderr
     (found,) = json.loads(out.read_text())["runs"]
     assert found["change"]["everywhere-s"] > 0 and found["start"]["targets-known-s"] > 0
     assert found["change"]["connection-bytes-a-node-second"] > 0
-    left = subprocess.run(["pgrep", "-f", "tools.scale.hollow 8 1"], capture_output=True)
+    left = subprocess.run(
+        ["pgrep", "-f", f"tools.scale.hollow 8 1 22 {PORT} "], capture_output=True
+    )
     assert left.stdout == b""
 
 
@@ -51,10 +57,15 @@
     import socket
 
     taken = socket.socket()
-    taken.bind(("127.2.0.1", 26800))
+    taken.bind(("127.2.0.1", PORT + 20))
     taken.listen()
     done = run(
-        "--nodes=8", "--core=1", "--real=1", "--longest=5", "--first_port=26800", f"--out={out}"
+        "--nodes=8",
+        "--core=1",
+        "--real=1",
+        "--longest=5",
+        f"--first_port={PORT + 20}",
+        f"--out={out}",
     )
     taken.close()
     assert done.returncode == 1
