--- a/marblefold/maintenance/calls.py
+++ b/marblefold/maintenance/calls.py
@@ -13,10 +13,11 @@
     json_answer,
     not_now_answer,
 )
-from marblefold.maintenance.duty import REGISTER, RegisterClient
+from marblefold.maintenance.duty import REGISTER
 from marblefold.maintenance.model import Document, WindowState, read_floors_body, read_window_body
 from marblefold.maintenance.planning import change_state
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
+from marblefold.register_store.register_client import RegisterClient
 
 __all__ = ["MaintenanceCalls"]
 
--- a/marblefold/maintenance/duty.py
+++ b/marblefold/maintenance/duty.py
@@ -15,6 +15,7 @@
 from marblefold.maintenance.planning import LiveSlots, change_state, plan_windows, shortfalls
 from marblefold.register_store.call_kinds import RegisterCallKind
 from marblefold.register_store.changes import EvacuationState
+from marblefold.register_store.register_client import RegisterClient
 
 __all__ = ["MaintenanceDuty", "REGISTER", "Surroundings"]
 
@@ -36,12 +37,6 @@
     def now(self) -> datetime: ...
 
 
-class RegisterClient(Protocol):
-    """Reads and changes registers of the stores."""
-
-    async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
-
-
 class MaintenanceDuty:
     """Holds the newest document known and acts on it while this registry has the duty."""
 
--- a/marblefold/ownership/agent.py
+++ b/marblefold/ownership/agent.py
@@ -16,6 +16,7 @@
 from marblefold.logs import log
 from marblefold.ownership.claims import Claim, Owner, Verdict, read_owners, settle
 from marblefold.register_store.call_kinds import RegisterCallKind
+from marblefold.register_store.register_client import RegisterClient
 
 __all__ = ["OWNERS_REGISTER", "OWNER_PREFIX", "SiteAgent"]
 
@@ -26,12 +27,6 @@
 _RIVALS_LEASES = 2.5
 
 
-class RegisterClient(Protocol):
-    """Where claims are held."""
-
-    async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
-
-
 class Records(Protocol):
     """The agent's own disk."""
 
--- a/marblefold/ownership/calls.py
+++ b/marblefold/ownership/calls.py
@@ -18,8 +18,8 @@
 from marblefold.logs import log
 from marblefold.ownership.agent import OWNERS_REGISTER
 from marblefold.ownership.claims import Owner, find_clashes, read_owners
-from marblefold.partners.duty import RegisterClient
 from marblefold.register_store.call_kinds import RegisterCallKind
+from marblefold.register_store.register_client import RegisterClient
 
 __all__ = ["Claimed", "OwnerCalls"]
 
--- a/marblefold/partners/calls.py
+++ b/marblefold/partners/calls.py
@@ -21,10 +21,11 @@
     put_exports,
     withdraw_partner,
 )
-from marblefold.partners.duty import ENFORCED_AFTER, REGISTER, PartnerDuty, RegisterClient
+from marblefold.partners.duty import ENFORCED_AFTER, REGISTER, PartnerDuty
 from marblefold.partners.merging import merge
 from marblefold.partners.orders import is_credential, read_exports, read_grant
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
+from marblefold.register_store.register_client import RegisterClient
 
 __all__ = ["PartnerCalls"]
 
--- a/marblefold/partners/duty.py
+++ b/marblefold/partners/duty.py
@@ -10,7 +10,6 @@
 import time
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
-from typing import Protocol
 
 from marblefold.errors import MeshError
 from marblefold.leases.held_leases import DRIFT_MARGIN, LEASE_SECONDS
@@ -18,6 +17,7 @@
 from marblefold.partners.document import Document, lapse
 from marblefold.partners.merging import PartnerTable, merge
 from marblefold.register_store.call_kinds import RegisterCallKind
+from marblefold.register_store.register_client import RegisterClient
 
 __all__ = ["PartnerDuty", "REGISTER", "ENFORCED_AFTER"]
 
@@ -28,12 +28,6 @@
 ENFORCED_AFTER = timedelta(seconds=LEASE_SECONDS * (1.0 + DRIFT_MARGIN))
 
 
-class RegisterClient(Protocol):
-    """Reads and changes registers of the stores."""
-
-    async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
-
-
 class PartnerDuty:
     """The newest document known here, and until when it is certainly the newest."""
 
--- a/marblefold/registry/control_calls.py
+++ b/marblefold/registry/control_calls.py
@@ -1,7 +1,6 @@
 """The calls of operators, and of targets that come here."""
 
 from collections.abc import Callable
-from typing import Protocol
 
 from marblefold import wire_names
 from marblefold.configuration.reading import InvalidConfiguration, read_configuration
@@ -11,9 +10,10 @@
 from marblefold.logs import log
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import EvacuationState
+from marblefold.register_store.register_client import RegisterClient
 from marblefold.registry.fenced_orders import set_fenced
 
-__all__ = ["ControlCalls", "RegisterClient"]
+__all__ = ["ControlCalls"]
 
 _LARGEST_CONFIGURATION = 64 * 1024 * 1024
 _CONFIGURATION_REGISTER = "configuration"
@@ -21,12 +21,6 @@
 _BASE_SECONDS = 0.6
 
 
-class RegisterClient(Protocol):
-    """Where the operator's orders are kept."""
-
-    async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
-
-
 class ControlCalls:
     """Checks what operators ask and has the stores hold it."""
 
--- a/marblefold/registry/fenced_orders.py
+++ b/marblefold/registry/fenced_orders.py
@@ -7,23 +7,17 @@
 """
 
 from collections.abc import Callable
-from typing import Protocol
 
 from marblefold.errors import MeshError
 from marblefold.register_store.call_kinds import RegisterCallKind
 from marblefold.register_store.changes import EvacuationState
+from marblefold.register_store.register_client import RegisterClient
 
 __all__ = ["set_fenced"]
 
 _TRIES = 3
 
 
-class RegisterClient(Protocol):
-    """The way to the stores."""
-
-    async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
-
-
 async def set_fenced(
     client: RegisterClient,
     register: str,
--- a/marblefold/registry/list_duty.py
+++ b/marblefold/registry/list_duty.py
@@ -9,12 +9,12 @@
 import random
 from collections.abc import Callable
 from datetime import timedelta
-from typing import Protocol
 
 from marblefold import wire_names
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
+from marblefold.register_store.register_client import RegisterClient
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.platform_list import ListedTarget, PlatformList
 
@@ -28,14 +28,6 @@
 _MOST_BACK_OFF = 4.0
 
 
-class RegisterClient(Protocol):
-    """Where the epoch of the duty is kept."""
-
-    async def ask(
-        self, kind: str, register: str, number: int = 0, value: bytes = b""
-    ) -> kinds.RegisterAnswer: ...
-
-
 class ListDuty:
     """Reads the list while the duty is ours."""
 
--- a/marblefold/registry/site_news.py
+++ b/marblefold/registry/site_news.py
@@ -18,7 +18,8 @@
 from marblefold.partners.calls import PartnerCalls
 from marblefold.partners.document import Document
 from marblefold.partners.duty import REGISTER as PARTNERS_REGISTER
-from marblefold.partners.duty import PartnerDuty, RegisterClient
+from marblefold.partners.duty import PartnerDuty
+from marblefold.register_store.register_client import RegisterClient
 from marblefold.register_store.register_files import RegisterFiles
 from marblefold.registry.catalogue import Catalogue
 
