--- a/marblefold/configuration/reading.py
+++ b/marblefold/configuration/reading.py
@@ -1,6 +1,7 @@
 """Reads a configuration from the operator's bytes and finds all that is wrong with it."""
 
 from datetime import timedelta
+from typing import Any
 
 import cattrs
 from cattrs.gen import make_dict_structure_fn, override
@@ -13,13 +14,13 @@
 __all__ = ["InvalidConfiguration", "read_configuration"]
 
 
-class InvalidConfiguration(ExceptionGroup):
+class InvalidConfiguration(ExceptionGroup[MeshError]):
     """All the faults of one configuration, each a MeshError with its place."""
 
     @property
     def faults(self) -> list[str]:
         """The faults as lines for the operator."""
-        return [fault.reason for fault in self.exceptions]
+        return [fault.reason for fault in self.exceptions if isinstance(fault, MeshError)]
 
     def derive(self, exceptions):
         return InvalidConfiguration(self.message, exceptions)
@@ -59,7 +60,7 @@
     converter.register_structure_hook(timedelta, _milliseconds)
     require_lists(converter)
     for kind in (Split, Upstream, Limits, Route, Configuration):
-        names = {}
+        names: dict[str, Any] = {}
         for field in kind.__attrs_attrs__:
             names[field.name] = override(rename=field.name.replace("_", "-"))
         # The one duration that the operator gives in seconds.
--- a/marblefold/history/keeper.py
+++ b/marblefold/history/keeper.py
@@ -5,7 +5,7 @@
 import json
 import os
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from marblefold import wire_names
 from marblefold.disk_thread import DiskThread
@@ -14,6 +14,9 @@
 from marblefold.http_connections.call_router import Call, CallRouter, json_answer, not_now_answer
 from marblefold.logs import log
 
+if TYPE_CHECKING:
+    from marblefold.history.versions import Versions
+
 __all__ = ["HistoryKeeper"]
 
 # More than this waiting means a disk that stalls: the oldest are let go.
@@ -33,7 +36,7 @@
         self._thread = DiskThread("history")
         # The highest number taken so far: every store tells each one, at any time.
         self._newest = 0
-        self._versions = None
+        self._versions: Versions | None = None
 
     def add_to(self, router: CallRouter) -> None:
         """Serves the calls on it."""
@@ -80,7 +83,7 @@
             # Torn objects make the library raise almost anything.
             raise DiskError("history", str(error) or "the disk does not answer") from error
 
-    def _open(self):
+    def _open(self) -> "Versions":
         if self._versions is None:
             # Nothing else in a registry needs the library.
             from marblefold.history.versions import Versions
--- a/marblefold/json_bodies.py
+++ b/marblefold/json_bodies.py
@@ -6,7 +6,7 @@
 """
 
 import json
-from typing import get_origin
+from typing import Any, get_origin
 
 __all__ = ["BadBody", "read_object", "require_lists"]
 
@@ -76,4 +76,7 @@
 
         return structure_list
 
-    converter.register_structure_hook_factory(lambda kind: get_origin(kind) is tuple, make_hook)
+    def is_tuple(kind: Any) -> bool:
+        return get_origin(kind) is tuple
+
+    converter.register_structure_hook_factory(is_tuple, make_hook)
--- a/marblefold/register_store/member_changes.py
+++ b/marblefold/register_store/member_changes.py
@@ -71,6 +71,8 @@
     async def make_next(self) -> None:
         """Starts the next change of members, if one is due and it is our duty."""
         view = self._acceptor.view
+        if view is None:
+            return
         waiting = self._find_waiting()
         if not waiting or not self._acceptor.is_member:
             return
@@ -95,7 +97,10 @@
         self.is_leaving = True
         end = self._timing.clock() + seconds
         while self._timing.clock() < end and self._can_hand_over():
-            view, newcomer = self._acceptor.view, self._find_waiting()[0]
+            view = self._acceptor.view
+            if view is None:
+                return
+            newcomer = self._find_waiting()[0]
             live = [peer for peer in view.members if not self._is_gone(peer)]
             following = view.swap(self._acceptor.address, newcomer, _mark())
             try:
@@ -111,6 +116,7 @@
         return (
             acceptor.standing is Standing.VOTING
             and acceptor.is_member
+            and acceptor.view is not None
             and len(acceptor.view.members) >= self._wanted_members
             and bool(self._find_waiting())
         )
@@ -124,6 +130,8 @@
     async def _change(self, following: View, live: list[str], gone: str) -> bool:
         """Proposes the view unless the change before is unfinished; tells if it holds."""
         view = self._acceptor.view
+        if view is None:
+            return False
         others = [peer for peer in live if peer != self._acceptor.address]
         agreed = await self._ask_opinions(others, gone)
         if agreed is None:
@@ -137,12 +145,9 @@
         if self._acceptor.view != view:
             return False
         holding = await self._settler.propose(VIEW_REGISTER, change_view(view, following))
-        log.info(
-            "view changed",
-            gone=gone,
-            members=list(self._acceptor.view.members),
-            view=self._acceptor.view.number,
-        )
+        # Views only follow one another: one that was known stays known.
+        newest = self._acceptor.view or view
+        log.info("view changed", gone=gone, members=list(newest.members), view=newest.number)
         return holding.value == following.pack()
 
     async def _ask_opinions(self, others: list[str], gone: str) -> list[str] | None:
@@ -173,7 +178,9 @@
         self._waiting = {
             peer: at for peer, at in self._waiting.items() if now - at < _WAITING_SECONDS
         }
-        return sorted(peer for peer in self._waiting if peer not in self._acceptor.view.members)
+        view = self._acceptor.view
+        members = view.members if view is not None else ()
+        return sorted(peer for peer in self._waiting if peer not in members)
 
     def _is_gone(self, peer: str) -> bool:
         return (
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -109,11 +109,15 @@
         """Nobody sends hops to a store."""
         exchange.close()
 
-    async def _answer_registry(self, connection: PeerConnection, number: int, call) -> None:
+    async def _answer_registry(
+        self, connection: PeerConnection, number: int, call: kinds.RegisterCall
+    ) -> None:
         answer = await self._make_answer(connection, call)
         connection.send(FrameKind.REPLY, number, pack_message(answer))
 
-    async def _make_answer(self, connection: PeerConnection, call) -> kinds.RegisterAnswer:
+    async def _make_answer(
+        self, connection: PeerConnection, call: kinds.RegisterCall
+    ) -> kinds.RegisterAnswer:
         if call.kind == RegisterCallKind.WATCH:
             self._words.watch(connection)
             self._tell_view(connection)
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -145,7 +145,7 @@
     def _sort(
         self,
         peer: str,
-        task: asyncio.Task,
+        task: asyncio.Task[kinds.StoreAnswer],
         agreed: dict[str, kinds.StoreAnswer],
     ) -> None:
         if task.exception() is not None:
@@ -177,6 +177,6 @@
     }
 
 
-def _forget(task: asyncio.Task) -> None:
+def _forget(task: asyncio.Task[kinds.StoreAnswer]) -> None:
     if not task.cancelled():
         task.exception()
--- a/marblefold/register_store/upkeep.py
+++ b/marblefold/register_store/upkeep.py
@@ -138,12 +138,13 @@
         if kind is not CallKind.READ or acceptor.standing is not Standing.READING:
             return
         agreed = {peer: answer for peer, answer in answers.items() if answer.agreed}
-        if not is_enough(acceptor.view, acceptor.previous, acceptor.address, agreed):
+        view = acceptor.view
+        if view is None or not is_enough(view, acceptor.previous, acceptor.address, agreed):
             return
-        counted = {*acceptor.view.members, *(acceptor.previous or acceptor.view).members}
+        counted = {*view.members, *(acceptor.previous or view).members}
         acceptor.finish_reading([agreed[peer] for peer in agreed if peer in counted])
         self._unsettled = None
-        log.info("reading done", registers=len(acceptor.holdings), view=acceptor.view.number)
+        log.info("reading done", registers=len(acceptor.holdings), view=view.number)
 
     def _known_stores(self) -> list[str]:
         """The members known, of the view before too, and the seeds.
--- a/marblefold/registry/control_calls.py
+++ b/marblefold/registry/control_calls.py
@@ -1,6 +1,7 @@
 """The calls of operators, and of targets that come here."""
 
 from collections.abc import Callable
+from typing import Any
 
 from marblefold import wire_names
 from marblefold.configuration.reading import InvalidConfiguration, read_configuration
@@ -28,7 +29,7 @@
         self,
         store_client: RegisterClient,
         zones: Callable[[], set[str]],
-        state: Callable[[], dict],
+        state: Callable[[], dict[str, Any]],
         evacuation_number: Callable[[str], int | None] = lambda zone: None,
     ) -> None:
         self._store_client = store_client
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -5,7 +5,9 @@
 import os
 import signal
 import time
+from collections.abc import Coroutine
 from datetime import timedelta
+from typing import Any
 
 from marblefold.configuration.laying_out import lay_out
 from marblefold.configuration.reading import read_configuration
@@ -21,6 +23,7 @@
 from marblefold.maintenance.duty import REGISTER as MAINTENANCE
 from marblefold.maintenance.duty import MaintenanceDuty
 from marblefold.membership.node import NodeMembership
+from marblefold.node_config.model import Cloud
 from marblefold.node_config.reading import NodeConfig
 from marblefold.node_config.watching import ConfigWatch
 from marblefold.program_flags import is_history_on, read_collected_spans
@@ -77,7 +80,9 @@
         capacity = LiveCapacity(
             self.catalogue, self._membership, self._duties, config.cloud is None
         )
-        self._extra_runs = self._make_list_duty(config) if config.cloud is not None else []
+        self._extra_runs = (
+            self._make_list_duty(config, config.cloud) if config.cloud is not None else []
+        )
         self.maintenance = MaintenanceDuty(self.store_client, capacity)
         self._sites = SiteNews(
             config,
@@ -138,7 +143,7 @@
             await asyncio.sleep(0.02)
         tasks.cancel()
 
-    def _make_list_duty(self, config: NodeConfig) -> list:
+    def _make_list_duty(self, config: NodeConfig, cloud: Cloud) -> list[Coroutine[Any, Any, None]]:
         """Where the platform keeps the list, one registry reads it for all."""
         # Nothing else needs these, so other deployments do not import them.
         from marblefold.proxy.registry_follower import RegistryFollower
@@ -149,7 +154,7 @@
         news = PeerNews(self.catalogue, {"target"}, lambda: self._registries - {self._own})
         follower = RegistryFollower(config.node_name, list, news)
         duty = ListDuty(
-            PlatformList(config.cloud.address, config.cloud.rate_per_second),
+            PlatformList(cloud.address, cloud.rate_per_second),
             self.catalogue,
             self.store_client,
             self._own,
@@ -251,7 +256,7 @@
     def _zones(self) -> set[str]:
         return set(self._watch.config.zone_regions)
 
-    def _describe_parts(self) -> dict:
+    def _describe_parts(self) -> dict[str, Any]:
         return describe_parts(
             self._tell_state(),
             self._traffic,
@@ -262,7 +267,7 @@
             time.monotonic(),
         )
 
-    def _tell_state(self) -> dict:
+    def _tell_state(self) -> dict[str, Any]:
         members = sorted(self.store_client.stores)
         return describe_state(
             self.catalogue, members, self._membership.members("proxy"), self.contact.is_held
--- a/marblefold/registry/site_news.py
+++ b/marblefold/registry/site_news.py
@@ -4,7 +4,8 @@
 """
 
 import os
-from collections.abc import Callable
+from collections.abc import Callable, Coroutine
+from typing import Any
 
 from marblefold.http_connections.call_router import CallRouter
 from marblefold.inner_protocol.messages import kinds
@@ -67,7 +68,7 @@
         for calls in self._calls:
             calls.add_to(router)
 
-    def runs(self) -> list:
+    def runs(self) -> list[Coroutine[Any, Any, None]]:
         """What is to run as long as the registry does."""
         runs = [self.partners.run()]
         if self.agent is not None:
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -86,7 +86,7 @@
         async def ask_one(peer: str, seconds: float) -> kinds.RegisterAnswer:
             silent.add(peer)
             connection = await self._peers.reach(peer)
-            answer = unpack_message(await connection.call(call, seconds))
+            answer: kinds.RegisterAnswer = unpack_message(await connection.call(call, seconds))
             silent.discard(peer)
             if answer.outcome == Outcome.UNKNOWN:
                 raise MeshError(kind, answer.reason, peer)
--- a/tools/model_check/search.py
+++ b/tools/model_check/search.py
@@ -34,7 +34,7 @@
     of states ends the search.
     """
     chance = random.Random(seed)
-    seen = set()
+    seen: set[int] = set()
     queue: deque[tuple[Action, ...]] = deque([begin])
     reached = 0
     while queue:
--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -17,6 +17,7 @@
 from marblefold.register_store.changes import hold_configuration
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
+from marblefold.register_store.view import View
 
 __all__ = ["Action", "Bounds", "BrokenInvariant", "World"]
 
@@ -80,10 +81,10 @@
         # A call that nobody answers must not be collected before the run ends.
         self._futures: list[asyncio.Future] = []
 
-    def current_view(self):
+    def current_view(self) -> View | None:
         return next(iter(self._world.acceptors.values())).view
 
-    def learn_view(self, view) -> None:
+    def learn_view(self, view: View) -> None:
         """Views do not change in a run."""
 
     async def call(self, peer: str, call: kinds.StoreCall) -> kinds.StoreAnswer:
@@ -147,7 +148,7 @@
 
     def _readings(self, member: str, acceptor: Acceptor) -> list[Action]:
         sources = [peer for peer in self.bounds.members if peer != member]
-        enough = acceptor.view.reading
+        enough = _known_view(acceptor).reading
         # Leaving one out or none: the views here have up to five members.
         sets = (
             [tuple(sources)]
@@ -173,7 +174,7 @@
 
     def _deliver(self, messages: _Messages, member: str, kind: str) -> None:
         call, future = messages.waiting.pop((member, kind))
-        answer = answer_call(self.acceptors[member], call)
+        answer = _answer(self.acceptors[member], call)
         held = [(a.ballot.counter, a.number, a.promised.counter) for a in answer.accepted]
         messages.delivered.append(
             (call.kind, member, answer.agreed, _epoch(answer.life), str(held))
@@ -182,7 +183,7 @@
             future.set_result(answer)
 
     def _restart(self, member: str, with_wipe: bool) -> None:
-        view = self.acceptors[member].view
+        view = _known_view(self.acceptors[member])
         if with_wipe:
             self.disks[member] = _Records()
         self.acceptors[member] = Acceptor(
@@ -196,7 +197,7 @@
         call = kinds.StoreCall(
             kind=CallKind.READ, view=reader.pack_view(), sender=member, sender_life=life
         )
-        answers = [answer_call(self.acceptors[source], call) for source in sources]
+        answers = [_answer(self.acceptors[source], call) for source in sources]
         for answer in answers:
             reader.outlive(answer.lives.get(member, ""))
         if reader.life == life and all(answer.agreed for answer in answers):
@@ -241,9 +242,10 @@
         for task in self.tasks:
             if not task.done() or task.cancelled():
                 continue
-            if task.exception() is not None:
-                if not isinstance(task.exception(), MeshError):
-                    raise task.exception()
+            error = task.exception()
+            if error is not None:
+                if not isinstance(error, MeshError):
+                    raise error
                 continue
             holding = task.result()
             if chosen.setdefault(holding.number, holding.value) != holding.value:
@@ -251,6 +253,19 @@
         return chosen
 
 
+def _known_view(acceptor: Acceptor) -> View:
+    if acceptor.view is None:
+        raise ValueError(f"{acceptor.address} knows no view")
+    return acceptor.view
+
+
+def _answer(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer:
+    answer = answer_call(acceptor, call)
+    if answer is None:
+        raise ValueError(f"not a call for an acceptor: {call.kind}")
+    return answer
+
+
 async def _spin() -> None:
     for _ in range(6):
         await asyncio.sleep(0)
