--- a/marblefold/history/command.py
+++ b/marblefold/history/command.py
@@ -44,8 +44,8 @@
             print(f"{row[wire_names.CONFIG_VERSION]} {at} {row['commit']}")
         return _FINE
     texts = [
-        json.dumps(await _ask(wire_names.VERSION_PATH.format(word)), indent=2, sort_keys=True)
-        for word in arguments[1:]
+        json.dumps(await _ask(wire_names.VERSION_PATH.format(number)), indent=2, sort_keys=True)
+        for number in arguments[1:]
     ]
     if arguments[0] == "show":
         print(texts[0])
--- a/marblefold/history/keeper.py
+++ b/marblefold/history/keeper.py
@@ -34,7 +34,7 @@
         self._waiting: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
         # One thread: the object store is used by one at a time.
         self._thread = DiskThread("history")
-        # The highest number taken so far: every store tells each one, at any time.
+        # The highest number taken so far: every store sends each one, at any time.
         self._newest = 0
         self._versions: Versions | None = None
 
@@ -54,7 +54,7 @@
         self._waiting.put_nowait((number, body))
 
     async def run(self) -> None:
-        """Keeps what comes, for ever; a disk in trouble is told, and not in the way."""
+        """Keeps what comes, for ever; a disk in trouble is logged, and holds nothing up."""
         if not self._folder:
             return
         while True:
--- a/marblefold/json_bodies.py
+++ b/marblefold/json_bodies.py
@@ -2,7 +2,7 @@
 
 `json.loads` takes more than JSON: other encodings, NaN, halves of surrogate
 pairs and any depth.  What is accepted here is read again by every registry and
-laid out for every proxy, so it is refused while its sender can still be told.
+laid out for every proxy, so it is refused while its sender still waits for the answer.
 """
 
 import json
--- a/marblefold/ownership/agent.py
+++ b/marblefold/ownership/agent.py
@@ -63,15 +63,15 @@
         self._claimed = claimed
         self._clock = clock
         self._sleep = sleep
-        self._word: dict[str, tuple[str, ...]] = {}
+        self._listed: dict[str, tuple[str, ...]] = {}
         self._seen: dict[str, _Seen] = {}
         self._leases: dict[str, tuple[int, float]] = {}
         loaded = records.load().get(_RECORD, b"{}")
         self._written: dict[str, list[int]] = json.loads(loaded)
 
     def take_record(self, value: bytes) -> None:
-        """The operator says which sites may own which services."""
-        self._word = read_owners(value)
+        """Takes in the operator's record of which sites may own which services."""
+        self._listed = read_owners(value)
 
     def grants(self) -> tuple[OwnedLease, ...]:
         """What the guards of this site may serve, and for how long from now."""
@@ -83,10 +83,10 @@
         )
 
     async def run(self) -> None:
-        """Renews for ever; without a word of the operator it costs nothing."""
+        """Renews for ever; without a record of the operator it costs nothing."""
         while True:
             await self._sleep(_ROUND_SECONDS)
-            for upstream in list(self._word):
+            for upstream in list(self._listed):
                 try:
                     await self.step(upstream)
                 except MeshError as error:
@@ -95,7 +95,7 @@
                     )
 
     async def step(self, upstream: str) -> Verdict:
-        """Claims one service once."""
+        """Claims one service once; MeshError if the stores do not answer in time."""
         register = OWNER_PREFIX + upstream
         began = self._clock()
         held = await self._store_client.ask(RegisterCallKind.DESCRIBE, register)
@@ -107,12 +107,12 @@
         # Nobody renewed it for longer than any lease granted from it lasts.
         is_lapsed = began - seen.since > LEASE_SECONDS * (1.0 + DRIFT_MARGIN)
         epoch, renewals = self._written.get(upstream, (0, 0))
-        listed = self._word.get(upstream, ())
+        listed = self._listed.get(upstream, ())
         claimants = self._claimed().get(upstream, set())
         rivals = frozenset(
             site for site, _agent in claimants if site != self._site and site in listed
         )
-        # Who goes first by the operator's word, but does not come, has lost.
+        # Who goes first by the operator's record, but does not come, has lost.
         if began - seen.since > _RIVALS_LEASES * LEASE_SECONDS:
             rivals = frozenset()
         verdict, wanted = settle(
--- a/marblefold/ownership/calls.py
+++ b/marblefold/ownership/calls.py
@@ -1,4 +1,4 @@
-"""The administration calls for owners: the operator's word, and who owns what."""
+"""The administration calls for owners: the operator's record, and who owns what."""
 
 import json
 from collections.abc import Callable
@@ -23,19 +23,19 @@
 
 __all__ = ["Claimed", "OwnerCalls"]
 
-_LARGEST_WORD = 1024 * 1024
+_LARGEST_BODY = 1024 * 1024
 _LARGEST_NUMBER = 10**15
 
 
 class Claimed(NamedTuple):
-    """What this registry hears of owners and claimants."""
+    """The owners and claimants that this registry knows."""
 
     claimants: dict[str, set[tuple[str, str]]]
     owners: dict[str, Owner]
 
 
 class OwnerCalls:
-    """Checks the operator's word, has it held, and shows clashes."""
+    """Checks the operator's record, has it held, and shows clashes."""
 
     def __init__(self, store_client: RegisterClient, claimed: Callable[[], Claimed]) -> None:
         self._store_client = store_client
@@ -44,7 +44,7 @@
     def add_to(self, router: CallRouter) -> None:
         """Serves these calls at the router."""
         router.add("GET", wire_names.OWNERS_PATH, self._show)
-        router.add("PUT", wire_names.OWNERS_PATH, self._set, _LARGEST_WORD)
+        router.add("PUT", wire_names.OWNERS_PATH, self._set, _LARGEST_BODY)
 
     async def _show(self, _call: Call) -> Answer:
         try:
--- a/marblefold/ownership/claims.py
+++ b/marblefold/ownership/claims.py
@@ -14,7 +14,7 @@
 class Verdict(enum.Enum):
     """What becomes of a claim."""
 
-    # The site owns the service, under the epoch told with it.
+    # The site owns the service, under the epoch that comes with it.
     OWNER = "owner"
     # The site may come to own it; another does now.
     WAITING = "waiting"
@@ -79,11 +79,11 @@
     )
     if is_present:
         return Verdict.OWNER, held._replace(renewals=held.renewals + 1)
-    # Also where the operator's word ends an ownership, its leases must run out.
+    # Also where the operator's record ends an ownership, its leases must run out.
     if not is_lapsed:
         is_same_name = held.site == claim.site
         return (Verdict.REFUSED if is_same_name else Verdict.WAITING), held
-    # The owner that lapsed is no rival: it does not renew, whatever it tells.
+    # The owner that lapsed is no rival: it does not renew, whatever it sends.
     candidates = (rivals - {held.site}) | {claim.site}
     best = min((site for site in candidates if site in listed), key=listed.index)
     if best != claim.site:
@@ -110,7 +110,7 @@
 
 
 def read_owners(data: bytes) -> dict[str, tuple[str, ...]]:
-    """The operator's word: which sites may own a service, in order."""
+    """The operator's record: which sites may own each service, in order."""
     if not data:
         return {}
     return {upstream: tuple(sites) for upstream, sites in json.loads(data)["services"].items()}
--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -86,7 +86,7 @@
         self._change_standing(Standing.READING)
 
     def outlive(self, known: str) -> bool:
-        """Begins a later life if one not before ours is known; tells whether it did.
+        """Begins a later life if one not before ours is known; returns whether it did.
 
         A lost disk does not know its epoch: those that noted it say so.
         """
@@ -105,7 +105,7 @@
         if ballot <= held.promised:
             return self._refuse(Refusal.PROMISED_HIGHER, call.register)
         self._hold(call.register, held._replace(promised=ballot))
-        # A promise above the ballot tells the proposer not to count it as accepted.
+        # A promise above the ballot has the proposer not count it as accepted.
         shown = held if call.register in self._unproven else held._replace(promised=held.ballot)
         return self._agree([pack_holding(call.register, shown)])
 
@@ -123,7 +123,7 @@
         return self._agree([])
 
     def take_chosen(self, register: str, holding: Holding) -> bool:
-        """Takes in what a majority holds; tells whether it was news.
+        """Takes in what a majority holds; returns whether it was newer than the one held.
 
         Safe whatever was promised: a higher ballot's majority met this one's.
         """
--- a/marblefold/register_store/call_kinds.py
+++ b/marblefold/register_store/call_kinds.py
@@ -14,7 +14,7 @@
 
     # Reads through a majority and changes nothing.
     DESCRIBE = "describe"
-    # Hear of all that is chosen, from now on.
+    # Receives all that is chosen, from now on.
     WATCH = "watch"
     # Whether the store has a vote now, and in which view; costs no write.
     HEARTBEAT = "heartbeat"
@@ -29,7 +29,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What came of an order, as far as a majority of the stores can tell."""
+    """What came of an order, as far as a majority of the stores knows."""
 
     # It was taken: it holds, or it did until a later order replaced it.
     HELD = "held"
--- a/marblefold/register_store/changes.py
+++ b/marblefold/register_store/changes.py
@@ -95,7 +95,7 @@
 
     Numbers only rise, and every change raises the number; so once the order, or
     any other one, has changed the register, no later try of it does anything,
-    at whatever store.  The id left behind tells its own later tries that it
+    at whatever store.  The id left behind shows its own later tries that it
     was taken.
     """
 
--- a/marblefold/register_store/chosen_registers.py
+++ b/marblefold/register_store/chosen_registers.py
@@ -1,4 +1,4 @@
-"""What is known to be chosen, and who wants to hear of it."""
+"""What is known to be chosen, and which connections watch it."""
 
 # The accelerator itself: hashlib would load OpenSSL, 4 MB in every process.
 from _blake2 import blake2b
@@ -24,7 +24,7 @@
         self._digest = b""
 
     def put(self, register: str, holding: Holding) -> bool:
-        """Takes in a chosen holding; tells whether it was news."""
+        """Takes in a chosen holding; returns whether it was newer than the one held."""
         held = self.holdings.get(register)
         if not holding.value or (held is not None and holding.ballot <= held.ballot):
             return False
@@ -36,7 +36,7 @@
         return True
 
     def watch(self, connection: PeerConnection) -> None:
-        """The registry behind the connection hears all that holds, from now on."""
+        """Sends the connection all that is chosen, now and from now on."""
         self._watchers.add(connection)
         for register, holding in self.holdings.items():
             connection.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
@@ -46,7 +46,7 @@
         self._watchers.discard(connection)
 
     def digest(self) -> bytes:
-        """Tells whether two stores know the same: 16 bytes over registers and ballots."""
+        """16 bytes over registers and ballots, equal where two stores know the same."""
         if not self._digest:
             marks = sorted((name, *holding.ballot) for name, holding in self.holdings.items())
             self._digest = blake2b(repr(marks).encode(), digest_size=16).digest()
--- a/marblefold/register_store/comparing.py
+++ b/marblefold/register_store/comparing.py
@@ -57,13 +57,13 @@
         self._keep_copies()
 
     def take(self, register: str, holding: Holding) -> bool:
-        """Something is known to be chosen; tells whether it was news."""
+        """Takes in a holding that is known to be chosen; returns whether it was new here."""
         if not holding.value:
             return False
-        # It is chosen whatever our own disk says: those who watch hear it.
-        was_news = self._chosen.put(register, holding)
+        # It is chosen whatever our own disk says: watchers receive it.
+        was_new = self._chosen.put(register, holding)
         self._keep_copy(register, holding)
-        return was_news
+        return was_new
 
     def is_settled(self, register: str) -> bool:
         """Whether what is held here is known to be chosen, or outdone by what is."""
@@ -75,7 +75,7 @@
         return min(peers, key=lambda _peer: self._timing.uniform(0, 1))
 
     async def _catch_up(self, peer: str) -> None:
-        """Takes answer after answer until one holds no news; MeshError if one is missing."""
+        """Takes answer after answer until one holds nothing new; MeshError if one is missing."""
         is_behind = True
         while is_behind:
             call = kinds.StoreCall(
@@ -90,12 +90,12 @@
             is_behind = await self._take_all(answer)
 
     async def _take_all(self, answer: kinds.StoreAnswer) -> bool:
-        was_news = False
+        was_new = False
         for message in answer.accepted:
-            was_news |= self.take(message.register, read_holding(message))
+            was_new |= self.take(message.register, read_holding(message))
             # Each is a write to disk: calls of others are answered in between.
             await asyncio.sleep(0)
-        return was_news
+        return was_new
 
     def _keep_copies(self) -> None:
         """Holds what is chosen here too, also what the disk refused, or came while reading."""
--- a/marblefold/register_store/lives.py
+++ b/marblefold/register_store/lives.py
@@ -2,7 +2,7 @@
 
 A life is written as its epoch and a random part.  A store whose disk was lost
 chooses an epoch above each one that the members it reads have noted for it, so
-of two lives of a store everybody can tell the later one.
+the later of two lives of a store can always be determined.
 """
 
 import os
--- a/marblefold/register_store/member_changes.py
+++ b/marblefold/register_store/member_changes.py
@@ -1,6 +1,6 @@
 """Changes the members of the view: grows it, swaps a lost member, hands a place over.
 
-One change at a time: none starts before each member that is heard votes in
+One change at a time: none starts before each member in reach votes in
 the present view and each register is settled in it, so that every register
 has the copies that the view promises before the next member goes.
 """
@@ -56,7 +56,7 @@
         self._waiting[newcomer] = self._timing.clock()
 
     def opinion(self, peer: str) -> bool:
-        """Whether a change of members may start as far as we can tell.
+        """Whether a change of members may start as far as is known here.
 
         It may if we vote and the peer, if one is named, is gone.
         """
@@ -93,6 +93,7 @@
         """Gives our place to a store that waits for one, before we end.
 
         Without one that waits nothing is done: a restart in place is cheap.
+        seconds: no try begins later than that.
         """
         self.is_leaving = True
         end = self._timing.clock() + seconds
@@ -128,7 +129,7 @@
             await self._timing.sleep(_HAND_OVER_PAUSE)
 
     async def _change(self, following: View, live: list[str], gone: str) -> bool:
-        """Proposes the view unless the change before is unfinished; tells if it holds."""
+        """Proposes the view unless the change before is unfinished; returns whether it holds."""
         view = self._acceptor.view
         if view is None:
             return False
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -20,7 +20,7 @@
 
 
 def answer_call(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
-    """The acceptor's word on a call; None for calls that are not for it.
+    """The acceptor's answer to a call; None for calls that are not for it.
 
     A disk in trouble makes it a refusal: nothing is promised from memory alone.
     """
@@ -33,7 +33,7 @@
 
 
 def _answer_from_disk(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
-    # Callers name only views that were chosen: the newer one is news for us.
+    # Callers name only views that were chosen: a newer one is taken in.
     if call.view:
         acceptor.take_view(read_view(call.view))
     if call.kind not in _FROM_DISK:
@@ -47,7 +47,7 @@
 
 
 class StorePeers:
-    """The other stores, and when each was last heard."""
+    """The other stores, and when each last answered or called."""
 
     def __init__(
         self,
@@ -77,7 +77,7 @@
         return self._clock() - max(self.heard.get(peer, since), since)
 
     def tell_chosen(self, peer: str, register: str, holding: Holding) -> None:
-        """Tells a peer that is in reach what was chosen; comparing does the rest."""
+        """Sends a peer that is in reach what was chosen; comparing does the rest."""
         connection = self._peers.find(peer)
         if connection is not None:
             connection.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -1,4 +1,4 @@
-"""The store: keeps the operator's words on disk with the other stores."""
+"""The store: keeps the operator's records on disk with the other stores."""
 
 import asyncio
 import os
@@ -29,7 +29,7 @@
 
 __all__ = ["StoreProgram", "open_acceptor"]
 
-_WORD_SECONDS = 1.3
+_CHANGE_SECONDS = 1.3
 _DISK_PAUSE_SECONDS = 0.3
 # Well within the grace period, with what is being proposed after it.
 _HAND_OVER_SECONDS = 4.0
@@ -53,9 +53,9 @@
         self._proposer = Proposer(
             self._peers, f"{self._address}/{self._acceptor.life}/{os.urandom(4).hex()}"
         )
-        self._words = ChosenRegisters()
+        self._chosen = ChosenRegisters()
         self._upkeep = Upkeep(
-            self._acceptor, self._peers, self._proposer, self._words, seeds, config.machine_losses
+            self._acceptor, self._peers, self._proposer, self._chosen, seeds, config.machine_losses
         )
         self._stop = asyncio.Event()
         self._tasks: set[asyncio.Task[None]] = set()
@@ -76,7 +76,7 @@
         tasks = [loop.create_task(self._watch.run()), loop.create_task(self._upkeep.run())]
         await self._stop.wait()
         await self._upkeep.hand_over(_HAND_OVER_SECONDS)
-        # What is being proposed comes to its end: a word is worth the wait.
+        # What is being proposed comes to its end: a record is worth the wait.
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=1.5)
         for task in tasks:
@@ -96,14 +96,14 @@
             task.add_done_callback(self._tasks.discard)
 
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
-        """A store tells what was just chosen."""
+        """A store sends what was just chosen."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Accepted):
             self._upkeep.take_chosen(message.register, read_holding(message))
 
     def on_lost(self, connection: PeerConnection) -> None:
         """A connection is gone; if a registry was behind it, it watches no more."""
-        self._words.forget(connection)
+        self._chosen.forget(connection)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
         """Nobody sends hops to a store."""
@@ -119,8 +119,8 @@
         self, connection: PeerConnection, call: kinds.RegisterCall
     ) -> kinds.RegisterAnswer:
         if call.kind == RegisterCallKind.WATCH:
-            self._words.watch(connection)
-            self._tell_view(connection)
+            self._chosen.watch(connection)
+            self._send_view(connection)
             return kinds.RegisterAnswer(outcome=Outcome.HELD)
         if call.kind == RegisterCallKind.HEARTBEAT:
             return answer_heartbeat(self._acceptor)
@@ -128,15 +128,15 @@
         if order is None:
             return kinds.RegisterAnswer(outcome=Outcome.UNKNOWN, reason="no such call")
         try:
-            holding = await self._proposer.change(call.register, order.change, _WORD_SECONDS)
+            holding = await self._proposer.change(call.register, order.change, _CHANGE_SECONDS)
         except MeshError as error:
             return kinds.RegisterAnswer(outcome=Outcome.UNKNOWN, reason=str(error))
         self._spread(call.register, holding)
         outcome = order.judge(Held(holding.number, holding.value, holding.orders))
         return kinds.RegisterAnswer(outcome=outcome, number=holding.number, value=holding.value)
 
-    def _tell_view(self, connection: PeerConnection) -> None:
-        """The first view was never proposed: no register tells it."""
+    def _send_view(self, connection: PeerConnection) -> None:
+        """The first view was never proposed: no register holds it."""
         view = self._acceptor.view
         if view is not None:
             connection.send(
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -55,7 +55,11 @@
         self._turns: dict[str, asyncio.Lock] = {}
 
     async def change(self, register: str, change: Change, seconds: float) -> Holding:
-        """What a majority holds after the change, or a MeshError if none answers."""
+        """What a majority holds after the change.
+
+        seconds: how long it is tried, at least once.
+        Raises a MeshError if no majority answers in time, or no view is known.
+        """
         end = self._clock() + seconds
         turn = self._turns.setdefault(register, asyncio.Lock())
         # Two changes of our own would only outbid each other.
@@ -163,7 +167,7 @@
     """Without the promises that were lost with a disk, as another one shows.
 
     Whoever lost its disk has read some member of every majority: either that
-    one promised first, and the reader knows the ballot, or its answer tells
+    one promised first, and the reader knows the ballot, or its answer names
     the reader's later life.
     """
     known: dict[str, str] = {}
--- a/marblefold/register_store/records.py
+++ b/marblefold/register_store/records.py
@@ -19,7 +19,7 @@
     """Records, and the names of those whose last write failed.
 
     After a failed write the disk may hold the record as it was before or as it
-    should have become, and nobody can tell before the machine starts again.
+    should have become, and nobody knows which before the machine starts again.
     """
 
     def __init__(self, records: Records) -> None:
--- a/marblefold/register_store/register_files.py
+++ b/marblefold/register_store/register_files.py
@@ -66,7 +66,7 @@
 
         What is returned is on disk for good, and nothing else of it is left.  A
         record is damaged if no pair of it is whole, though one was: then the
-        record that is named to tell so is empty, in the answer and on disk.
+        record that `voided_on_damage` names is empty, in the answer and on disk.
         """
         with _disk_errors("load", self._folder):
             self._pairs = self._find_pairs()
--- a/marblefold/register_store/settling.py
+++ b/marblefold/register_store/settling.py
@@ -37,7 +37,10 @@
             await self.settle(register)
 
     async def propose(self, register: str, change: Change) -> Holding:
-        """What holds after the change, taken in here and told to the members."""
+        """What holds after the change, taken in here and sent to the members.
+
+        Raises a MeshError if no majority answers in time.
+        """
         holding = await self._proposer.change(register, change, _SETTLE_SECONDS)
         self.take_chosen(register, holding)
         # After a start of all, each register is settled by one and not by every one.
@@ -48,5 +51,5 @@
         return holding
 
     def take_chosen(self, register: str, holding: Holding) -> None:
-        """Something is known to be chosen."""
+        """Takes in a holding that is known to be chosen."""
         self._comparing.take(register, holding)
--- a/marblefold/register_store/upkeep.py
+++ b/marblefold/register_store/upkeep.py
@@ -23,7 +23,7 @@
 __all__ = ["Upkeep"]
 
 _ROUND_SECONDS = 0.3
-# Views and lives may be news several times over before a reading counts.
+# Newer views and lives may be learned several times over before a reading counts.
 _READING_TRIES = 4
 
 
@@ -35,17 +35,17 @@
         acceptor: Acceptor,
         peers: StorePeers,
         proposer: Proposer,
-        words: ChosenRegisters,
+        chosen: ChosenRegisters,
         seeds: list[str],
         machine_losses: int = 1,
         timing: StoreTiming = REAL_TIMING,
     ) -> None:
         self._acceptor = acceptor
         self._peers = peers
-        self._words = words
+        self._chosen = chosen
         self._seeds = seeds
         self._timing = timing
-        self._comparing = Comparing(acceptor, words, self._ask_all, timing)
+        self._comparing = Comparing(acceptor, chosen, self._ask_all, timing)
         self._settler = Settler(acceptor, proposer, peers, self._comparing)
         self._members = MemberChanges(acceptor, peers, self._settler, machine_losses, timing)
         self._unsettled: set[str] | None = None
@@ -56,7 +56,7 @@
         """Acts and compares for ever, each by itself.
 
         Neither waits for the other: a store that finds no majority in an old
-        view hears of the newer one by comparing, and stores out of reach, which
+        view learns the newer one by comparing, and stores out of reach, which
         comparing waits for, delay no change of members.
         """
         async with asyncio.TaskGroup() as group:
@@ -73,11 +73,14 @@
             await self._timing.sleep(_ROUND_SECONDS * self._timing.uniform(0.8, 1.2))
 
     async def hand_over(self, seconds: float) -> None:
-        """Before a planned end: gives our place to a store that waits, if one does."""
+        """Before a planned end: gives our place to a store that waits, if one does.
+
+        seconds: no try begins later than that.
+        """
         await self._members.hand_over(seconds)
 
     def take_chosen(self, register: str, holding: Holding) -> None:
-        """Something is known to be chosen."""
+        """Takes in a holding that is known to be chosen."""
         self._settler.take_chosen(register, holding)
 
     def answer(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
@@ -88,7 +91,7 @@
             return answer
         view = self._acceptor.pack_view()
         if call.kind == CallKind.COMPARE:
-            return answer_comparison(self._words, call, view)
+            return answer_comparison(self._chosen, call, view)
         if call.kind == CallKind.OPINION:
             return kinds.StoreAnswer(agreed=self._members.opinion(call.register), view=view)
         if call.kind == CallKind.JOIN:
@@ -171,15 +174,15 @@
             self._unsettled.discard(register)
 
     def _note_unsure(self) -> None:
-        """What was accepted a round ago and still not told to be chosen may well be.
+        """What was accepted a round ago and is not yet known to be chosen may well be.
 
-        Its proposer tells that once; if it was lost just then, nobody else knows.
+        Its proposer sends that once; if it was lost just then, nobody else knows.
         """
         unsure = {
             register: holding.ballot
             for register, holding in self._acceptor.holdings.items()
             if register != VIEW_REGISTER
-            and holding.ballot > self._words.holdings.get(register, NOTHING).ballot
+            and holding.ballot > self._chosen.holdings.get(register, NOTHING).ballot
         }
         if self._unsettled is not None:
             self._unsettled |= {register for register, _ in unsure.items() & self._unsure.items()}
--- a/marblefold/register_store/view.py
+++ b/marblefold/register_store/view.py
@@ -1,4 +1,4 @@
-"""The view: which stores hold the operator's words together."""
+"""The view: which stores hold the operator's records together."""
 
 import json
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class View(NamedTuple):
-    """A numbered set of members; the mark tells views of one number apart."""
+    """A numbered set of members; the mark distinguishes views of one number."""
 
     number: int
     mark: str
--- a/marblefold/registry/catalogue.py
+++ b/marblefold/registry/catalogue.py
@@ -1,4 +1,4 @@
-"""What this registry knows, entry by entry, as soft state told again."""
+"""What this registry knows, entry by entry, as soft state that is sent again."""
 
 import itertools
 from collections import deque
--- a/marblefold/registry/control_calls.py
+++ b/marblefold/registry/control_calls.py
@@ -42,11 +42,11 @@
         """Serves these calls at the router."""
         router.add("PUT", wire_names.CONFIGURATION_PATH, self._replace, _LARGEST_CONFIGURATION)
         router.add("GET", wire_names.CONFIGURATION_PATH, self._describe)
-        router.add("GET", wire_names.STATE_PATH, self._tell_state)
+        router.add("GET", wire_names.STATE_PATH, self._show_state)
         router.add("PUT", wire_names.EVACUATION_PATH, self._start_evacuation)
         router.add("DELETE", wire_names.EVACUATION_PATH, self._stop_evacuation)
 
-    async def _tell_state(self, _call: Call) -> Answer:
+    async def _show_state(self, _call: Call) -> Answer:
         return json_answer(200, self._state())
 
     async def _replace(self, call: Call) -> Answer:
--- a/marblefold/registry/feed.py
+++ b/marblefold/registry/feed.py
@@ -17,7 +17,7 @@
 _SIGN_OF_LIFE = timedelta(seconds=1)
 # Each push costs the registry something for every follower: pushes are spaced
 # by this much for each of them, so that their share of a core has a bound
-# however many changes come, up to what news may be late by.
+# however many changes come, up to what an update may be late by.
 _SPACING_EACH = timedelta(microseconds=400)
 _LONGEST_SPACING = timedelta(milliseconds=200)
 # A snapshot of so many entries is worth compressing.
@@ -68,7 +68,7 @@
         """Says that this registry lives, and whether it is in contact."""
         payload = self._pack([])
         for connection, place in list(self._places.items()):
-            # Whoever is behind hears with the push that is due.
+            # Followers that are behind receive it with the push that is due.
             if place == self._catalogue.place:
                 connection.send(FrameKind.TELL, 0, payload)
 
@@ -127,7 +127,7 @@
 
 
 def _defer(entry: kinds.Entry) -> kinds.Entry:
-    """A node hears the same news from every registry: it takes what is large from one."""
+    """A node receives the same update from every registry: it takes what is large from one."""
     if len(entry.value) <= _LARGEST_VALUE:
         return entry
     return kinds.Entry(
--- a/marblefold/registry/hedging.py
+++ b/marblefold/registry/hedging.py
@@ -25,7 +25,7 @@
     """The first answer; the next peer is asked once those before failed or were silent.
 
     patience: how long a peer is waited for before the next is asked as well.
-    seconds: how long all of it may take; `ask` is told what is left.
+    seconds: how long all of it may take; `ask` is given what is left.
     Raises the last MeshError if no peer answered in time.
     """
     loop = asyncio.get_running_loop()
--- a/marblefold/registry/list_duty.py
+++ b/marblefold/registry/list_duty.py
@@ -51,7 +51,7 @@
         # The epoch in which we hold the duty; None while we do not.
         self._epoch: int | None = None
         self._number = 0
-        self._told: dict[str, ListedTarget] = {}
+        self._published: dict[str, ListedTarget] = {}
         self._missing: set[str] = set()
 
     async def run(self) -> None:
@@ -72,10 +72,10 @@
             await asyncio.sleep(self._pause.total_seconds() * back_off * random.uniform(0.85, 1.0))
 
     async def step(self) -> None:
-        """One round: the duty's epoch, the whole list, then the news in it."""
+        """One round: the duty's epoch, the whole list, then what changed in it."""
         if self._epoch is None:
             await self._take_up()
-        self._tell(await self._listing.read())
+        self._publish(await self._listing.read())
 
     async def _take_up(self) -> None:
         held = await self._store_client.ask("describe", DUTY_REGISTER)
@@ -85,18 +85,18 @@
         if taken.value != own or taken.number != held.number + 1:
             raise MeshError("duty", "taken by another", taken.value.decode())
         self._epoch, self._number = taken.number, 0
-        self._told, self._missing = {}, set()
+        self._published, self._missing = {}, set()
         log.info("list duty", epoch=self._epoch)
 
-    def _tell(self, listed: dict[str, ListedTarget]) -> None:
+    def _publish(self, listed: dict[str, ListedTarget]) -> None:
         for instance, target in listed.items():
-            held = self._told.get(instance)
-            # How long it stays cold runs down by itself and is no news.
+            held = self._published.get(instance)
+            # How long it stays cold runs down by itself and is no change.
             if held is None or _mark(held) != _mark(target):
                 self._put(instance, target)
-        self._told = listed | {
+        self._published = listed | {
             instance: target
-            for instance, target in self._told.items()
+            for instance, target in self._published.items()
             if instance in self._missing and instance not in listed
         }
         known = {entry.key for entry in self._catalogue.entries("target")}
@@ -122,7 +122,7 @@
                 cold_left_ms=int(target.cold / timedelta(milliseconds=1)),
             ).SerializeToString()
         else:
-            self._told.pop(instance, None)
+            self._published.pop(instance, None)
         self._catalogue.put(
             kinds.Entry(
                 kind="target",
--- a/marblefold/registry/live_capacity.py
+++ b/marblefold/registry/live_capacity.py
@@ -14,7 +14,7 @@
 __all__ = ["LiveCapacity"]
 
 _DUTY_KEY = "maintenance"
-# Right after its start a registry has not heard of all there is.
+# Right after its start a registry does not know all targets yet.
 _SETTLING = timedelta(seconds=3)
 
 
--- a/marblefold/registry/order_gate.py
+++ b/marblefold/registry/order_gate.py
@@ -11,7 +11,7 @@
   acknowledged, and the change at the older number changes nothing.
 
 The gate also keeps a registry that is out of contact from refusing for good, and
-from showing what it heard in its feed: what it knows may be behind, so it says 503.
+from showing what it received in its feed: what it knows may be behind, so it says 503.
 """
 
 import time
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -1,4 +1,4 @@
-"""The registry: knows targets and proxies, takes outside calls, feeds news."""
+"""The registry: knows targets and proxies, takes outside calls, feeds changes."""
 
 import asyncio
 import math
@@ -103,7 +103,7 @@
         ControlCalls(
             self.store_client,
             self._zones,
-            self._tell_state,
+            self._show_state,
             self._evacuation_number,
         ).add_to(calls)
         self._control = HttpServer(calls.handle)
@@ -165,7 +165,7 @@
         return [follower.run(), duty.run()]
 
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
-        """A proxy tells of itself, or follows the feed."""
+        """A proxy sends what it knows of itself, or follows the feed."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Follow):
             self.feed.follow(connection, message)
@@ -181,7 +181,7 @@
             connection.send(FrameKind.TELL, 0, pack_message(self._sites.granter.grant(message)))
 
     def on_lost(self, connection: PeerConnection) -> None:
-        """A proxy's connection is gone; what it told holds until others know more."""
+        """A proxy's connection is gone; what it sent holds until others know more."""
         self.feed.forget(connection)
         self._connections.pop(connection, None)
 
@@ -206,7 +206,7 @@
         self._sites.note_claims()
 
     def _on_record(self, record: ChosenRecord) -> None:
-        """A word holds: bring it to all followers."""
+        """A record holds: brings it to all followers."""
         if record.register == "configuration":
             self._history.take(record.number, record.value)
             self.catalogue.put(
@@ -258,7 +258,7 @@
 
     def _describe_parts(self) -> dict[str, Any]:
         return describe_parts(
-            self._tell_state(),
+            self._show_state(),
             self._traffic,
             self._config,
             self.catalogue,
@@ -267,14 +267,14 @@
             time.monotonic(),
         )
 
-    def _tell_state(self) -> dict[str, Any]:
+    def _show_state(self) -> dict[str, Any]:
         members = sorted(self.store_client.stores)
         return describe_state(
             self.catalogue, members, self._membership.members("proxy"), self.contact.is_held
         )
 
     def _on_contact(self, is_held: bool) -> None:
-        """Followers hear at once, not with the next sign of life."""
+        """Announces it to followers at once, not with the next sign of life."""
         stores = len(self.store_client.stores)
         log.info("in contact" if is_held else "out of contact", stores=stores)
         self.feed.announce()
--- a/marblefold/registry/quorum_contact.py
+++ b/marblefold/registry/quorum_contact.py
@@ -3,8 +3,8 @@
 Contact is a lease on the registry's own steady clock.  It is fed only by answers
 of stores and counted from the *sending* of the heartbeat that was answered, so it
 never claims more than a quorum said, however long the answer lay in a buffer
-while this process was frozen.  A heartbeat travels behind the store's news on one
-connection: contact also means that the news of a majority is taken in.  Without
+while this process was frozen.  A heartbeat travels behind the store's updates on one
+connection: contact also means that the updates of a majority are taken in.  Without
 new answers it runs out by itself: a registry that is cut off, or was asleep,
 knows that it may be behind before it says anything.
 """
--- a/marblefold/registry/site_news.py
+++ b/marblefold/registry/site_news.py
@@ -69,14 +69,14 @@
             calls.add_to(router)
 
     def runs(self) -> list[Coroutine[Any, Any, None]]:
-        """What is to run as long as the registry does."""
+        """The coroutines that run as long as the registry does."""
         runs = [self.partners.run()]
         if self.agent is not None:
             runs.append(self.agent.run())
         return runs
 
     def take_record(self, register: str, number: int, value: bytes) -> None:
-        """A majority holds a word; those that are for us go into the feed."""
+        """Takes in a record that a majority holds; those of sites go into the feed."""
         if register == PARTNERS_REGISTER:
             self.partners.take(number, value)
             self._catalogue.put(
@@ -89,7 +89,7 @@
             )
         elif register == OWNERS_REGISTER and number > self._owners_number:
             self._owners_number = number
-            self._take_owners_word(value)
+            self._take_owners_record(value)
         elif register.startswith(OWNER_PREFIX):
             self._take_owner(register[len(OWNER_PREFIX) :], number, value)
 
@@ -103,7 +103,7 @@
             self._clashes = clashes
             log.warning("sites clash" if clashes else "no clash of sites", clashes=clashes)
 
-    def _take_owners_word(self, value: bytes) -> None:
+    def _take_owners_record(self, value: bytes) -> None:
         before, self._listed = self._listed, read_owners(value)
         if self.agent is not None:
             self.agent.take_record(value)
@@ -126,7 +126,7 @@
     def _take_owner(self, upstream: str, number: int, value: bytes) -> None:
         owner = Owner.read(value)
         held = self._catalogue.find("owner", upstream)
-        # Renewals are no news to those that only route by the epoch.
+        # Renewals change nothing for those that only route by the epoch.
         if held is not None and held.value and Owner.read(held.value).epoch == owner.epoch:
             return
         self._catalogue.put(
--- a/marblefold/registry/stall_guard.py
+++ b/marblefold/registry/stall_guard.py
@@ -2,7 +2,7 @@
 
 While a process is frozen the kernel goes on filling its sockets.  What is read
 after the thaw may have been sent long ago, by a caller that has gone on.  The
-guard is told that the loop lives, and compares the steady clock at each of
+loop marks that it runs, and the guard compares the steady clock at each of
 these marks: a gap is a stall.  After a stall everything is suspect until the
 loop has gone round often enough to have accepted and read all that waited.
 """
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -1,4 +1,4 @@
-"""The registry's way to the stores: asks them for changes, hears what is chosen."""
+"""The registry's way to the stores: asks them for changes, receives what is chosen."""
 
 import asyncio
 import contextlib
@@ -110,7 +110,7 @@
                     if peer not in self._attended:
                         self._attended.add(peer)
                         self._tasks.start(self._attend(peer))
-                # What ran out is told, though no answer comes.
+                # Contact that ran out is reported, though no answer comes.
                 self._contact.tell_change()
                 await asyncio.sleep(self._pause(_LOOK_EVERY))
         finally:
@@ -139,7 +139,7 @@
         try:
             answer = unpack_message(await connection.call(beat, _HEARTBEAT_SECONDS))
         except MeshError:
-            # A store that hangs is still watched: its news come when it goes on.
+            # A store that hangs is still watched: its updates come when it goes on.
             return
         if answer.outcome == Outcome.HELD:
             self._contact.take_vote(peer, read_view(answer.value), asked_at)
@@ -160,7 +160,7 @@
         return sorted({*self._seeds(), *self.stores, self._own_store}, key=rank)
 
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
-        """A store tells a record that is chosen."""
+        """A store sends a record that is chosen."""
         accepted = unpack_message(payload)
         if isinstance(accepted, kinds.Accepted):
             self._on_record(ChosenRecord(accepted.register, accepted.number, accepted.value))
--- a/marblefold/registry/traffic_book.py
+++ b/marblefold/registry/traffic_book.py
@@ -1,4 +1,4 @@
-"""What the nodes have counted, as one registry heard it: rates by route and zone."""
+"""What the nodes have counted, as one registry received it: rates by route and zone."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 __all__ = ["Flow", "TrafficBook"]
 
-# What a node has not told again for longer says nothing of now.
+# Counts that a node has not sent again for longer say nothing of now.
 _OLDEST_SECONDS = 60.0
 
 
@@ -40,7 +40,7 @@
         self._before: dict[str, _Heard] = {}
 
     def take(self, notice: kinds.TrafficNotice, now: float) -> None:
-        """A node told its counts."""
+        """Takes in the counts that a node sent."""
         last = self._last.get(notice.node)
         if last is not None:
             order = (last.notice.node_life, last.notice.number)
@@ -57,13 +57,13 @@
         """The nodes whose rates are known."""
         return {
             node
-            for node, heard in self._last.items()
-            if node in self._before and now - heard.at <= _OLDEST_SECONDS
+            for node, received in self._last.items()
+            if node in self._before and now - received.at <= _OLDEST_SECONDS
         }
 
     def zones(self) -> dict[str, str]:
-        """Where each node that ever told is."""
-        return {node: heard.notice.zone for node, heard in self._last.items()}
+        """The zone of each node that ever sent counts."""
+        return {node: received.notice.zone for node, received in self._last.items()}
 
     def flows(self, now: float) -> list[Flow]:
         """The rates by route and zone, summed over the nodes."""
@@ -115,8 +115,8 @@
     def service_seconds(self, upstream_of: dict[str, str]) -> dict[str, float]:
         """What the targets of each service take in the mean, by the nodes beside them."""
         found: dict[str, list[float]] = {}
-        for node, heard in self._last.items():
+        for node, received in self._last.items():
             upstream = upstream_of.get(node)
-            if upstream is not None and heard.notice.service_us:
-                found.setdefault(upstream, []).append(heard.notice.service_us / 1e6)
+            if upstream is not None and received.notice.service_us:
+                found.setdefault(upstream, []).append(received.notice.service_us / 1e6)
         return {upstream: sum(values) / len(values) for upstream, values in found.items()}
--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -104,7 +104,6 @@
             _peers=peers,
             _proposer=proposer,
             _chosen=self.chosen,
-            _words=self.chosen,
             _upkeep=self.upkeep,
         )
 
--- a/tools/bench_days/days.py
+++ b/tools/bench_days/days.py
@@ -81,5 +81,5 @@
 def _entry(path: Path, table: dict, planned: bool) -> Entry:
     at, kind, how = table.get("at"), table.get("kind"), table.get("how", "")
     if not isinstance(at, (int, float)) or not isinstance(kind, str) or not isinstance(how, str):
-        raise ValueError(f"{path}: an entry needs a number `at` and a word `kind`: {table}")
+        raise ValueError(f"{path}: an entry needs a number `at` and a text `kind`: {table}")
     return Entry(float(at), kind, how, planned)
--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -207,7 +207,7 @@
         self.loop.run_until_complete(_spin())
 
     def state(self) -> tuple:
-        """What tells this state from others; marks of lives are left out."""
+        """What distinguishes this state from others; marks of lives are left out."""
         stores = tuple(
             (
                 a.standing.value,
