--- a/marblefold/history/versions.py
+++ b/marblefold/history/versions.py
@@ -28,7 +28,7 @@
 
 
 class Version(NamedTuple):
-    """One configuration that was acknowledged."""
+    """One configuration that was acknowledged, at a time in Unix seconds."""
 
     number: int
     at: int
--- a/marblefold/leases/granting.py
+++ b/marblefold/leases/granting.py
@@ -17,11 +17,11 @@
         self.site = ""
         self.owned: Callable[[], tuple[OwnedLease, ...]] = tuple
         self._partners = partners
-        # Which routes each node said it held, for people.
+        # By node, the digest of the partner routes it holds, shown to operators.
         self.digests: dict[str, str] = {}
 
     def grant(self, asking: kinds.RenewLease) -> kinds.LeaseGrant:
-        """The answer to one asking."""
+        """The answer to a node's call; what is left of each lease is in milliseconds."""
         self.digests[asking.node] = asking.digest
         owned = self.owned() if asking.site and asking.site == self.site else ()
         return kinds.LeaseGrant(
--- a/marblefold/leases/held_leases.py
+++ b/marblefold/leases/held_leases.py
@@ -17,7 +17,7 @@
 
 
 class OwnedLease(NamedTuple):
-    """A service that our site owns, under an epoch."""
+    """A service that our site owns, under an epoch, for so many seconds from the asking on."""
 
     upstream: str
     epoch: int
@@ -25,7 +25,7 @@
 
 
 class Grant(NamedTuple):
-    """What a registry grants, as an answer to one asking."""
+    """What a registry grants, as an answer to the asking of that number."""
 
     asking: int
     partner_seconds: float
@@ -34,7 +34,10 @@
 
 
 class HeldLeases:
-    """Asked on the path, so it only compares numbers."""
+    """The leases of one node, on its steady clock in seconds.
+
+    Asked on the request path, so it only compares numbers.
+    """
 
     def __init__(self) -> None:
         self._asked: dict[int, float] = {}
@@ -66,7 +69,7 @@
                 self._owned[owned.upstream] = (epoch, max(until, fresh))
 
     def may_use_partners(self, now: float) -> bool:
-        """Whether partner routes hold here."""
+        """Whether the lease on the partner routes lasts at that time."""
         return now < self._partner_until
 
     def epoch(self, upstream: str, now: float) -> int:
--- a/marblefold/registry/duty_rank.py
+++ b/marblefold/registry/duty_rank.py
@@ -28,7 +28,7 @@
         self._began = time.monotonic()
 
     def is_holder(self, key: str, settling: timedelta) -> bool:
-        """Whether the key falls to us; right after a start nothing does."""
+        """Whether the key falls to us; nothing does for the settling time after a start."""
         if time.monotonic() - self._began < settling.total_seconds() or not self._is_in_touch():
             return False
         alive = {
--- a/marblefold/registry/live_capacity.py
+++ b/marblefold/registry/live_capacity.py
@@ -39,7 +39,7 @@
         return self._duties.is_holder(_DUTY_KEY, _SETTLING)
 
     def live_slots(self) -> LiveSlots:
-        """Cold, draining, leaving, suspected, lost and evacuated ones left out."""
+        """The live slots: cold, draining, leaving, suspected, lost and evacuated ones left out."""
         alive = {
             member.node
             for member in self._membership.members("proxy")
--- a/marblefold/registry/traffic_book.py
+++ b/marblefold/registry/traffic_book.py
@@ -25,7 +25,7 @@
     kilobytes: float | None = None
 
 
-class _Heard(NamedTuple):
+class _Received(NamedTuple):
     """A notice and when it came."""
 
     notice: kinds.TrafficNotice
@@ -36,8 +36,8 @@
     """The last two notices of every node; nothing else."""
 
     def __init__(self) -> None:
-        self._last: dict[str, _Heard] = {}
-        self._before: dict[str, _Heard] = {}
+        self._last: dict[str, _Received] = {}
+        self._before: dict[str, _Received] = {}
 
     def take(self, notice: kinds.TrafficNotice, now: float) -> None:
         """Takes in the counts that a node sent."""
@@ -51,7 +51,7 @@
                 self._before[notice.node] = last
             else:
                 self._before.pop(notice.node, None)
-        self._last[notice.node] = _Heard(notice, now)
+        self._last[notice.node] = _Received(notice, now)
 
     def nodes(self, now: float) -> set[str]:
         """The nodes whose rates are known."""
@@ -66,7 +66,7 @@
         return {node: received.notice.zone for node, received in self._last.items()}
 
     def flows(self, now: float) -> list[Flow]:
-        """The rates by route and zone, summed over the nodes."""
+        """The rates by route and zone, per second, summed over the nodes."""
         sums: dict[tuple[str, str], list[float]] = {}
         for node in self.nodes(now):
             last, before = self._last[node], self._before[node]
@@ -113,7 +113,7 @@
         ]
 
     def service_seconds(self, upstream_of: dict[str, str]) -> dict[str, float]:
-        """What the targets of each service take in the mean, by the nodes beside them."""
+        """By upstream, the mean seconds that a request takes at its targets."""
         found: dict[str, list[float]] = {}
         for node, received in self._last.items():
             upstream = upstream_of.get(node)
