--- a/marblefold/register_store/member_changes.py
+++ b/marblefold/register_store/member_changes.py
@@ -1,6 +1,6 @@
 """Changes the members of the view: grows it, swaps a lost member, hands a place over.
 
-One change at a time: none starts before each member that is heard votes in
+One change at a time: none starts before each member in reach votes in
 the present view and each register is settled in it, so that every register
 has the copies that the view promises before the next member goes.
 """
@@ -56,7 +56,7 @@
         self._waiting[newcomer] = self._timing.clock()
 
     def opinion(self, peer: str) -> bool:
-        """Whether a change of members may start as far as we can tell.
+        """Whether a change of members may start as far as is known here.
 
         It may if we vote and the peer, if one is named, is gone.
         """
@@ -71,6 +71,8 @@
     async def make_next(self) -> None:
         """Starts the next change of members, if one is due and it is our duty."""
         view = self._acceptor.view
+        if view is None:
+            return
         waiting = self._find_waiting()
         if not waiting or not self._acceptor.is_member:
             return
@@ -91,11 +93,15 @@
         """Gives our place to a store that waits for one, before we end.
 
         Without one that waits nothing is done: a restart in place is cheap.
+        seconds: no try begins later than that.
         """
         self.is_leaving = True
         end = self._timing.clock() + seconds
         while self._timing.clock() < end and self._can_hand_over():
-            view, newcomer = self._acceptor.view, self._find_waiting()[0]
+            view = self._acceptor.view
+            if view is None:
+                return
+            newcomer = self._find_waiting()[0]
             live = [peer for peer in view.members if not self._is_gone(peer)]
             following = view.swap(self._acceptor.address, newcomer, _mark())
             try:
@@ -111,6 +117,7 @@
         return (
             acceptor.standing is Standing.VOTING
             and acceptor.is_member
+            and acceptor.view is not None
             and len(acceptor.view.members) >= self._wanted_members
             and bool(self._find_waiting())
         )
@@ -122,8 +129,10 @@
             await self._timing.sleep(_HAND_OVER_PAUSE)
 
     async def _change(self, following: View, live: list[str], gone: str) -> bool:
-        """Proposes the view unless the change before is unfinished; tells if it holds."""
+        """Proposes the view unless the change before is unfinished; returns whether it holds."""
         view = self._acceptor.view
+        if view is None:
+            return False
         others = [peer for peer in live if peer != self._acceptor.address]
         agreed = await self._ask_opinions(others, gone)
         if agreed is None:
@@ -137,12 +146,9 @@
         if self._acceptor.view != view:
             return False
         holding = await self._settler.propose(VIEW_REGISTER, change_view(view, following))
-        log.info(
-            "view changed",
-            gone=gone,
-            members=list(self._acceptor.view.members),
-            view=self._acceptor.view.number,
-        )
+        # Views only follow one another: one that was known stays known.
+        newest = self._acceptor.view or view
+        log.info("view changed", gone=gone, members=list(newest.members), view=newest.number)
         return holding.value == following.pack()
 
     async def _ask_opinions(self, others: list[str], gone: str) -> list[str] | None:
@@ -173,7 +179,9 @@
         self._waiting = {
             peer: at for peer, at in self._waiting.items() if now - at < _WAITING_SECONDS
         }
-        return sorted(peer for peer in self._waiting if peer not in self._acceptor.view.members)
+        view = self._acceptor.view
+        members = view.members if view is not None else ()
+        return sorted(peer for peer in self._waiting if peer not in members)
 
     def _is_gone(self, peer: str) -> bool:
         return (
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -55,7 +55,11 @@
         self._turns: dict[str, asyncio.Lock] = {}
 
     async def change(self, register: str, change: Change, seconds: float) -> Holding:
-        """What a majority holds after the change, or a MeshError if none answers."""
+        """What a majority holds after the change.
+
+        seconds: how long it is tried, at least once.
+        Raises a MeshError if no majority answers in time, or no view is known.
+        """
         end = self._clock() + seconds
         turn = self._turns.setdefault(register, asyncio.Lock())
         # Two changes of our own would only outbid each other.
@@ -145,7 +149,7 @@
     def _sort(
         self,
         peer: str,
-        task: asyncio.Task,
+        task: asyncio.Task[kinds.StoreAnswer],
         agreed: dict[str, kinds.StoreAnswer],
     ) -> None:
         if task.exception() is not None:
@@ -163,7 +167,7 @@
     """Without the promises that were lost with a disk, as another one shows.
 
     Whoever lost its disk has read some member of every majority: either that
-    one promised first, and the reader knows the ballot, or its answer tells
+    one promised first, and the reader knows the ballot, or its answer names
     the reader's later life.
     """
     known: dict[str, str] = {}
@@ -177,6 +181,6 @@
     }
 
 
-def _forget(task: asyncio.Task) -> None:
+def _forget(task: asyncio.Task[kinds.StoreAnswer]) -> None:
     if not task.cancelled():
         task.exception()
--- a/marblefold/registry/control_calls.py
+++ b/marblefold/registry/control_calls.py
@@ -1,7 +1,7 @@
 """The calls of operators, and of targets that come here."""
 
 from collections.abc import Callable
-from typing import Protocol
+from typing import Any
 
 from marblefold import wire_names
 from marblefold.configuration.reading import InvalidConfiguration, read_configuration
@@ -11,9 +11,10 @@
 from marblefold.logs import log
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import EvacuationState
+from marblefold.register_store.register_client import RegisterClient
 from marblefold.registry.fenced_orders import set_fenced
 
-__all__ = ["ControlCalls", "RegisterClient"]
+__all__ = ["ControlCalls"]
 
 _LARGEST_CONFIGURATION = 64 * 1024 * 1024
 _CONFIGURATION_REGISTER = "configuration"
@@ -21,12 +22,6 @@
 _BASE_SECONDS = 0.6
 
 
-class RegisterClient(Protocol):
-    """Where the operator's orders are kept."""
-
-    async def ask(self, kind: str, register: str, number: int = 0, value: bytes = b""): ...
-
-
 class ControlCalls:
     """Checks what operators ask and has the stores hold it."""
 
@@ -34,7 +29,7 @@
         self,
         store_client: RegisterClient,
         zones: Callable[[], set[str]],
-        state: Callable[[], dict],
+        state: Callable[[], dict[str, Any]],
         evacuation_number: Callable[[str], int | None] = lambda zone: None,
     ) -> None:
         self._store_client = store_client
@@ -47,11 +42,11 @@
         """Serves these calls at the router."""
         router.add("PUT", wire_names.CONFIGURATION_PATH, self._replace, _LARGEST_CONFIGURATION)
         router.add("GET", wire_names.CONFIGURATION_PATH, self._describe)
-        router.add("GET", wire_names.STATE_PATH, self._tell_state)
+        router.add("GET", wire_names.STATE_PATH, self._show_state)
         router.add("PUT", wire_names.EVACUATION_PATH, self._start_evacuation)
         router.add("DELETE", wire_names.EVACUATION_PATH, self._stop_evacuation)
 
-    async def _tell_state(self, _call: Call) -> Answer:
+    async def _show_state(self, _call: Call) -> Answer:
         return json_answer(200, self._state())
 
     async def _replace(self, call: Call) -> Answer:
--- a/marblefold/registry/live_capacity.py
+++ b/marblefold/registry/live_capacity.py
@@ -14,7 +14,7 @@
 __all__ = ["LiveCapacity"]
 
 _DUTY_KEY = "maintenance"
-# Right after its start a registry has not heard of all there is.
+# Right after its start a registry does not know all targets yet.
 _SETTLING = timedelta(seconds=3)
 
 
@@ -39,7 +39,7 @@
         return self._duties.is_holder(_DUTY_KEY, _SETTLING)
 
     def live_slots(self) -> LiveSlots:
-        """Cold, draining, leaving, suspected, lost and evacuated ones left out."""
+        """The live slots: cold, draining, leaving, suspected, lost and evacuated ones left out."""
         alive = {
             member.node
             for member in self._membership.members("proxy")
