--- a/marblefold/http_connections/answer.py
+++ b/marblefold/http_connections/answer.py
@@ -1,5 +1,6 @@
 """The answer a client gets, as a small value, and its one writer."""
 
+from collections.abc import Callable
 from http import HTTPStatus
 from typing import NamedTuple
 
@@ -23,7 +24,7 @@
     # The answer to HEAD tells a length without carrying the body.
     is_bodiless: bool = False
     # Called once the answer is written or given up.
-    release: object = None
+    release: Callable[[], object] | None = None
 
 
 def own_answer(
--- a/marblefold/http_connections/client_connection.py
+++ b/marblefold/http_connections/client_connection.py
@@ -14,11 +14,13 @@
 from aiohttp.base_protocol import BaseProtocol
 from aiohttp.http_exceptions import BadStatusLine, HttpProcessingError, LineTooLong
 from aiohttp.http_parser import HttpRequestParser
+from aiohttp.streams import StreamReader
 
 from marblefold.errors import MeshError
 from marblefold.http_connections.answer import Answer, own_answer, pack_head
 from marblefold.http_connections.answer_place import AnswerPlace
 from marblefold.http_connections.client_request import ClientRequest
+from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.logs import log
 
 __all__ = ["ClientConnection", "ConnectionKeeper"]
@@ -46,6 +48,9 @@
 class ClientConnection(BaseProtocol):
     """Owns one accepted connection."""
 
+    # Set from the start here; the base class leaves it optional.
+    _parser: HttpRequestParser
+
     def __init__(self, keeper: ConnectionKeeper) -> None:
         loop = asyncio.get_running_loop()
         super().__init__(loop)
@@ -60,7 +65,7 @@
         self._places: deque[AnswerPlace] = deque()
         self._is_closing = False
         self._writing: asyncio.Task | None = None
-        self._payload = None
+        self._payload: StreamReader | None = None
         self.quiet_since = time.monotonic()
         # When the first bytes of a head came that is not whole yet.
         self.head_since: float | None = None
@@ -74,8 +79,8 @@
         super().connection_made(transport)
         self._keeper.on_made(self)
 
-    def connection_lost(self, error: Exception | None) -> None:
-        super().connection_lost(error)
+    def connection_lost(self, exc: BaseException | None) -> None:
+        super().connection_lost(exc)
         self._is_closing = True
         if self._payload is not None:
             self._payload.set_exception(ConnectionResetError("client left"))
@@ -163,20 +168,20 @@
             if together and not (is_repeatable and self._keeper.may_run_ahead(request)):
                 break
             if place.task is None and place.answer is None:
-                place.task = self._loop.create_task(self._serve(place))
+                place.task = self._loop.create_task(self._serve(place, request))
             together += 1
             if not is_repeatable or together >= _MOST_TOGETHER:
                 break
 
-    async def _serve(self, place: AnswerPlace) -> None:
+    async def _serve(self, place: AnswerPlace, request: ClientRequest) -> None:
         try:
-            answer = await self._keeper.handle(place.request)
+            answer = await self._keeper.handle(request)
         except ConnectionError:
             # Its body was cut short or cannot be read: there is no request.
             answer = own_answer(400, "the body cannot be read", closes=True)
         except Exception as error:
             # Nothing is known of what was begun; only a cut promises nothing.
-            log.error("request failed", attempt=place.request.attempt_id, error=repr(error))
+            log.error("request failed", attempt=request.attempt_id, error=repr(error))
             self.turn_away()
             return
         place.take_answer(answer)
@@ -190,9 +195,13 @@
             if answer is None:
                 break
             if answer.pipe is not None:
-                self._writing = self._loop.create_task(self._write_in_parts(place, answer))
+                self._writing = self._loop.create_task(
+                    self._write_in_parts(place, answer, answer.pipe)
+                )
                 break
             closes = self._closes(place, answer)
+            if self.transport is None:
+                break
             self.transport.write(pack_head(answer, closes, False) + answer.body)
             self._finish(closes)
         if not self._is_closing:
@@ -216,18 +225,22 @@
             self._places.clear()
             self._close()
 
-    async def _write_in_parts(self, place: AnswerPlace, answer: Answer) -> None:
-        is_chunked = not place.request.is_old_version
+    async def _write_in_parts(self, place: AnswerPlace, answer: Answer, pipe: BodyPipe) -> None:
+        request = place.request
+        is_chunked = request is None or not request.is_old_version
         closes = self._closes(place, answer) or not is_chunked
         try:
-            self.transport.write(pack_head(answer, closes, is_chunked))
-            while chunk := await answer.pipe.read():
+            transport = self.transport
+            if transport is None:
+                return
+            transport.write(pack_head(answer, closes, is_chunked))
+            while chunk := await pipe.read():
                 if is_chunked:
                     chunk = b"%x\r\n" % len(chunk) + chunk + b"\r\n"
-                self.transport.write(chunk)
+                transport.write(chunk)
                 await self._drain_helper()
             if is_chunked:
-                self.transport.write(b"0\r\n\r\n")
+                transport.write(b"0\r\n\r\n")
         except (MeshError, ConnectionError):
             # An early end must never look complete: reset the connection.
             if self.transport is not None:
--- a/marblefold/http_connections/client_request.py
+++ b/marblefold/http_connections/client_request.py
@@ -8,7 +8,7 @@
 from marblefold import wire_names
 from marblefold.http_connections.heads import REQUEST_ONLY_HERE, find_header, make_header_block
 
-__all__ = ["BodyTooLarge", "ClientRequest", "HeldRequest"]
+__all__ = ["BodyTooLarge", "ClientRequest", "HeldRequest", "SentRequest"]
 
 
 _HELD_CHUNK = 16 * 1024
@@ -105,3 +105,7 @@
         chunk = self._body[self._place : self._place + _HELD_CHUNK]
         self._place += len(chunk)
         return chunk
+
+
+# What a hop sends: the request as it is read, or one whose body is held.
+SentRequest = ClientRequest | HeldRequest
--- a/marblefold/http_connections/target_answer.py
+++ b/marblefold/http_connections/target_answer.py
@@ -3,6 +3,7 @@
 from typing import NamedTuple
 
 from aiohttp.http_exceptions import HttpProcessingError
+from aiohttp.streams import StreamReader
 
 from marblefold import wire_names
 from marblefold.http_connections.heads import find_header
@@ -28,7 +29,7 @@
     status: int
     reason: str
     headers: tuple
-    payload: object
+    payload: StreamReader
     is_not_executed: bool
 
 
--- a/marblefold/http_connections/target_connection.py
+++ b/marblefold/http_connections/target_connection.py
@@ -12,6 +12,7 @@
 from aiohttp.base_protocol import BaseProtocol
 from aiohttp.http_exceptions import HttpProcessingError
 from aiohttp.http_parser import HttpResponseParser
+from aiohttp.streams import StreamReader
 
 from marblefold import wire_names
 from marblefold.errors import MeshError
@@ -54,6 +55,9 @@
 class TargetConnection(BaseProtocol):
     """Owns one connection to a target."""
 
+    # Set from the start here; the base class leaves it optional.
+    _parser: HttpResponseParser
+
     def __init__(self, on_heard: Callable[[], None] = lambda: None) -> None:
         loop = asyncio.get_running_loop()
         super().__init__(loop)
@@ -81,7 +85,7 @@
         self._is_unframed = False
         self._attempt_id: bytes | None = None
         self._waiter: asyncio.Future[TargetAnswer] | None = None
-        self._payload = None
+        self._payload: StreamReader | None = None
 
     def change_state(self, state: ConnectionState) -> None:
         """The one place where the state changes; closed stays closed."""
@@ -118,7 +122,10 @@
 
     async def answer(self) -> TargetAnswer:
         """The head of the answer that belongs to the request."""
-        return await self._waiter
+        waiter = self._waiter
+        if waiter is None:
+            raise TypeError("no request was sent on this connection")
+        return await waiter
 
     def finish(self) -> bool:
         """The answer was read whole; tells whether the connection may be kept."""
@@ -166,10 +173,10 @@
         except (HttpProcessingError, ValueError) as error:
             self._break_off(MeshError("target", f"answer cut off: {type(error).__name__}"))
 
-    def connection_lost(self, error: Exception | None) -> None:
-        super().connection_lost(error)
+    def connection_lost(self, exc: BaseException | None) -> None:
+        super().connection_lost(exc)
         self.change_state(ConnectionState.CLOSED)
-        self._break_off(MeshError("target", f"closed: {error or 'without a word'}"))
+        self._break_off(MeshError("target", f"closed: {exc or 'without a word'}"))
 
     def _take(self, message, payload) -> None:
         waiter = self._waiter
--- a/marblefold/inner_protocol/exchange.py
+++ b/marblefold/inner_protocol/exchange.py
@@ -39,7 +39,7 @@
         self.number = number
         self.answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self.incoming = BodyPipe(self.grant)
-        self.on_cancel: Callable[[], None] | None = None
+        self.on_cancel: Callable[[], object] | None = None
         self._credit = credit
         self._credit_waiter: asyncio.Future | None = None
         self.broken: MeshError | None = None
--- a/marblefold/inner_protocol/peer_connection.py
+++ b/marblefold/inner_protocol/peer_connection.py
@@ -98,8 +98,9 @@
 
     def send(self, kind: int, number: int, payload: bytes = b"") -> None:
         """Sends a frame; on a lost connection it goes nowhere."""
-        if self.is_open:
-            self._transport.write(pack_frame(kind, number, payload))
+        transport = self._transport
+        if self.is_open and transport is not None:
+            transport.write(pack_frame(kind, number, payload))
 
     @property
     def is_idle(self) -> bool:
@@ -184,9 +185,9 @@
             # No peer of ours begins two hops under one number.
             if number in self._exchanges:
                 raise ValueError(f"a second hop with number {number}")
-            exchange = Exchange(self, number, FIRST_CREDIT)
-            self._exchanges[number] = exchange
-            self._owner.on_hop(exchange, payload)
+            hop = Exchange(self, number, FIRST_CREDIT)
+            self._exchanges[number] = hop
+            self._owner.on_hop(hop, payload)
         elif kind == FrameKind.PING:
             self.send(FrameKind.PONG, 0)
         elif kind == FrameKind.PONG:
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -5,9 +5,15 @@
 import time
 
 from marblefold import wire_names
+from marblefold.configuration.route_table import RouteTable
 from marblefold.configuration.rows import Route
 from marblefold.http_connections.answer import Answer, own_answer
-from marblefold.http_connections.client_request import BodyTooLarge, ClientRequest, HeldRequest
+from marblefold.http_connections.client_request import (
+    BodyTooLarge,
+    ClientRequest,
+    HeldRequest,
+    SentRequest,
+)
 from marblefold.logs import log
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
 from marblefold.request_path.hop_sender import Hops
@@ -49,9 +55,12 @@
 
     async def serve(self, request: ClientRequest) -> Answer:
         """The answer to the request."""
-        refusal, route = self._find_route(request)
-        if refusal is not None:
-            return refusal
+        table = self._surroundings.view.table
+        if table is None:
+            return own_answer(503, "no configuration yet", request.attempt_id, 0.5)
+        route = self._find_route(request, table)
+        if isinstance(route, Answer):
+            return route
         # Decided on the head alone, before anything is spent on the request.
         concurrency_limiter = self._surroundings.concurrency
         passage = concurrency_limiter.ask(route.name, route.priority, request.arrived)
@@ -60,12 +69,13 @@
             return own_answer(429, "too many alike", request.attempt_id, passage.retry_after)
         ticket = concurrency_limiter.begin(route.name, request.arrived, request.attempt_id)
         try:
-            return await self._serve_mapped(request, route)
+            return await self._serve_on_route(request, route, table.limits.body_bytes)
         finally:
             concurrency_limiter.end(route.name, ticket)
 
-    async def _serve_mapped(self, request: ClientRequest, route: Route) -> Answer:
-        body_limit = self._surroundings.view.table.limits.body_bytes
+    async def _serve_on_route(
+        self, request: ClientRequest, route: Route, body_limit: int
+    ) -> Answer:
         deadline = self._find_deadline(request, route)
         try:
             body, is_whole = await _gather(request, body_limit, deadline)
@@ -109,7 +119,8 @@
         surroundings.note_request(upstream, now)
         owner = surroundings.view.owners.get(upstream)
         head = make_head(request, route, upstream, self.caller, body, is_whole)
-        head.config_version = surroundings.view.table.number
+        table = surroundings.view.table
+        head.config_version = table.number if table is not None else 0
         head.owner_epoch = owner.epoch if owner is not None else 0
         if parent is not None:
             # Work was put into the run already: its calls go first.
@@ -118,8 +129,9 @@
             if parent.is_repeat:
                 surroundings.note_repeat(upstream, now)
         span = None
-        if self.tracer is not None:
-            span = self.tracer.begin_request(
+        tracer = self.tracer
+        if tracer is not None:
+            span = tracer.begin_request(
                 request,
                 route,
                 upstream,
@@ -132,7 +144,9 @@
         try:
             while not isinstance(step := decision.next_step(time.monotonic()), Conclude):
                 # What is held whole can be sent again from its beginning.
-                sent = HeldRequest(request, body) if is_whole and head.body_follows else request
+                sent: SentRequest = (
+                    HeldRequest(request, body) if is_whole and head.body_follows else request
+                )
                 result = await self._hop(step, head, sent, decision, body_limit, span)
                 decision.note(step.target, result)
             end = step
@@ -140,8 +154,8 @@
             surroundings.traffic.note(
                 route.name, end.answer.status, time.monotonic() - request.arrived, kilobytes
             )
-            if span is not None:
-                self.tracer.finish_request(span, end.answer.status, end.step, decision.may_have_run)
+            if tracer is not None and span is not None:
+                tracer.finish_request(span, end.answer.status, end.step, decision.may_have_run)
         if end.answer.status >= 500 and end.step != "answered":
             log.info(
                 "gave up",
@@ -158,7 +172,7 @@
         self,
         offer: Offer,
         head,
-        request: ClientRequest | HeldRequest,
+        request: SentRequest,
         decision: RequestDecision,
         body_limit: int,
         span,
@@ -177,9 +191,10 @@
         ticket = surroundings.begin(target, decision.weight, head.attempt_id)
         result = HopResult(HopOutcome.UNKNOWN, step="cancelled")
         hop = None
-        if span is not None:
+        tracer = self.tracer
+        if tracer is not None and span is not None:
             peer = target.peer if self.hops.has_guard(target.upstream) else ""
-            hop = self.tracer.begin_hop(span, head, target.instance, peer, offer.attempt_number)
+            hop = tracer.begin_hop(span, head, target.instance, peer, offer.attempt_number)
         try:
             result = await self.hops.send(
                 target.peer, head, request, body_limit, offer.seconds_left
@@ -187,8 +202,8 @@
             return result
         finally:
             surroundings.end(target, ticket, result, decision.weight)
-            if hop is not None:
-                self.tracer.finish_hop(hop, result)
+            if tracer is not None and hop is not None:
+                tracer.finish_hop(hop, result)
 
     def may_run_ahead(self, request: ClientRequest) -> bool:
         """Whether a pipelined request may run before those ahead of it are answered.
@@ -199,24 +214,21 @@
         route = table.find(request.host, request.path) if table is not None else None
         return route is not None and route.kind == wire_names.READ_ONLY
 
-    def _find_route(self, request: ClientRequest) -> tuple[Answer | None, Route | None]:
+    def _find_route(self, request: ClientRequest, table: RouteTable) -> Route | Answer:
         """The route of the request, or the answer that refuses it."""
-        table = self._surroundings.view.table
-        if table is None:
-            return own_answer(503, "no configuration yet", request.attempt_id, 0.5), None
         if request.is_upgrade or request.method == "CONNECT":
-            return own_answer(400, "no such use of the connection", closes=True), None
+            return own_answer(400, "no such use of the connection", closes=True)
         attempt = request.attempt_id
         if not attempt or len(attempt) > _LONGEST_ID or not attempt.isascii():
-            return own_answer(400, "no Attempt-Id"), None
+            return own_answer(400, "no Attempt-Id")
         route = table.find(request.host, request.path)
         if route is None:
             route = self._surroundings.view.find_partner_route(
                 request.host, request.path, time.monotonic()
             )
         if route is None:
-            return own_answer(404, "no route", request.attempt_id), None
-        return None, route
+            return own_answer(404, "no route", request.attempt_id)
+        return route
 
     def _find_deadline(self, request: ClientRequest, route: Route) -> float:
         told = request.deadline_ms
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -108,9 +108,10 @@
             self._watch.tick(now)
             # One long request is no sign; several and not a byte are.
             waiting = self._offered.count_older(now, _QUIET_SECONDS)
-            if waiting < 2 or now - self._connections.heard_at < _QUIET_SECONDS:
+            connections = self._connections
+            if connections is None or waiting < 2 or now - connections.heard_at < _QUIET_SECONDS:
                 continue
-            if not await self._connections.is_reachable():
+            if not await connections.is_reachable():
                 self._give_up_on_target(now)
 
     def _give_up_on_target(self, now: float) -> None:
@@ -121,8 +122,8 @@
                 exchange.on_cancel()
 
     async def _serve(self, exchange: Exchange, head, came: float) -> None:
-        is_traced = self.tracer is not None and head.trace_id
-        span = self.tracer.begin_serve(head) if is_traced else None
+        tracer = self.tracer
+        span = tracer.begin_serve(head) if tracer is not None and head.trace_id else None
         answer = None
         try:
             await self._watch.settle()
@@ -143,8 +144,8 @@
             log.error("hop failed", attempt=head.attempt_id, error=repr(error))
         finally:
             exchange.close()
-            if span is not None:
-                self.tracer.finish_serve(span, answer, exchange.incoming.taken or len(head.body))
+            if tracer is not None and span is not None:
+                tracer.finish_serve(span, answer, exchange.incoming.taken or len(head.body))
 
     async def _pass(self, exchange: Exchange, head, came: float, span):
         refusal = self._find_refusal(head)
@@ -171,7 +172,9 @@
         try:
             # What held before the wait may not hold any more.
             refusal = self._find_refusal(head)
-            if refusal is not None:
+            caller = self._caller
+            # Without a caller there is a refusal.
+            if refusal is not None or caller is None:
                 return refusal
             left = deadline - started
             if left < _LEAST_SECONDS:
@@ -184,7 +187,7 @@
             self.work.begin(run)
             exchange.is_repeatable = head.route_type == wire_names.READ_ONLY
             is_owner = (lambda: self._is_owner(head)) if head.owner_epoch else None
-            answer = await self._caller.offer(exchange, head, left, is_owner)
+            answer = await caller.offer(exchange, head, left, is_owner)
         finally:
             self._offered.end(exchange)
             self.work.end(run)
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -9,7 +9,7 @@
 from marblefold import wire_names
 from marblefold.errors import MeshError
 from marblefold.http_connections.answer import Answer
-from marblefold.http_connections.client_request import BodyTooLarge, ClientRequest
+from marblefold.http_connections.client_request import BodyTooLarge, SentRequest
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
@@ -39,7 +39,7 @@
         self,
         peer: str,
         head,
-        request: ClientRequest,
+        request: SentRequest,
         body_bound: int,
         seconds: float,
     ) -> HopResult: ...
@@ -84,7 +84,7 @@
         self,
         peer: str,
         head,
-        request: ClientRequest,
+        request: SentRequest,
         body_bound: int,
         seconds: float,
     ) -> HopResult:
@@ -122,9 +122,10 @@
         except TimeoutError:
             return HopResult(HopOutcome.UNKNOWN, step="deadline")
         except MeshError as error:
-            too_large = sender is not None and sender.done() and not sender.cancelled()
-            if too_large and isinstance(sender.exception(), BodyTooLarge):
-                raise sender.exception() from error
+            if sender is not None and sender.done() and not sender.cancelled():
+                failure = sender.exception()
+                if isinstance(failure, BodyTooLarge):
+                    raise failure from error
             return HopResult(HopOutcome.UNKNOWN, step=error.step)
         finally:
             if sender is not None and not sender.done():
@@ -145,7 +146,7 @@
     head.aim_left_ms -= milliseconds
 
 
-async def _send_rest(exchange: Exchange, request: ClientRequest, bound: int) -> None:
+async def _send_rest(exchange: Exchange, request: SentRequest, bound: int) -> None:
     try:
         while chunk := await request.read_chunk(bound):
             await exchange.send_body(chunk)
--- a/marblefold/request_path/target_caller.py
+++ b/marblefold/request_path/target_caller.py
@@ -3,6 +3,7 @@
 import asyncio
 import time
 from collections.abc import Callable
+from typing import Protocol
 
 from aiohttp.http_exceptions import HttpProcessingError
 
@@ -12,12 +13,11 @@
 from marblefold.http_connections.target_answer import TargetAnswer
 from marblefold.http_connections.target_connection import ConnectionLostUnused, TargetConnection
 from marblefold.http_connections.target_connections import TargetConnections
-from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
 from marblefold.request_path.outcome import HopOutcome
 
-__all__ = ["TargetCaller", "pack_request"]
+__all__ = ["BodySource", "OfferedExchange", "TargetCaller", "pack_request"]
 
 # An answer up to this is read whole before its first byte goes out, so that
 # a broken one can still become a repeat or an honest 502.
@@ -30,6 +30,23 @@
 _LEAST_SECONDS = 0.003
 
 
+class BodySource(Protocol):
+    """Where the body of a request is read from."""
+
+    async def read(self) -> bytes: ...
+
+
+class OfferedExchange(Protocol):
+    """What the caller asks of a hop: that of a peer, or one of a gateway's own."""
+
+    @property
+    def incoming(self) -> BodySource: ...
+
+    def send(self, kind: FrameKind, payload: bytes = b"") -> None: ...
+
+    async def send_body(self, chunk: bytes) -> None: ...
+
+
 class TargetCaller:
     """Talks HTTP to the target beside this proxy."""
 
@@ -38,7 +55,7 @@
 
     async def offer(
         self,
-        exchange: Exchange,
+        exchange: OfferedExchange,
         head,
         seconds: float,
         may_send: Callable[[], bool] | None = None,
@@ -67,7 +84,9 @@
         head.deadline_left_ms = min(head.deadline_left_ms, max(1, int(left * 1000)))
         return await self._offer_on(connection, exchange, head, left)
 
-    async def _offer_on(self, connection: TargetConnection, exchange: Exchange, head, left: float):
+    async def _offer_on(
+        self, connection: TargetConnection, exchange: OfferedExchange, head, left: float
+    ):
         """Writes the request to the connection and reads what comes of it."""
         is_kept = False
         try:
@@ -91,14 +110,14 @@
                 self._connections.discard(connection)
 
     async def _exchange(
-        self, connection: TargetConnection, exchange: Exchange, head
+        self, connection: TargetConnection, exchange: OfferedExchange, head
     ) -> TargetAnswer:
         await connection.begin(pack_request(head), head.attempt_id.encode("latin-1", "replace"))
         if head.body_follows:
             await _send_rest(connection, exchange, head)
         return await connection.answer()
 
-    async def _relay(self, answer: TargetAnswer, exchange: Exchange, is_sealed: bool):
+    async def _relay(self, answer: TargetAnswer, exchange: OfferedExchange, is_sealed: bool):
         """The word on the answer, and whether the connection may be kept."""
         if answer.is_not_executed:
             await answer.payload.read()
@@ -177,7 +196,7 @@
     )
 
 
-async def _send_rest(connection: TargetConnection, exchange: Exchange, head) -> None:
+async def _send_rest(connection: TargetConnection, exchange: OfferedExchange, head) -> None:
     is_chunked = head.body_length < 0
     sent = len(head.body)
     while chunk := await exchange.incoming.read():
