--- a/marblefold/circuit_breaker/concurrency_limit.py
+++ b/marblefold/circuit_breaker/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Limits the requests of one sort so that they do not crowd out all others.
+"""Limits the requests of one route so that they do not crowd out all others.
 
 The source calls them tribbles: ordinary requests, but too many of them too
 fast.  Spikes are admitted while there is room for what the other sorts
--- a/marblefold/gateway/partner_hops.py
+++ b/marblefold/gateway/partner_hops.py
@@ -1,7 +1,7 @@
-"""The far end of a partner route: where a request leaves for the partner.
+"""The egress of partner routes: where a request leaves for the partner.
 
-What was allowed when the request came in may not be any more.  The check is
-made again with the connection in hand, just before the first byte goes out.
+A permission may have been revoked since the request arrived.  It is checked again
+after the connection is obtained, just before the first byte is sent.
 """
 
 import time
@@ -15,14 +15,14 @@
 from marblefold.request_path.outcome import HopResult
 from marblefold.task_keeper import TaskKeeper
 
-__all__ = ["PartnerHops", "open_partner_way"]
+__all__ = ["PartnerHops", "add_partner_hops"]
 
-# What connections to partners' doors may take of a proxy's descriptors.
+# How many of a proxy's descriptors connections to partner gateways may use.
 _DESCRIPTORS = 64
 
 
 class PartnerHops:
-    """Sends hops to partners by one way, and all others by the usual one."""
+    """Sends hops to partners through their own sender, and all others as usual."""
 
     def __init__(self, usual: Hops, to_partners: TargetHops, view: MeshView) -> None:
         self._usual = usual
@@ -30,7 +30,7 @@
         self._view = view
 
     def has_guard(self, upstream: str) -> bool:
-        """Beside a partner's door there is none."""
+        """Whether a guard serves the upstream; a partner's gateway has none."""
         return not partner_of(upstream) and self._usual.has_guard(upstream)
 
     async def send(
@@ -41,11 +41,14 @@
         body_bound: int,
         seconds: float,
     ) -> HopResult:
-        """The hop's end; it raises only BodyTooLarge and a lost client."""
+        """The result of the hop, sent within `seconds`.
+
+        Raises BodyTooLarge if the request has more than `body_bound` bytes.
+        """
         partner = partner_of(head.upstream)
         if not partner:
             return await self._usual.send(peer, head, request, body_bound, seconds)
-        # A partner knows nothing of our instances.
+        # A partner does not know our instances.
         head.expected_instance = ""
 
         def may_send() -> bool:
@@ -60,7 +63,7 @@
         request: SentRequest,
         now: float,
     ) -> bool:
-        """Whether the partner's word allows the request at this moment."""
+        """Whether the partner's routes allow the request at `now` (monotonic seconds)."""
         route = self._view.find_partner_route(request.host, request.path, now)
         if route is None or partner_of(route.upstreams[0]) != partner:
             return False
@@ -68,8 +71,8 @@
         return partners is not None and partners.addresses.get(partner) == peer
 
 
-def open_partner_way(usual: Hops, view: MeshView, tasks: TaskKeeper) -> PartnerHops:
-    """A way of their own for hops to partners, beside the usual one of a proxy."""
+def add_partner_hops(usual: Hops, view: MeshView, tasks: TaskKeeper) -> PartnerHops:
+    """Adds a sender for hops to partners to the usual one of a proxy."""
     pool = TargetPool(
         _DESCRIPTORS, lambda: set(view.partners.addresses.values()) if view.partners else set()
     )
--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -1,4 +1,4 @@
-"""The gateway: a front door for clients, straight to the targets."""
+"""The gateway: an entry point for clients that connects directly to the targets."""
 
 import asyncio
 import signal
@@ -47,7 +47,7 @@
         self._config = config
         self.is_leaving = False
         self.view = MeshView(config.node_name)
-        # Few connections: news of one registry is enough, another stands by.
+        # To save connections one feed is enough; a second registry is the standby.
         self.follower = RegistryFollower(
             config.node_name,
             self._seed_registries,
@@ -112,22 +112,22 @@
         self._tasks.cancel()
 
     def tell_leaving(self) -> None:
-        """From now on the platform should send clients elsewhere."""
+        """Fails the readiness checks, so that the platform sends clients elsewhere."""
         self.is_leaving = True
 
     @property
     def hops_in_progress(self) -> int:
-        """A gateway takes no hops of peers."""
+        """Always 0: a gateway serves no hops of peers."""
         return 0
 
     @property
     def grace_period(self) -> timedelta:
-        """How long the platform lets us take to leave."""
+        """How long the platform allows for the shutdown."""
         return self._config.bounds.grace_period
 
     async def _readiness(self, _call: Call) -> Answer:
         # Ready means: a client that comes now can be served as it should.
-        # TargetLoad has no say: a full gateway refuses, it does not flap.
+        # Load is not considered: a full gateway refuses requests, but stays ready.
         is_ready = not self.is_leaving and self.view.table is not None and self.view.peers()
         return json_answer(200 if is_ready else 503, {"ready": bool(is_ready)})
 
--- a/marblefold/gateway/target_hops.py
+++ b/marblefold/gateway/target_hops.py
@@ -1,7 +1,7 @@
-"""Ends a hop at a target itself, where a proxy ends it at a peer's guard.
+"""Sends hops directly to a target, where a proxy sends them to a peer's guard.
 
-The same caller as beside the guard talks to the target; here its exchange is
-no connection to a peer but the two ends below.
+The same TargetCaller as behind a guard is used; its exchange is the local one
+below instead of one on a connection to a peer.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 class _TargetExchange:
-    """What the caller of the target sees of the hop."""
+    """The hop as TargetCaller uses it."""
 
     def __init__(self, request: SentRequest, bound: int) -> None:
         self.incoming = _RequestBody(request, bound)
@@ -42,7 +42,7 @@
         self._waiter: asyncio.Future | None = None
 
     def send(self, kind: FrameKind, payload: bytes = b"") -> None:
-        """A frame of the answer, on its way to the client."""
+        """Applies a frame of the answer."""
         if kind == FrameKind.ANSWER and not self.answer.done():
             self.answer.set_result(payload)
         elif kind == FrameKind.BODY_END:
@@ -65,13 +65,13 @@
 
 
 class TargetHops:
-    """Carries hops straight to targets."""
+    """Sends hops directly to targets."""
 
     def __init__(self, pool: TargetPool) -> None:
         self._pool = pool
 
     def has_guard(self, upstream: str) -> bool:
-        """Hops end at the target itself."""
+        """Always False: hops go to the target itself."""
         return False
 
     async def send(
@@ -94,7 +94,7 @@
             caller.offer(exchange, head, seconds, may_send)
         )
         try:
-            # A large answer follows its head; a small one comes with it.
+            # The body of a large answer follows its head; a small one is part of it.
             await asyncio.wait({offer, exchange.answer}, return_when=asyncio.FIRST_COMPLETED)
         except asyncio.CancelledError:
             offer.cancel()
@@ -109,6 +109,6 @@
 
 
 def _look_at_end(offer: asyncio.Task) -> None:
-    # The end of a large answer went through the pipe; here it is only taken.
+    # The pipe carries the error of a large answer; mark it as retrieved here.
     if not offer.cancelled():
         offer.exception()
--- a/marblefold/gateway/target_pool.py
+++ b/marblefold/gateway/target_pool.py
@@ -10,13 +10,13 @@
 
 __all__ = ["TargetPool"]
 
-# More idle connections than this serve nobody, however many descriptors there are.
+# The most idle connections, however many descriptors there are.
 _MOST_IDLE = 64
 _TIDY = timedelta(milliseconds=500)
 
 
 class TargetPool:
-    """One caller and its kept connections for each address of a target."""
+    """One caller and its connection pool for each address of a target."""
 
     def __init__(self, descriptors: int, addresses: Callable[[], set[str]]) -> None:
         self._descriptors = max(4, descriptors)
@@ -27,11 +27,14 @@
 
     @property
     def open_connections(self) -> int:
-        """How many connections are open, in use or kept."""
+        """How many connections are open, in use or idle."""
         return sum(connections.open_count for connections in self._connections.values())
 
     def caller(self, address: str) -> TargetCaller | None:
-        """Who talks to the target there, or None if no descriptor is left."""
+        """The caller for the target at the address, or None if no descriptor is left.
+
+        Raises ValueError if the address is not HOST:PORT.
+        """
         connections = self._connections.get(address)
         if connections is None:
             connections = self._connections[address] = TargetConnections(Address.parse(address))
@@ -43,13 +46,13 @@
         return self._callers[address]
 
     async def run(self) -> None:
-        """Tidies up, for ever."""
+        """Tidies up periodically; runs forever."""
         while True:
             await asyncio.sleep(_TIDY.total_seconds())
             self.tidy()
 
     def tidy(self) -> None:
-        """Closes what is idle beyond the bound, stale, or of a target gone."""
+        """Closes stale and surplus idle connections, and forgets removed targets."""
         listed = self._addresses()
         for address, connections in list(self._connections.items()):
             connections.close_stale()
@@ -62,7 +65,7 @@
             self._close_oldest()
 
     def close(self) -> None:
-        """Ends all kept connections."""
+        """Closes all idle connections."""
         for connections in self._connections.values():
             connections.close()
 
--- a/marblefold/http_connections/answer.py
+++ b/marblefold/http_connections/answer.py
@@ -1,4 +1,4 @@
-"""The answer a client gets, as a small value, and its one writer."""
+"""The answer to a client as a value, and the encoder of its head."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -21,7 +21,7 @@
     body: bytes = b""
     pipe: BodyPipe | None = None
     closes: bool = False
-    # The answer to HEAD tells a length without carrying the body.
+    # The answer to HEAD states a length but carries no body.
     is_bodiless: bool = False
     # Called once the answer is written or given up.
     release: Callable[[], object] | None = None
@@ -34,7 +34,7 @@
     retry_after: float | None = None,
     closes: bool = False,
 ) -> Answer:
-    """An answer of the mesh itself."""
+    """An answer of the mesh itself; `retry_after` is in seconds."""
     block = b"Content-Type: text/plain\r\n"
     if attempt_id:
         block += wire_names.ATTEMPT_ID + b": " + attempt_id.encode("latin-1") + b"\r\n"
--- a/marblefold/http_connections/answer_place.py
+++ b/marblefold/http_connections/answer_place.py
@@ -1,4 +1,4 @@
-"""The place of one request in the order in which a client gets its answers."""
+"""The position of one request in the ordered answers of a connection."""
 
 import asyncio
 
@@ -20,14 +20,14 @@
         self._is_dropped = False
 
     def take_answer(self, answer: Answer) -> None:
-        """The request was served; where nobody waits any more, the answer is given up."""
+        """Stores the answer; if the client is gone, it is released instead."""
         if self._is_dropped:
             _release(answer)
         else:
             self.answer = answer
 
     def drop(self) -> None:
-        """Nobody waits for the answer: whoever works on it is told to stop."""
+        """The client is gone: cancels the task that serves the request."""
         self._is_dropped = True
         if self.task is not None:
             self.task.cancel()
--- a/marblefold/http_connections/call_router.py
+++ b/marblefold/http_connections/call_router.py
@@ -1,4 +1,4 @@
-"""Sends calls of targets and operators to what serves them."""
+"""Routes calls of targets and operators to their handlers."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -19,13 +19,13 @@
 
 
 class Call(NamedTuple):
-    """One call of the outside, with its whole body."""
+    """One call of a target or an operator, with its whole body."""
 
     subject: str
     body: bytes
-    # What the caller shows to prove who it is.
+    # The bearer token of the caller.
     credential: str = ""
-    # What stands behind the question mark, as it came.
+    # The query string, not decoded.
     query: str = ""
 
 
@@ -33,7 +33,10 @@
 
 
 def json_answer(status: int, document: object, retry_after: float | None = None) -> Answer:
-    """An answer that carries a document."""
+    """An answer with a JSON document; `retry_after` is in seconds.
+
+    Raises TypeError if the document cannot be encoded.
+    """
     block = b"Content-Type: application/json\r\n"
     if retry_after is not None:
         block += wire_names.RETRY_AFTER + b": %.3f\r\n" % retry_after
@@ -41,13 +44,13 @@
 
 
 def not_now_answer(error: MeshError) -> Answer:
-    """No majority answered in time: the word may or may not come to hold."""
-    log.warning("no clear word", step=error.step, peer=error.peer, reason=error.reason)
+    """503: no majority answered in time, so the order may or may not take effect."""
+    log.warning("outcome unknown", step=error.step, peer=error.peer, reason=error.reason)
     return json_answer(503, {wire_names.REASON: str(error)}, _RETRY_SECONDS)
 
 
 def faults_answer(group: ExceptionGroup) -> Answer:
-    """A word that cannot hold, with every fault and its place."""
+    """400: an invalid order, with every fault and its place."""
     return json_answer(
         400,
         {wire_names.REASON: [getattr(fault, "reason", str(fault)) for fault in group.exceptions]},
@@ -55,16 +58,16 @@
 
 
 class _Route(NamedTuple):
-    """What serves a path, by method, with the most bytes of a body."""
+    """The handler of a method at a path, and the largest body in bytes."""
 
     serve: Serve
     most_bytes: int
 
 
 async def _serve(route: _Route, call: Call) -> Answer:
-    """The answer of a call; a fault of ours leaves it without a clear one.
+    """The answer of a call; 503 if the handler failed.
 
-    What was ordered may hold or not, so only 503 says nothing wrong.
+    The order may or may not have taken effect, and no other status would be true.
     """
     try:
         return await route.serve(call)
@@ -81,7 +84,10 @@
         self._routes: dict[str, dict[str, _Route]] = {}
 
     def add(self, method: str, path: str, serve: Serve, most_bytes: int = 4096) -> None:
-        """Serves the method at the path; {} at its end stands for a subject."""
+        """Serves the method at the path; {} at its end stands for a subject.
+
+        `most_bytes` is the largest body, in bytes.
+        """
         self._routes.setdefault(path, {})[method] = _Route(serve, most_bytes)
 
     async def handle(self, request: ClientRequest) -> Answer:
@@ -106,8 +112,8 @@
             return json_answer(413, document)._replace(closes=True)
         except ConnectionError:
             return json_answer(400, {wire_names.REASON: "the body broke off"})
-        told = find_header(request.headers, b"Authorization") or b""
-        credential = told.decode("latin-1").removeprefix("Bearer ")
+        header = find_header(request.headers, b"Authorization") or b""
+        credential = header.decode("latin-1").removeprefix("Bearer ")
         return await _serve(route, Call(subject, body, credential, query))
 
     def _find(self, path: str) -> tuple[dict[str, _Route] | None, str]:
--- a/marblefold/http_connections/client_connection.py
+++ b/marblefold/http_connections/client_connection.py
@@ -31,7 +31,7 @@
 
 
 class ConnectionKeeper(Protocol):
-    """What a connection asks of the server that accepted it."""
+    """What a connection needs of the server that accepted it."""
 
     is_leaving: bool
     header_bytes: int
@@ -84,7 +84,7 @@
         self._is_closing = True
         if self._payload is not None:
             self._payload.set_exception(ConnectionResetError("client left"))
-        # Nobody waits for these any more: stop the work at the targets too.
+        # The client is gone: stop the work at the targets too.
         for place in self._places:
             place.drop()
         if self._writing is not None:
@@ -117,7 +117,7 @@
             self.head_since = self.quiet_since
 
     def refuse_slow_head(self) -> None:
-        """The head took too long to come."""
+        """Answers 408 to a head that took too long, and closes the connection."""
         self._append_answer(own_answer(408, "the head took too long", closes=True))
 
     def close_if_idle(self) -> bool:
@@ -128,7 +128,7 @@
         return True
 
     def turn_away(self) -> None:
-        """Ends the connection at once, without a word."""
+        """Aborts the connection at once, without an answer."""
         self._is_closing = True
         if self.transport is not None:
             self.transport.abort()
@@ -139,8 +139,8 @@
             self.transport.close()
 
     def _refuse_bytes(self, error: Exception) -> None:
-        # Whatever follows bytes that are no request cannot be told apart, and
-        # a body that was under way will not be whole.
+        # What follows malformed bytes cannot be parsed, and a body in transfer
+        # will not be complete.
         if self._payload is not None and not self._payload.is_eof():
             self._payload.set_exception(ConnectionResetError("the body cannot be read"))
         is_long = isinstance(error, LineTooLong) and not isinstance(error, BadStatusLine)
@@ -164,7 +164,7 @@
             if request is None:
                 break
             is_repeatable = request.method in _REPEATABLE and not request.has_body
-            # What may not be repeated keeps its turn: alone and in order.
+            # A request that may not be repeated runs alone and in order.
             if together and not (is_repeatable and self._keeper.may_run_ahead(request)):
                 break
             if place.task is None and place.answer is None:
@@ -177,10 +177,10 @@
         try:
             answer = await self._keeper.handle(request)
         except ConnectionError:
-            # Its body was cut short or cannot be read: there is no request.
+            # The body was truncated or is malformed: there is no valid request.
             answer = own_answer(400, "the body cannot be read", closes=True)
         except Exception as error:
-            # Nothing is known of what was begun; only a cut promises nothing.
+            # It is unknown what was begun; only a reset makes no claim about it.
             log.error("request failed", attempt=request.attempt_id, error=repr(error))
             self.turn_away()
             return
@@ -188,7 +188,7 @@
         self._flush()
 
     def _flush(self) -> None:
-        """Writes the answers whose turn has come."""
+        """Writes the answers that are next in order."""
         while self._places and self._writing is None and not self._is_closing:
             place = self._places[0]
             answer = place.answer
@@ -211,7 +211,7 @@
         request = place.request
         if request is None or answer.closes or request.closes:
             return True
-        # A body that nobody read to its end would be taken for a request.
+        # A body not read to its end would be parsed as a request.
         if not request.is_whole:
             return True
         return self._keeper.is_leaving and len(self._places) == 1
--- a/marblefold/http_connections/client_request.py
+++ b/marblefold/http_connections/client_request.py
@@ -15,7 +15,7 @@
 
 
 class BodyTooLarge(Exception):
-    """The body is over what the operator allows."""
+    """The body is larger than the operator's limit."""
 
 
 class ClientRequest:
@@ -40,7 +40,7 @@
 
     @property
     def deadline_ms(self) -> float | None:
-        """How long the client waits, if it says so in a form we can read."""
+        """How long the client waits, in milliseconds, or None without a valid header."""
         text = find_header(self.headers, wire_names.DEADLINE_MS)
         try:
             value = float(text) if text is not None else None
@@ -54,11 +54,15 @@
         return not self.has_body or self._payload.at_eof()
 
     def header_block(self) -> bytes:
-        """The header lines to pass along."""
+        """The header lines to forward."""
         return make_header_block(self.headers, REQUEST_ONLY_HERE)
 
     async def read_chunk(self, most: int) -> bytes:
-        """The next part of the body; nothing at its end."""
+        """The next part of the body; empty at its end.
+
+        Raises BodyTooLarge above `most` bytes in all, and ConnectionError if the body
+        is malformed or the client is lost.
+        """
         if not self.has_body:
             return b""
         if self._wants_continue:
@@ -74,7 +78,11 @@
         return chunk
 
     async def gather(self, bound: int, most: int) -> tuple[bytes, bool]:
-        """What of the body fits the bound, and whether that is all of it."""
+        """Reads about `bound` bytes of the body; returns them and whether that is all.
+
+        Raises BodyTooLarge above `most` bytes, and ConnectionError if the body is
+        malformed or the client is lost.
+        """
         if not self.has_body:
             return b"", True
         if self.body_length > most:
@@ -91,7 +99,7 @@
 
 
 class HeldRequest:
-    """A request whose body is at hand, to be sent as often as need be."""
+    """A request with a buffered body, for one attempt to send it."""
 
     def __init__(self, request: ClientRequest, body: bytes) -> None:
         self.method = request.method
@@ -101,7 +109,7 @@
         self._place = 0
 
     async def read_chunk(self, _most: int) -> bytes:
-        """The next part of the body; nothing at its end."""
+        """The next part of the body; empty at its end."""
         chunk = self._body[self._place : self._place + _HELD_CHUNK]
         self._place += len(chunk)
         return chunk
--- a/marblefold/http_connections/heads.py
+++ b/marblefold/http_connections/heads.py
@@ -18,7 +18,7 @@
         b"content-length",
     )
 )
-# Ours to set, whatever was sent.
+# Set by the mesh itself, never forwarded.
 REQUEST_ONLY_HERE = _HOP_BY_HOP | {
     b"expect",
     b"deadline-ms",
@@ -31,7 +31,7 @@
 
 
 def find_header(headers: RawHeaders, name: bytes) -> bytes | None:
-    """The first value under the name, whatever its case."""
+    """The first value of the header, or None; names are case-insensitive."""
     lowered = name.lower()
     for key, value in headers:
         if key.lower() == lowered:
@@ -40,12 +40,12 @@
 
 
 def make_header_block(headers: RawHeaders, dropped: Iterable[bytes]) -> bytes:
-    """The header lines that pass along, duplicates and order kept."""
+    """The header lines to forward, with duplicates and in order."""
     connection = find_header(headers, b"connection")
     # A header named by Connection concerns that connection only.
     if connection is not None and connection.lower() not in (b"keep-alive", b"close"):
         dropped = set(dropped)
-        dropped.update(word.strip().lower() for word in connection.split(b","))
+        dropped.update(name.strip().lower() for name in connection.split(b","))
     return b"".join(
         [name + b": " + value + b"\r\n" for name, value in headers if name.lower() not in dropped]
     )
--- a/marblefold/http_connections/http_server.py
+++ b/marblefold/http_connections/http_server.py
@@ -1,4 +1,4 @@
-"""Accepts the connections of clients and looks after the quiet ones."""
+"""Accepts the connections of clients and closes idle or slow ones."""
 
 import asyncio
 import time
@@ -33,7 +33,7 @@
         those ends the connection.
         """
         self.is_leaving = False
-        # Late in leaving what still comes is refused, never begun.
+        # Late in the shutdown, new requests are refused.
         self.turns_away = False
         self.header_bytes = 16384
         self.idle_time = timedelta(seconds=15)
@@ -48,7 +48,7 @@
         self._server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> None:
-        """Begins to listen."""
+        """Begins to listen; OSError if the address cannot be bound."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
             lambda: ClientConnection(self), address.host, address.port, backlog=_BACKLOG
@@ -73,13 +73,13 @@
         return self._may_run_ahead(request)
 
     def on_made(self, connection: ClientConnection) -> None:
-        """A client has come."""
+        """A client has connected."""
         self._connections.add(connection)
         if self._most_connections is not None and len(self._connections) > self._most_connections:
             self._make_room(connection)
 
     def on_lost(self, connection: ClientConnection) -> None:
-        """A client has gone."""
+        """A client has disconnected."""
         self._connections.discard(connection)
 
     def close_idle(self) -> None:
@@ -88,32 +88,32 @@
             connection.close_if_idle()
 
     def set_limits(self, limits: Limits) -> None:
-        """What the operator's configuration allows clients."""
+        """Applies the operator's limits for clients."""
         self.header_bytes = limits.header_bytes
         self.header_time = limits.header_time
         self.idle_time = limits.idle_time
 
     def _make_room(self, newcomer: ClientConnection) -> None:
-        """Connections to targets must never starve of descriptors."""
+        """Closes a connection, so that descriptors are left for connections to targets."""
         idle = [
             connection
             for connection in self._connections
             if connection is not newcomer and connection.is_idle and connection.head_since is None
         ]
-        # What was not read is sent again by any client, so where nobody
-        # rests the newcomer itself is turned away before it is read.
+        # Any client resends what was not read, so if no connection is idle the
+        # new one is closed before it is read.
         if idle:
             min(idle, key=lambda connection: connection.quiet_since).close_if_idle()
         else:
             newcomer.turn_away()
 
     def stop(self) -> None:
-        """Listens no longer."""
+        """Stops listening."""
         if self._server is not None:
             self._server.close()
 
     async def run(self) -> None:
-        """Closes the connections that are quiet or slow for too long, for ever."""
+        """Closes connections that are idle or slow for too long; runs forever."""
         while True:
             await asyncio.sleep(_SWEEP.total_seconds())
             now = time.monotonic()
--- a/marblefold/http_connections/target_answer.py
+++ b/marblefold/http_connections/target_answer.py
@@ -1,4 +1,4 @@
-"""What the head of a target's answer says of the request and of the connection."""
+"""What the head of a target's answer states about the request and the connection."""
 
 from typing import NamedTuple
 
@@ -16,7 +16,7 @@
     "says_not_executed",
 ]
 
-# A kept connection is dropped so long before the target would close it.
+# An idle connection is dropped so many seconds before the target would close it.
 _KEEP_MARGIN_SECONDS = 0.7
 _LONGEST_KEPT_SECONDS = 30.0
 # Read by our own parser, never written to a target.
@@ -41,19 +41,19 @@
 
 
 def has_length(message) -> bool:
-    """Whether the answer tells where it ends; another one ends with its connection."""
+    """Whether the end of the answer is framed; otherwise it ends with the connection."""
     if message.code in (204, 304) or message.chunked:
         return True
     return "Content-Length" in message.headers
 
 
 def kept_seconds(message) -> float:
-    """For how long the connection may be used again after this answer."""
+    """For how many seconds the connection may be reused after this answer."""
     if message.should_close or not has_length(message):
         return 0.0
     kept = _LONGEST_KEPT_SECONDS
-    told = message.headers.get("Keep-Alive", "")
-    for part in told.split(","):
+    header = message.headers.get("Keep-Alive", "")
+    for part in header.split(","):
         name, _sign, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
             kept = min(kept, float(value) - _KEEP_MARGIN_SECONDS)
@@ -63,9 +63,9 @@
 def is_between_answers(parser) -> bool:
     """Whether the parser of a connection holds no part of a further answer.
 
-    The parser does not tell; a complete interim answer does.  Bytes that it
-    holds would spoil that one: it would come with another status, with
-    headers, or not at all.
+    The parser does not expose this, so it is fed a complete interim answer: buffered
+    bytes would corrupt that one, which would then have another status, have headers,
+    or not be parsed at all.
     """
     try:
         messages, _upgraded, _tail = parser.feed_data(_INTERIM_ANSWER)
--- a/marblefold/http_connections/target_connection.py
+++ b/marblefold/http_connections/target_connection.py
@@ -1,7 +1,7 @@
 """One connection to the target beside this proxy: one request at a time.
 
-The parser is aiohttp's.  Its client is not used: it repeats requests on its
-own when a reused connection breaks, and here nobody but the request path may.
+The parser is aiohttp's.  Its client is not used: it repeats requests by itself
+when a reused connection fails, which only the request path may do here.
 """
 
 import asyncio
@@ -43,13 +43,13 @@
 
     IDLE = "idle"
     BUSY = "busy"
-    # Bytes came that belong to no request: finish, then never use again.
+    # Bytes arrived that belong to no request: finish, then never reuse.
     POISONED = "poisoned"
     CLOSED = "closed"
 
 
 class ConnectionLostUnused(MeshError):
-    """The connection went before anything was written: the request did not run."""
+    """The connection was lost before anything was written: the request did not run."""
 
 
 class TargetConnection(BaseProtocol):
@@ -74,24 +74,24 @@
         )
         self.state = ConnectionState.IDLE
         self.usable_until = time.monotonic() + 1.0
-        # Since when nothing went over it.
+        # Since when it has been idle (monotonic seconds).
         self.rested_since = time.monotonic()
-        # How long it had rested when the request under way was sent.
+        # For how many seconds it was idle before the current request.
         self.rest_before = 0.0
         self.has_answered = False
-        # Whether a request went over it before the one under way.
+        # Whether it carried a request before the current one.
         self._is_reused = False
-        # Whether the answer under way ends where the connection does.
+        # Whether the current answer ends with the connection.
         self._is_unframed = False
         self._attempt_id: bytes | None = None
         self._waiter: asyncio.Future[TargetAnswer] | None = None
         self._payload: StreamReader | None = None
 
     def change_state(self, state: ConnectionState) -> None:
-        """The one place where the state changes; closed stays closed."""
+        """The only place where the state changes; closed stays closed."""
         if self.state is ConnectionState.CLOSED:
             return
-        # What poisoned a connection does not wear off.
+        # A poisoned connection stays poisoned.
         if self.state is ConnectionState.POISONED and state is not ConnectionState.CLOSED:
             return
         self.state = state
@@ -99,7 +99,8 @@
     async def begin(self, head: bytes, attempt_id: bytes | None) -> None:
         """Sends the head of a request, perhaps with its body behind it.
 
-        A ConnectionLostUnused is certain: not a byte of the request was written.
+        Raises ConnectionLostUnused if not a byte of the request was written, and
+        ConnectionError if the connection is lost meanwhile.
         """
         if self.transport is None:
             raise ConnectionLostUnused(CONNECT_STEP, "closed before it was used")
@@ -113,7 +114,7 @@
             await self._drain_helper()
 
     async def send(self, chunk: bytes) -> None:
-        """Sends more of the body."""
+        """Sends more of the body; MeshError or ConnectionError if the connection is lost."""
         if self.transport is None:
             raise MeshError("target", "closed while the body was sent")
         self.transport.write(chunk)
@@ -121,14 +122,14 @@
             await self._drain_helper()
 
     async def answer(self) -> TargetAnswer:
-        """The head of the answer that belongs to the request."""
+        """The head of the answer to the request; MeshError if there is none."""
         waiter = self._waiter
         if waiter is None:
             raise TypeError("no request was sent on this connection")
         return await waiter
 
     def finish(self) -> bool:
-        """The answer was read whole; tells whether the connection may be kept."""
+        """The answer was read whole; returns whether the connection may be kept."""
         self._waiter = None
         self._payload = None
         self._is_reused = True
@@ -150,16 +151,14 @@
         self._on_heard()
         self.has_answered = True
         if self._waiter is None and data:
-            # No request is under way: not even a part of an answer may wait
-            # in the parser for the next one.
+            # No request is in progress: not even a partial answer may stay in the
+            # parser for the next one.
             self._poison()
             return
         try:
             messages, _upgraded, _tail = self._parser.feed_data(data)
         except (HttpProcessingError, ValueError) as error:
-            self._break_off(
-                MeshError("target", f"bytes that are no answer: {type(error).__name__}")
-            )
+            self._fail(MeshError("target", f"bytes that are no answer: {type(error).__name__}"))
             return
         for message, payload in messages:
             self._take(message, payload)
@@ -171,17 +170,17 @@
         try:
             self._parser.feed_eof()
         except (HttpProcessingError, ValueError) as error:
-            self._break_off(MeshError("target", f"answer cut off: {type(error).__name__}"))
+            self._fail(MeshError("target", f"answer cut off: {type(error).__name__}"))
 
     def connection_lost(self, exc: BaseException | None) -> None:
         super().connection_lost(exc)
         self.change_state(ConnectionState.CLOSED)
-        self._break_off(MeshError("target", f"closed: {exc or 'without a word'}"))
+        self._fail(MeshError("target", f"closed: {exc or 'without a word'}"))
 
     def _take(self, message, payload) -> None:
         waiter = self._waiter
         if waiter is None or waiter.done():
-            # A surplus answer belongs to no request.
+            # An unsolicited answer belongs to no request.
             self._poison()
             return
         if message.code < 200:
@@ -199,27 +198,27 @@
         )
 
     def _is_answer_of_request(self, headers, is_not_executed: bool) -> bool:
-        """Whether the answer belongs to the request under way; what does not is dropped."""
-        told = find_header(headers, wire_names.ATTEMPT_ID)
-        if self._attempt_id is None or told == self._attempt_id:
+        """Whether the answer belongs to the current request; others are dropped."""
+        answered_id = find_header(headers, wire_names.ATTEMPT_ID)
+        if self._attempt_id is None or answered_id == self._attempt_id:
             return True
         # Only a refusal may come without the id, and only as the first answer
-        # on its connection: behind another request it may be that one's.
-        if told is None and is_not_executed and not self._is_reused:
+        # on its connection: after another request it may belong to that one.
+        if answered_id is None and is_not_executed and not self._is_reused:
             return True
         self._poison()
-        if told is None:
-            self._break_off(MeshError("target", "an answer without an id"))
-        # Another id is an answer to another request; ours may come behind it.
+        if answered_id is None:
+            self._fail(MeshError("target", "an answer without an id"))
+        # Another id is an answer to another request; ours may follow it.
         return False
 
     def _poison(self) -> None:
         self.change_state(ConnectionState.POISONED)
-        # Nobody uses it now, so nothing is lost by ending it at once.
+        # It is idle, so nothing is lost by closing it at once.
         if self._waiter is None:
             self.close()
 
-    def _break_off(self, error: MeshError) -> None:
+    def _fail(self, error: MeshError) -> None:
         self.close()
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_exception(error)
--- a/marblefold/http_connections/target_connections.py
+++ b/marblefold/http_connections/target_connections.py
@@ -1,4 +1,4 @@
-"""The kept connections to one target."""
+"""The connection pool of one target."""
 
 import asyncio
 import time
@@ -13,18 +13,18 @@
 
 __all__ = ["CONNECT_STEP", "TargetConnections"]
 
-# A target that forgot a connection is thought to forget the next ones after half
-# of that rest; the memory of it fades, since such troubles pass.
+# A target that dropped an idle connection is assumed to drop the next ones after half
+# of that idle time; this is forgotten after a while, since such faults pass.
 _LEAST_REST = 0.05
 _REST_SHARE = 0.5
 _FADE_SECONDS = 20.0
 
 
 class TargetConnections:
-    """Hands out kept connections, newest first, and opens new ones when it must."""
+    """Hands out idle connections, newest first, and opens new ones as needed."""
 
     def __init__(self, address: Address, connect_seconds: float = 0.25) -> None:
-        # When the target last gave any sign of life.
+        # When a byte last came from the target (monotonic seconds).
         self.heard_at = time.monotonic()
         self._address = address
         self._connect_seconds = connect_seconds
@@ -35,26 +35,32 @@
 
     @property
     def idle_count(self) -> int:
-        """How many connections are kept for use."""
+        """How many connections are idle."""
         return len(self._kept)
 
     @property
     def open_count(self) -> int:
-        """How many connections are open, in use or kept."""
+        """How many connections are open, in use or idle."""
         return len(self._kept) + self._used
 
     @property
     def oldest_rest(self) -> float:
-        """Since when the connection that rests longest has been at rest."""
+        """Since when the longest idle connection is idle, in monotonic seconds.
+
+        Raises IndexError if none is idle.
+        """
         return self._kept[0].rested_since
 
     async def take(self, longest_rest: float | None = None) -> TargetConnection:
-        """A connection ready for a request; a MeshError means nothing was sent."""
+        """A connection ready for a request, idle for at most `longest_rest` seconds.
+
+        Raises MeshError if none can be opened; nothing was sent then.
+        """
         now = time.monotonic()
         longest = self._safe_rest(now)
         if longest_rest is not None:
             longest = min(longest, longest_rest)
-        # The newest is the last: where it rested too long, all have.
+        # The newest is the last: if it was idle too long, so were all.
         if self._kept and now - self._kept[-1].rested_since <= longest:
             connection = self._kept.pop()
             if connection.state is ConnectionState.IDLE and now < connection.usable_until:
@@ -65,7 +71,7 @@
         return await self._open_used()
 
     async def is_reachable(self) -> bool:
-        """Whether the target still takes a new connection; it is kept for use."""
+        """Whether the target still accepts a new connection, which is then kept."""
         try:
             connection = await self._open()
         except MeshError:
@@ -86,9 +92,9 @@
             self._kept.append(connection)
 
     def discard(self, connection: TargetConnection) -> None:
-        """Ends a connection that was in use."""
+        """Closes a connection that was in use."""
         self._used -= 1
-        # Closed by the target behind a rest, without a byte: it was forgotten.
+        # Closed by the target after an idle time, without a byte: it was dropped.
         if connection.state is ConnectionState.CLOSED and not connection.has_answered:
             if connection.rest_before > _LEAST_REST:
                 self._forgets_after = max(_LEAST_REST, connection.rest_before * _REST_SHARE)
@@ -96,7 +102,7 @@
         connection.close()
 
     def close_stale(self) -> None:
-        """Ends the kept connections that would not be used again."""
+        """Closes the idle connections that would not be used again."""
         now = time.monotonic()
         kept, self._kept = self._kept, []
         longest = self._safe_rest(now)
@@ -108,11 +114,11 @@
                 connection.close()
 
     def close_oldest(self) -> None:
-        """Ends the kept connection that has rested longest."""
+        """Closes the longest idle connection; IndexError if there is none."""
         self._kept.pop(0).close()
 
     def close(self) -> None:
-        """Ends the kept connections."""
+        """Closes the idle connections."""
         kept, self._kept = self._kept, []
         for connection in kept:
             connection.close()
--- a/marblefold/inner_protocol/body_pipe.py
+++ b/marblefold/inner_protocol/body_pipe.py
@@ -1,7 +1,7 @@
-"""A body on its way over a shared connection, bounded by credit.
+"""A body in transfer over a shared connection, limited by credit.
 
 Connections between peers carry many exchanges, so a slow reader of one body must
-not stop the others: its sender may only send what the reader granted.
+not block the others: its sender may only send what the reader granted, in bytes.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 
 
 class BodyPipe:
-    """The receiving end of a body: chunks come in, one reader takes them."""
+    """The receiving end of a body: chunks are fed in, one reader takes them."""
 
     def __init__(self, grant=None) -> None:
         self._chunks: deque[bytes] = deque()
@@ -23,32 +23,35 @@
         self._ended = False
         self._broken: MeshError | None = None
         self._grant = grant
-        # How much of the body came so far.
+        # How many bytes of the body have arrived.
         self.taken = 0
 
     def feed(self, chunk: bytes) -> None:
-        """Takes in a chunk."""
+        """Appends a chunk."""
         self._chunks.append(chunk)
         self.taken += len(chunk)
         self._wake()
 
     def finish(self) -> None:
-        """The body is whole."""
+        """The body is complete."""
         self._ended = True
         self._wake()
 
     def break_off(self, error: MeshError) -> None:
-        """The rest of the body will not come."""
+        """The rest of the body will not come: `read` raises the error."""
         self._broken = error
         self._wake()
 
     @property
     def is_ended(self) -> bool:
-        """Whether the whole body has come, read or not."""
+        """Whether the whole body has arrived, read or not."""
         return self._ended
 
     async def read(self) -> bytes:
-        """The next chunk, or nothing at the end of a whole body."""
+        """The next chunk, or b"" at the end of a complete body.
+
+        Raises the MeshError of an incomplete body after its last chunk.
+        """
         while not self._chunks:
             if self._ended:
                 return b""
--- a/marblefold/inner_protocol/exchange.py
+++ b/marblefold/inner_protocol/exchange.py
@@ -1,4 +1,4 @@
-"""One hop on a connection between peers, as either end holds it."""
+"""One hop on a connection between peers, at either end."""
 
 import asyncio
 import struct
@@ -16,7 +16,7 @@
 
 
 class FrameCarrier(Protocol):
-    """What an exchange asks of the connection that carries it."""
+    """What an exchange needs of the connection that carries it."""
 
     peer: str
 
@@ -30,8 +30,8 @@
 class Exchange:
     """One hop on a connection, at either end.
 
-    Its number is its own for as long as the connection lasts, so a frame that
-    comes late can only be for an exchange that is over.
+    Its number is never reused on the connection, so a late frame can only belong to
+    an exchange that is over.
     """
 
     def __init__(self, connection: FrameCarrier, number: int, credit: int) -> None:
@@ -43,15 +43,15 @@
         self._credit = credit
         self._credit_waiter: asyncio.Future | None = None
         self.broken: MeshError | None = None
-        # Whether the request may go elsewhere while this peer is silent.
+        # Whether the request may be repeated elsewhere if this peer is unresponsive.
         self.is_repeatable = False
 
     def break_off(self, error: MeshError) -> None:
-        """The connection below this exchange is gone, or its peer reset it."""
+        """Fails the exchange: its connection was lost, or its peer reset it."""
         self.broken = error
         if not self.answer.done():
             self.answer.set_exception(error)
-            # Nobody may be waiting any more; the loop need not complain.
+            # Nobody may be waiting any more: mark the exception as retrieved.
             self.answer.exception()
         self.incoming.break_off(error)
         self._wake_sender()
@@ -59,12 +59,12 @@
             self.on_cancel()
 
     def take_credit(self, size: int) -> None:
-        """The peer lets us send more of the body."""
+        """The peer grants credit for more bytes of the body."""
         self._credit += size
         self._wake_sender()
 
     async def send_body(self, chunk: bytes) -> None:
-        """Sends a part of the body, within the peer's credit."""
+        """Sends a part of the body within the peer's credit; MeshError if the exchange failed."""
         rest = memoryview(chunk)
         while rest:
             while self._credit <= 0 and self.broken is None:
@@ -72,8 +72,8 @@
                 await self._credit_waiter
             if self.broken is not None:
                 raise self.broken
-            # Never beyond the credit: the peer counts on it for its link, where
-            # what overshoots stands before every other hop.
+            # Never beyond the credit: the peer sizes it by its link, where any
+            # excess delays every other hop.
             part = bytes(rest[: min(_CHUNK, self._credit)])
             rest = rest[len(part) :]
             self._credit -= len(part)
@@ -89,13 +89,13 @@
         self.connection.forget(self.number)
 
     def abandon(self) -> None:
-        """The sender waits no longer: the peer is told, whatever it is at."""
+        """The sender waits no longer: cancels the hop at the peer."""
         if not self.incoming.is_ended:
             self.send(FrameKind.CANCEL)
         self.close()
 
     def grant(self, size: int) -> None:
-        """Lets the peer send more of the body."""
+        """Grants the peer credit for `size` more bytes of the body."""
         self.connection.send(FrameKind.CREDIT, self.number, _CREDIT.pack(size))
 
     def _wake_sender(self) -> None:
@@ -104,7 +104,7 @@
 
 
 def take_frame(exchange: Exchange, kind: int, payload: bytes) -> None:
-    """Gives the exchange a frame that came for it."""
+    """Applies a received frame to its exchange; struct.error if a credit is malformed."""
     if kind == FrameKind.ANSWER:
         if not exchange.answer.done():
             exchange.answer.set_result(payload)
--- a/marblefold/inner_protocol/frames.py
+++ b/marblefold/inner_protocol/frames.py
@@ -1,4 +1,4 @@
-"""How messages are cut into frames on a connection between two peers.
+"""How messages are encoded as frames on a connection between two peers.
 
 A frame is a length, a kind, the number of the exchange it belongs to, and
 its payload: a protobuf message, or raw bytes of a body.
@@ -19,21 +19,21 @@
     """What the payload of a frame is."""
 
     HEAD = 1  # RequestHead: a hop begins
-    ANSWER = 2  # AnswerHead: the guard's word on it
+    ANSWER = 2  # AnswerHead: the outcome of the hop
     BODY = 3  # bytes of a body that is not within its head
-    BODY_END = 4  # the body is whole
+    BODY_END = 4  # the body is complete
     CREDIT = 5  # four bytes: so many more body bytes may come
     CANCEL = 6  # the sender of the hop has given it up
-    RESET = 7  # the answer breaks off here
-    CALL = 8  # a message that wants a reply
+    RESET = 7  # the answer is aborted
+    CALL = 8  # a message that expects a reply
     REPLY = 9  # the reply
-    TELL = 10  # a message that wants none
-    PING = 11  # are you there?
-    PONG = 12  # I am
+    TELL = 10  # a message that expects none
+    PING = 11  # asks an idle peer for a pong
+    PONG = 12  # the answer to a ping
 
 
 class Frame(NamedTuple):
-    """One frame as it came."""
+    """One received frame."""
 
     kind: int
     number: int
@@ -46,20 +46,23 @@
 
 
 class FrameReader:
-    """Gathers bytes into frames."""
+    """Decodes frames from a byte stream."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Takes in bytes and yields the frames that are whole by now."""
+        """Adds bytes and yields the frames that are complete.
+
+        Raises ValueError for a frame above LARGEST_PAYLOAD bytes.
+        """
         buffer = self._buffer
         buffer += data
         place = 0
         try:
             while len(buffer) - place >= _HEAD.size:
                 length, kind, number = _HEAD.unpack_from(buffer, place)
-                # No peer of ours sends such a frame: the connection is garbled.
+                # No peer of ours sends such a frame: the stream is corrupt.
                 if length > LARGEST_PAYLOAD:
                     raise ValueError(f"a frame of {length} bytes")
                 end = place + _HEAD.size + length
--- a/marblefold/inner_protocol/messages.py
+++ b/marblefold/inner_protocol/messages.py
@@ -1,4 +1,4 @@
-"""Tells the protobuf messages apart on a connection: one byte says which it is."""
+"""Encodes protobuf messages with a leading byte that identifies their type."""
 
 from marblefold.inner_protocol import messages_pb2 as kinds
 
@@ -26,12 +26,12 @@
 
 
 def pack_message(message) -> bytes:
-    """The bytes of a message with its kind."""
+    """The bytes of a message with its type; KeyError if the type is unknown."""
     return bytes((_CODES[type(message)],)) + message.SerializeToString()
 
 
 def unpack_message(payload: bytes):
-    """The message in the bytes; ValueError if there is none."""
+    """The message in the bytes; ValueError if they are malformed."""
     if not payload or payload[0] >= len(_ORDER):
         raise ValueError("no message of ours")
     try:
--- a/marblefold/inner_protocol/peer_book.py
+++ b/marblefold/inner_protocol/peer_book.py
@@ -1,4 +1,4 @@
-"""Keeps one outgoing connection to each peer, opened when it is first wanted."""
+"""Keeps one outgoing connection to each peer, opened on first use."""
 
 import asyncio
 import time
@@ -9,7 +9,7 @@
 
 __all__ = ["PeerBook"]
 
-# A peer that could not be reached is not tried again for so long.
+# A peer that could not be reached is not tried again for so many seconds.
 _SHUN_SECONDS = 0.25
 
 
@@ -26,27 +26,27 @@
         self._keep_alive = keep_alive
         self._connect_seconds = connect_seconds
         self._connections: dict[str, PeerConnection] = {}
-        # Used up; they end with their last exchange.
+        # Out of numbers; they are closed after their last exchange.
         self._replaced: set[PeerConnection] = set()
         self._connecting: dict[str, asyncio.Task] = {}
         self._shunned_until: dict[str, float] = {}
 
     def find(self, peer: str) -> PeerConnection | None:
-        """The open connection to the peer, if there is one now."""
+        """The open connection to the peer, or None."""
         connection = self._connections.get(peer)
         if connection is None or not connection.is_open or connection.is_used_up:
             return None
         return connection
 
     async def reach(self, peer: str) -> PeerConnection:
-        """An open connection to the peer, or a MeshError if it cannot be had soon."""
+        """An open connection to the peer; MeshError if it cannot be opened in time."""
         connection = self.find(peer)
         if connection is not None:
             return connection
         if time.monotonic() < self._shunned_until.get(peer, 0.0):
             raise MeshError("connect", "lately out of reach", peer)
         task = self._connecting.get(peer)
-        # Many requests may want the same peer at once: one attempt serves all.
+        # Many requests may need the same peer at once: they share one attempt.
         if task is None:
             task = asyncio.get_running_loop().create_task(self._connect(peer))
             self._connecting[peer] = task
@@ -60,22 +60,22 @@
         return [connection for connection in known if connection.is_open]
 
     def drop(self, peer: str) -> None:
-        """Ends the connection to a peer that is gone."""
+        """Closes the connection to a peer that is gone."""
         connection = self._connections.pop(peer, None)
         if connection is not None:
             connection.close()
 
     def drop_idle(self, peer: str) -> None:
-        """The peer is thought lost: what is sent next must not go into the dark.
+        """Closes the connection to a peer that may be lost, if it is idle.
 
-        A fresh connection that does not come up is certain: nothing was sent.
+        If a new connection then fails, it is certain that nothing was sent.
         """
         connection = self._connections.get(peer)
         if connection is not None and connection.is_idle:
             self.drop(peer)
 
     def close(self) -> None:
-        """Ends all connections."""
+        """Closes all connections."""
         for peer in list(self._connections):
             self.drop(peer)
         for connection in self._replaced:
@@ -83,7 +83,7 @@
 
     def _note_connected(self, peer: str, done: asyncio.Task) -> None:
         self._connecting.pop(peer, None)
-        # Whoever wanted the connection may have left; its error is then moot.
+        # Nobody may be waiting any more: mark the exception as retrieved.
         if not done.cancelled():
             done.exception()
 
--- a/marblefold/inner_protocol/peer_connection.py
+++ b/marblefold/inner_protocol/peer_connection.py
@@ -12,19 +12,19 @@
 
 __all__ = ["ConnectionOwner", "LAST_NUMBER", "PEER_KEEP_ALIVE", "PeerConnection"]
 
-# A cut says nothing: bytes not acknowledged for so long end the connection.
+# A network partition sends no signal: the connection ends if bytes are not
+# acknowledged for so long.
 _UNHEARD_MILLISECONDS = 2000
 # The largest number that a frame holds.
 LAST_NUMBER = 0xFFFFFFFF
-# Where many peers are connected, idle connections are asked for a sign of life
-# rarely: every node has one to every other, so what they say grows with all of
-# them.  Hops in flight are looked after by pings, and probes of members tell
-# which peers are lost.
+# Keep-alive seconds where many peers are connected: idle connections are probed
+# rarely, since every node has one to every other and the probes grow with all of
+# them.  Hops in flight are covered by pings, lost peers by the membership probes.
 PEER_KEEP_ALIVE = 20
 
 
 class ConnectionOwner(Protocol):
-    """What the owner of a connection is told."""
+    """The callbacks of a connection to its owner."""
 
     def on_hop(self, exchange: "Exchange", payload: bytes) -> None: ...
 
@@ -36,7 +36,7 @@
 
 
 class PeerConnection(asyncio.Protocol):
-    """Carries many exchanges at once; knows nothing of what they are about."""
+    """Multiplexes many exchanges, whatever they carry."""
 
     def __init__(self, owner: ConnectionOwner, peer: str = "", keep_alive: int = 1) -> None:
         self.peer = peer
@@ -92,41 +92,41 @@
         self._drained = None
 
     async def drain(self) -> None:
-        """Waits while the connection holds more than it can send."""
+        """Waits while the write buffer is full."""
         if self._drained is not None:
             await asyncio.shield(self._drained)
 
     def send(self, kind: int, number: int, payload: bytes = b"") -> None:
-        """Sends a frame; on a lost connection it goes nowhere."""
+        """Sends a frame; on a lost connection it is discarded."""
         transport = self._transport
         if self.is_open and transport is not None:
             transport.write(pack_frame(kind, number, payload))
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is under way on it."""
+        """Whether no exchange or call is in progress."""
         return not self._exchanges and not self._calls
 
     @property
     def is_used_up(self) -> bool:
-        """Whether no number is left that was never used here.
+        """Whether every exchange number has been used.
 
-        A number is not used twice, so what comes late for an exchange that
-        was given up cannot reach another one.
+        A number is never reused, so a late frame of an abandoned exchange cannot reach
+        another one.
         """
         return self._next_number >= LAST_NUMBER
 
     def open_exchange(self) -> Exchange:
-        """Begins a hop toward the peer; a MeshError means that nothing was sent."""
+        """Begins a hop to the peer; MeshError if that fails, and then nothing was sent."""
         if not self.is_open:
             raise MeshError("connect", "connection is closed", self.peer)
-        # The guard lets a body come when it has a place for it.
+        # The guard grants credit for a body when it can receive it.
         exchange = Exchange(self, self._take_number(), 0)
         self._exchanges[exchange.number] = exchange
         return exchange
 
     def forget(self, number: int) -> None:
-        """Drops an exchange that is over."""
+        """Removes an exchange that is over."""
         self._exchanges.pop(number, None)
         if self.is_used_up and self.is_idle:
             self.close()
@@ -138,7 +138,7 @@
         return self._next_number
 
     async def call(self, message: bytes, seconds: float) -> bytes:
-        """Sends a message and waits for the reply, or a MeshError."""
+        """Sends a message and returns the reply; MeshError if none comes within `seconds`."""
         if not self.is_open:
             raise MeshError("call", "connection is closed", self.peer)
         number = self._take_number()
@@ -154,10 +154,10 @@
             self._calls.pop(number, None)
 
     def is_silent(self, now: float, quiet: float, patience: float) -> bool:
-        """Whether the peer is asked for a sign of life and gives none.
+        """Whether the peer is unresponsive; all times are in monotonic seconds.
 
-        A peer that holds exchanges of ours and says nothing is pinged; one
-        that is quiet because nothing is asked of it is left alone.
+        A peer with exchanges in progress that sent nothing for `quiet` seconds is pinged,
+        and is unresponsive if nothing comes within `patience` seconds after that.
         """
         if self._pinged_at is not None and self.heard_at > self._pinged_at:
             self._pinged_at = None
@@ -169,13 +169,13 @@
         return False
 
     def break_off_repeatable(self, error: MeshError) -> None:
-        """Lets go of the exchanges whose requests may go elsewhere."""
+        """Fails the exchanges whose requests may be repeated elsewhere."""
         for exchange in list(self._exchanges.values()):
             if exchange.is_repeatable:
                 exchange.break_off(error)
 
     def close(self) -> None:
-        """Ends the connection at once."""
+        """Aborts the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
@@ -202,6 +202,6 @@
                 future.set_result(payload)
         else:
             exchange = self._exchanges.get(number)
-            # A frame behind the end of its exchange is late, not wrong.
+            # A frame after the end of its exchange is late, not an error.
             if exchange is not None:
                 take_frame(exchange, kind, payload)
--- a/marblefold/inner_protocol/ports.py
+++ b/marblefold/inner_protocol/ports.py
@@ -13,5 +13,5 @@
 
 
 def inner_address(host: str, config: NodeConfig, program: int) -> str:
-    """Where the program listens for peers on the host; ports are alike on all."""
+    """HOST:PORT at which the program on the host listens for peers."""
     return f"{host}:{config.inner_ports[0] + program}"
--- a/marblefold/proxy/beats.py
+++ b/marblefold/proxy/beats.py
@@ -1,4 +1,4 @@
-"""Takes the beats of the target beside this proxy."""
+"""Receives the heartbeats of the target beside this proxy."""
 
 import json
 from datetime import timedelta
@@ -14,14 +14,17 @@
 
 
 def read_beat(instance: str, body: bytes) -> Beat:
-    """The beat in the body; ValueError names what is wrong with it."""
+    """Parses a heartbeat; ValueError names what is wrong with it.
+
+    Raises OverflowError for numbers out of range and RecursionError for deep nesting.
+    """
     document = json.loads(body)
     if not isinstance(document, dict):
         raise ValueError("not an object")
 
     def field(name: str, kind: type | tuple[type, ...], default=None):
         value = document.get(name, default)
-        # A truth is a whole number to Python, but not to a target.
+        # bool is a subclass of int in Python, but not a number in JSON.
         if not isinstance(value, kind) or isinstance(value, bool):
             raise ValueError(f"{name}: missing or of the wrong kind")
         return value
@@ -42,7 +45,7 @@
 
 
 class BeatCalls:
-    """The calls that targets make, served from the local state at once."""
+    """The calls that targets make, served from local state."""
 
     def __init__(self, target: LocalTarget, own_zone: str) -> None:
         self._target = target
@@ -58,7 +61,7 @@
             beat = read_beat(call.subject, call.body)
         except (ValueError, OverflowError, RecursionError) as error:
             return json_answer(400, {wire_names.REASON: str(error)})
-        # The guard obeys from this line on, so the answer may say so.
+        # The guard applies it from here on, so the answer may confirm it.
         self._target.take_beat(beat._replace(zone=beat.zone or self._own_zone))
         return json_answer(200, {})
 
--- a/marblefold/proxy/first_news.py
+++ b/marblefold/proxy/first_news.py
@@ -1,10 +1,10 @@
-"""What a proxy that has just started makes of registries out of contact.
+"""How a proxy that has just started treats registries without a majority.
 
-A registry that was cut off may hold an older configuration, and a proxy that
-knows nothing yet cannot tell.  So records of operators are held back until a
-registry in contact with a majority has spoken, or until it is clear that none
-can be found soon: then this proxy is cut off as well, and serves by what there
-is, as one that has long been running would.
+A partitioned registry may hold an older configuration, and a proxy without any
+state cannot detect that.  So records of operators are held back until a registry
+in contact with a majority has sent its entries, or until none could be found in
+time: then this proxy is partitioned as well, and uses what it received, as a proxy
+that has been running for long would.
 """
 
 from collections.abc import Iterable
@@ -13,38 +13,38 @@
 
 __all__ = ["PATIENCE_SECONDS", "FirstNews"]
 
-# A registry passed over for being out of contact has been replaced by then.
+# Seconds; a registry avoided for being out of contact has been replaced by then.
 PATIENCE_SECONDS = 3.0
 _OF_OPERATORS = ("configuration", "evacuation", "partners", "owner")
 
-Told = tuple[str, kinds.Entry]
+ReceivedEntry = tuple[str, kinds.Entry]
 
 
 class FirstNews:
-    """Sorts what registries told before the first one in contact spoke."""
+    """Holds back entries received before those of the first registry in contact."""
 
     def __init__(self) -> None:
         self._is_open = False
-        self._held: list[Told] = []
+        self._held: list[ReceivedEntry] = []
         self._since: float | None = None
 
     def admit(
         self, peer: str, entries: Iterable[kinds.Entry], is_in_touch: bool, now: float
-    ) -> list[Told]:
-        """The entries to take now, each with the registry that told it; now: steady seconds."""
-        told = [(peer, entry) for entry in entries]
+    ) -> list[ReceivedEntry]:
+        """The entries to apply now, each with its registry; `now`: monotonic seconds."""
+        received = [(peer, entry) for entry in entries]
         if self._is_open:
-            return told
+            return received
         if is_in_touch or self._is_patience_over(now):
             self._is_open = True
-            # Those of the registry in contact first: what is older is no news then.
+            # Those of the registry in contact first: older entries are then ignored.
             held, self._held = self._held, []
-            return told + held
-        for one in told:
+            return received + held
+        for one in received:
             if one[1].kind in _OF_OPERATORS:
                 self._held.append(one)
                 self._since = now if self._since is None else self._since
-        return [one for one in told if one[1].kind not in _OF_OPERATORS]
+        return [one for one in received if one[1].kind not in _OF_OPERATORS]
 
     def _is_patience_over(self, now: float) -> bool:
         return self._since is not None and now - self._since >= PATIENCE_SECONDS
--- a/marblefold/proxy/health_probe.py
+++ b/marblefold/proxy/health_probe.py
@@ -1,4 +1,4 @@
-"""Asks the target for its health where its beats leave a question open."""
+"""Checks the target's health where its heartbeats are not enough."""
 
 import asyncio
 from datetime import timedelta
@@ -18,7 +18,7 @@
 
 
 class Health(NamedTuple):
-    """What a healthy target says of itself."""
+    """What a healthy target reports; `cold` is how much longer it is cold."""
 
     instance: str
     slots: int
@@ -26,7 +26,7 @@
 
 
 async def ask_health(address: Address, path: str) -> Health | None:
-    """The target's health, or None if it is not well or says nothing."""
+    """The target's health, or None if it is unhealthy or gives no answer in time."""
     connections = TargetConnections(address)
     connection = None
     try:
--- a/marblefold/proxy/lease_client.py
+++ b/marblefold/proxy/lease_client.py
@@ -1,4 +1,4 @@
-"""Asks registries for the leases that this node needs, if it needs any."""
+"""Requests the leases that this node needs from the registries."""
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.leases.held_leases import Grant, OwnedLease
@@ -10,7 +10,7 @@
 
 
 class LeaseClient:
-    """Makes askings and takes the grants in."""
+    """Makes lease requests and applies the grants; times are monotonic seconds."""
 
     def __init__(self, node: str, view: MeshView, site: str = "", agent: str = "") -> None:
         self._node = node
@@ -20,7 +20,7 @@
         self._next = 0.0
 
     def is_due(self, now: float) -> bool:
-        """Whether it is time to ask; without partners and owners it never is."""
+        """Whether a request is due; never without partners and owners."""
         needs = self._view.partners is not None or (self._site and self._view.owners)
         if not needs or now < self._next:
             return False
@@ -28,18 +28,18 @@
         return True
 
     def ask(self, peer: str, now: float) -> kinds.RenewLease:
-        """What to ask the registry."""
+        """The request to send to the registry."""
         partners = self._view.partners
         return kinds.RenewLease(
             node=self._node,
             number=self._view.leases.ask(now),
             digest=partners.digest if partners is not None else "",
-            # Only the agent of our own site speaks for it, whatever its name.
+            # Only the agent of our own site may grant for it.
             site=self._site if peer == self._agent else "",
         )
 
     def take(self, message: kinds.LeaseGrant) -> None:
-        """A registry granted leases."""
+        """Applies the leases that a registry granted."""
         partners = self._view.partners
         self._view.leases.take(
             Grant(
--- a/marblefold/proxy/leaving.py
+++ b/marblefold/proxy/leaving.py
@@ -1,4 +1,4 @@
-"""Leaves in order after a SIGTERM: nothing read is left unanswered."""
+"""Graceful shutdown after a SIGTERM: every request that was read is answered."""
 
 import asyncio
 import time
@@ -10,17 +10,17 @@
 
 __all__ = ["Leaver", "leave_in_order"]
 
-# The platform asks for readiness every second and believes two misses.
+# The platform checks readiness every second and acts on two failures.
 _NOTICED = timedelta(milliseconds=2300)
 _QUIET = timedelta(milliseconds=400)
 _LOOK_EVERY = 0.05
-# A part of the grace period is kept for the end itself.
+# The rest of the grace period is reserved for the end itself.
 _GRACE_SHARE = 0.92
 _TAKING_SHARE = 0.55
 
 
 class Leaver(Protocol):
-    """What has to be stopped in order."""
+    """A program that is shut down gracefully."""
 
     outbound: HttpServer
 
@@ -34,18 +34,18 @@
 
 
 async def leave_in_order(program: Leaver) -> None:
-    """Returns when the process may end."""
+    """Returns when the process may exit."""
     began = time.monotonic()
     log.info("leaving", in_progress=program.outbound.in_progress, hops=program.hops_in_progress)
     program.tell_leaving()
-    # Answers from here on end their connections, but requests are still taken:
-    # clients come until the platform has missed our readiness twice.
+    # Answers from here on close their connections, but requests are still accepted:
+    # clients arrive until the platform has seen two failed readiness checks.
     program.outbound.is_leaving = True
     last = began + program.grace_period.total_seconds() * _GRACE_SHARE
     while (now := time.monotonic()) < last:
         if now - began > program.grace_period.total_seconds() * _TAKING_SHARE:
-            # Clients may come as long as we listen: what is taken in later
-            # than this could not be brought to its end.
+            # Clients may arrive as long as we listen: a request accepted later
+            # than this could not be finished.
             program.outbound.turns_away = True
             program.outbound.stop()
         is_noticed = now - began > _NOTICED.total_seconds()
--- a/marblefold/proxy/notices.py
+++ b/marblefold/proxy/notices.py
@@ -1,4 +1,4 @@
-"""Makes what this proxy tells the registries of itself and its target."""
+"""Makes the notices of this proxy and its target for the registries."""
 
 import time
 
@@ -17,12 +17,12 @@
         self.is_leaving = False
         self._config = config
         self._target = target
-        # Lives are ordered by the clock, and outbid where that misleads.
+        # Lives are ordered by the clock; `outbid` corrects a clock that went back.
         self._life = int(time.time() * 1000)
         self._number = 0
 
     def make(self) -> kinds.TargetNotice:
-        """The notice as things stand now."""
+        """A notice of the current state."""
         self._number += 1
         target, config = self._target, self._config
         return kinds.TargetNotice(
@@ -43,7 +43,10 @@
         )
 
     def outbid(self, life: int) -> bool:
-        """Another life of this node is thought newer: begin one above it."""
+        """Another life of this node counts as newer: begin one above it, if needed.
+
+        Returns whether a new life was begun.
+        """
         if life <= self._life:
             return False
         self._life = life + 1
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -40,8 +40,8 @@
 __all__ = ["ProxyProgram"]
 
 _OVERDUE_LOOK = timedelta(seconds=10)
-# Peers are told that we leave after this part of the grace period.
-_TOLD_SHARE = 0.13
+# The shutdown is announced to peers after this share of the grace period.
+_ANNOUNCE_SHARE = 0.13
 
 
 class ProxyProgram:
@@ -76,7 +76,7 @@
         self.executor = RequestExecutor(
             self.surroundings, self._hops, self.guard.work, config.upstream
         )
-        self.view.on_partners = self._open_partner_door
+        self.view.on_partners = self._add_partner_hops
         self._tracing = start_tracing(
             config,
             inner_address(config.host, config, PROXY),
@@ -105,13 +105,13 @@
         self._stop = asyncio.Event()
 
     async def run(self) -> None:
-        """Serves until a SIGTERM has been obeyed."""
+        """Serves until the shutdown after a SIGTERM is complete."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
         self._watch.listen(self._on_config)
         self._take_address(self._config)
-        # Nobody knows what the target was already offered in this second.
+        # It is unknown what the target was already offered in this second.
         self.guard.cold.assume_spent(time.monotonic())
         listen = self._config.listen
         inner = inner_address(self._config.host, self._config, PROXY)
@@ -147,26 +147,26 @@
         self._tasks.cancel()
 
     def tell_leaving(self) -> None:
-        """Clients should go elsewhere now, and peers' hops a little later."""
+        """Sends clients elsewhere now, and peers' hops a little later."""
         self.is_leaving = True
         self.guard.begin_leaving(time.monotonic())
         # It takes the platform two seconds to notice; until that is half over
         # the target beside us serves on.
-        wait = self.grace_period.total_seconds() * _TOLD_SHARE
-        asyncio.get_running_loop().call_later(wait, self._tell_peers_leaving)
+        wait = self.grace_period.total_seconds() * _ANNOUNCE_SHARE
+        asyncio.get_running_loop().call_later(wait, self._announce_leaving)
 
-    def _tell_peers_leaving(self) -> None:
+    def _announce_leaving(self) -> None:
         self._notices.is_leaving = True
         self.follower.tell()
 
     @property
     def hops_in_progress(self) -> int:
-        """How many hops of peers the guard has in hand."""
+        """How many hops of peers the guard is serving."""
         return self.guard.in_progress
 
     @property
     def grace_period(self) -> timedelta:
-        """How long the platform lets us take to leave."""
+        """How long the platform allows for the shutdown."""
         return self._watch.config.bounds.grace_period
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
@@ -174,15 +174,15 @@
         self.guard.on_hop(exchange, payload)
 
     def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
-        """Peers call for nothing."""
+        """Peers make no calls."""
 
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
-        """A peer tells which trace is to be kept."""
+        """A peer requests that a trace be kept."""
         if self._tracing is not None:
             self._tracing.take(unpack_message(payload))
 
     def on_lost(self, connection: PeerConnection) -> None:
-        """A peer's connection is gone; its hops were told already."""
+        """A peer's connection is lost; its hops have been cancelled already."""
 
     async def _readiness(self, _call: Call) -> Answer:
         # Ready means: a client that comes now can be served as it should.
@@ -191,7 +191,7 @@
         return json_answer(200, {"ready": True})
 
     async def _find_target(self) -> None:
-        """After our own start the target may be long there: ask it once."""
+        """After our own start the target may already be running: probe it once."""
         while self.target.state is TargetState.UNKNOWN and self._config.app_address:
             table = self.view.table
             known = table.upstreams.get(self._config.upstream) if table else None
@@ -232,17 +232,17 @@
     def _on_configuration(self, table: RouteTable) -> None:
         self.outbound.set_limits(table.limits)
 
-    def _open_partner_door(self) -> None:
-        """The first partner is known: hops to partners get a way of their own."""
+    def _add_partner_hops(self) -> None:
+        """The first partner is known: adds the sender for hops to partners."""
         # Nothing else in a proxy needs it.
-        from marblefold.gateway.partner_hops import open_partner_way
+        from marblefold.gateway.partner_hops import add_partner_hops
 
-        self.executor.hops = open_partner_way(self._hops, self.view, self._tasks)
+        self.executor.hops = add_partner_hops(self._hops, self.view, self._tasks)
 
     def _on_evacuation(self, zone: str, is_on: bool) -> None:
         if is_on or zone != self._config.zone:
             return
-        # The target may have gone cold unseen: hold it to that till it speaks.
+        # The target may have gone cold unnoticed: assume so until it reports.
         now = time.monotonic()
         self.target.note_cold(self._config.beat_interval, now)
         table = self.view.table
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -1,4 +1,4 @@
-"""Keeps in touch with the registries: tells them of us, follows their feeds."""
+"""Connects to the registries: sends them our notices and follows their feeds."""
 
 import asyncio
 import time
@@ -13,24 +13,24 @@
 from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.logs import log
-from marblefold.proxy.first_news import FirstNews, Told
+from marblefold.proxy.first_news import FirstNews, ReceivedEntry
 from marblefold.proxy.lease_client import LeaseClient
 from marblefold.proxy.wants import Wants
 
 __all__ = ["FeedTaker", "RegistryFollower"]
 
 _LOOK_EVERY = 0.2
-# A registry that lost the majority for longer is not counted as touch.
+# A registry without a majority for longer does not count as in touch.
 _TOUCH_SECONDS = 3.0
-# A followed registry says something every second; one that does not, or is
-# lost, is passed over for a while where others can be followed.
+# A followed registry sends something every second; one that does not, or is
+# lost, is avoided for a while if others can be followed.
 _SILENT_SECONDS = 2.5
 _PASS_OVER_SECONDS = 3.0
 _COUNTING_SECONDS = 3.0
 
 
 class FeedTaker(Protocol):
-    """What takes the news in."""
+    """What applies the entries of the feeds."""
 
     proxies: int
 
@@ -73,30 +73,30 @@
 
     @property
     def is_in_touch(self) -> bool:
-        """Whether some registry that reaches a majority spoke lately."""
+        """Whether a registry in contact with a majority sent something recently."""
         now = time.monotonic()
         return any(now - at < _TOUCH_SECONDS for at in self._touched.values())
 
     def tell(self) -> None:
-        """Something about this node changed: all registries should know."""
+        """Sends a notice of the current state to all followed registries."""
         if self._make_notice is None:
             return
         self.send_to_all(self._make_notice())
 
     def send_to_all(self, message: object) -> None:
-        """Tells all registries that are followed."""
+        """Sends a message to all registries that are followed."""
         for peer in self._following:
             self.send_to(peer, message)
 
     def send_to(self, peer: str, message: object) -> bool:
-        """Tells one registry something, if it can be reached now."""
+        """Sends a message to one registry; returns whether it is connected."""
         connection = self._peers.find(peer)
         if connection is not None:
             connection.send(FrameKind.TELL, 0, pack_message(message))
         return connection is not None
 
     async def run(self) -> None:
-        """Keeps a connection to every registry that is to be followed, for ever."""
+        """Keeps a connection to every registry to be followed; runs forever."""
         was_in_touch = False
         while True:
             if self.is_in_touch != was_in_touch:
@@ -123,7 +123,7 @@
         if self._most is None:
             return list(known)
         for peer in self._following & known:
-            # What says nothing, or reaches no majority, is not relied on.
+            # An unresponsive registry, or one without a majority, is not relied on.
             is_silent = now - self._heard.get(peer, now) > _SILENT_SECONDS
             is_alone = now - self._touched.get(peer, now) > _SILENT_SECONDS
             if is_silent or is_alone:
@@ -156,7 +156,10 @@
         )
 
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
-        """A part of a feed has come."""
+        """Applies a message of a registry: a part of its feed, an entry or a lease.
+
+        Raises ValueError if it is malformed.
+        """
         feed = unpack_message(payload)
         if isinstance(feed, kinds.LeaseGrant) and self._asker is not None:
             self._asker.take(feed)
@@ -169,7 +172,7 @@
         entries = feed.entries
         if feed.compressed_entries:
             entries = kinds.Feed.FromString(zlib.decompress(feed.compressed_entries)).entries
-        # Changes that do not join on to what we have tell of a gap.
+        # Changes that do not continue what we have show a gap: start over.
         joins = feed.snapshot or (feed.registry_life == life and feed.place - len(entries) <= place)
         if not joins:
             self._places.pop(connection.peer, None)
@@ -183,26 +186,26 @@
         self._take(self._first_news.admit(connection.peer, entries, feed.in_touch, now), now)
 
     def release_first_news(self, now: float) -> None:
-        """Takes what was held back, if no registry in contact can be found; steady seconds."""
+        """Applies entries held back for too long; `now` is in monotonic seconds."""
         self._take(self._first_news.admit("", (), False, now), now)
 
-    def _take(self, told: list[Told], now: float) -> None:
-        for peer, entry in told:
+    def _take(self, received: list[ReceivedEntry], now: float) -> None:
+        for peer, entry in received:
             if entry.deferred:
                 self._wants.hear(peer, entry, now)
             else:
                 self._view.take(entry)
 
     def _take_count(self, proxies: int, now: float) -> None:
-        """How many share the budget of further tries with us."""
+        """Records how many proxies share the retry budget."""
         self._counted_since = self._counted_since or now
-        # Registries that start together with us count up from nothing; and of
-        # several counts, over time too, the largest is the careful one.
+        # Registries that start together with us count up from zero; and the
+        # largest of several counts is the cautious choice.
         if now - self._counted_since >= _COUNTING_SECONDS:
             self._view.proxies = max(self._view.proxies, proxies)
 
     def on_lost(self, connection: PeerConnection) -> None:
-        """A registry is out of reach; the rounds will find it again."""
+        """A connection to a registry is lost; `run` will reconnect."""
         self._following.discard(connection.peer)
         log.info("registry lost", peer=connection.peer)
 
@@ -211,7 +214,7 @@
         exchange.close()
 
     def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
-        """Registries call for nothing."""
+        """Registries make no calls."""
 
 
 def _rank(node: str, peer: str) -> int:
--- a/marblefold/proxy/traffic_teller.py
+++ b/marblefold/proxy/traffic_teller.py
@@ -1,4 +1,4 @@
-"""Tells the registries at times how many requests began here."""
+"""Reports to the registries periodically how many requests began here."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 
 class TrafficTeller:
-    """Owns the pace of the notices."""
+    """Sends the traffic notices at the configured period."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._period = read_traffic_period() if period is None else period
 
     async def run(self) -> None:
-        """Tells, for ever; nodes that start together do not tell together."""
+        """Sends notices forever, with a random first delay to spread the nodes."""
         if not self._period:
             return
         await asyncio.sleep(random.random() * self._period.total_seconds())
@@ -40,7 +40,7 @@
             await asyncio.sleep(self._period.total_seconds())
 
     def tell(self) -> None:
-        """Tells the counts as they stand, where there is news."""
+        """Sends the current counts, if they have changed."""
         config = self._config
         notice = self._count.make_notice(
             config.node_name, config.zone, config.region, self._service_seconds()
--- a/marblefold/proxy/wants.py
+++ b/marblefold/proxy/wants.py
@@ -1,4 +1,4 @@
-"""Fetches large entries from one registry, where all of them told the news."""
+"""Fetches each large entry from one registry, when several announce it."""
 
 from collections.abc import Callable
 
@@ -6,12 +6,12 @@
 
 __all__ = ["Wants"]
 
-# A registry that does not give an entry for so long is not waited for.
+# After so many seconds without the entry another registry is asked.
 _PATIENCE_SECONDS = 0.35
 
 
 class _Wanted:
-    """An entry that is news, who has it, and whom we asked."""
+    """An announced entry, the registries that have it, and when one was asked."""
 
     def __init__(self, entry) -> None:
         self.entry = entry
@@ -20,7 +20,7 @@
 
 
 class Wants:
-    """What is wanted, and from whom it can be had."""
+    """The entries to fetch and the registries that have them; `now`: monotonic seconds."""
 
     def __init__(
         self,
@@ -32,7 +32,7 @@
         self._wanted: dict[tuple[str, str], _Wanted] = {}
 
     def hear(self, peer: str, entry, now: float) -> None:
-        """A registry has this entry."""
+        """A registry announced this entry."""
         if not self._is_news(entry):
             return
         key = (entry.kind, entry.key)
@@ -45,7 +45,7 @@
         self._ask(wanted, now)
 
     def repeat(self, now: float) -> None:
-        """Asks another where the first one does not give it."""
+        """Asks another registry for each entry that did not arrive in time."""
         for key, wanted in list(self._wanted.items()):
             if not self._is_news(wanted.entry):
                 del self._wanted[key]
@@ -56,7 +56,7 @@
         if now - wanted.asked_at < _PATIENCE_SECONDS:
             return
         want = kinds.Want(kind=wanted.entry.kind, key=wanted.entry.key)
-        # The one asked goes to the end: the next time it is another's turn.
+        # The registry that was asked goes to the end of the list.
         for _ in range(len(wanted.peers)):
             peer = wanted.peers.pop(0)
             wanted.peers.append(peer)
--- a/marblefold/registry/platform_list.py
+++ b/marblefold/registry/platform_list.py
@@ -1,7 +1,7 @@
 """Reads the platform's list of targets, page by page.
 
-The list is paged and its calls are counted over all nodes; what is read is a
-whole list or nothing.
+The list is paged, and its calls are rate-limited over all nodes; either the whole
+list is read or nothing.
 """
 
 import asyncio
@@ -21,12 +21,12 @@
 
 _CALL_SECONDS = 1.0
 _MOST_PAGES = 1000
-# Two nodes that both think they hold the duty stay below the rate together.
+# Even two nodes that both poll stay below the rate limit together.
 _RATE_SHARE = 0.25
 
 
 class ListedTarget(NamedTuple):
-    """A target as the platform lists it."""
+    """A target as the platform lists it; `cold` is how much longer it is cold."""
 
     instance: str
     upstream: str
@@ -38,7 +38,7 @@
 
 
 class PlatformList:
-    """Asks the platform for its list."""
+    """Reads the list from the platform, at a share of the rate in calls per second."""
 
     def __init__(self, address: Address, rate_per_second: float) -> None:
         self._address = address
@@ -46,7 +46,7 @@
         self._pause = 1.0 / max(0.1, rate_per_second * _RATE_SHARE)
 
     async def read(self) -> dict[str, ListedTarget]:
-        """The whole list, or a MeshError if any of its pages does not come."""
+        """The whole list by instance; MeshError if any of its pages cannot be read."""
         listed: dict[str, ListedTarget] = {}
         token = ""
         for _ in range(_MOST_PAGES):
@@ -86,7 +86,10 @@
 
 
 def read_page(body: bytes) -> tuple[list[ListedTarget], str]:
-    """The targets of a page, and the token of the next one or nothing."""
+    """The targets of a page, and the token of the next page or "".
+
+    Raises ValueError, TypeError, KeyError or AttributeError if the page is malformed.
+    """
     document = json.loads(body)
     targets = []
     for instance, row in document[wire_names.INSTANCE_LIST].items():
--- a/marblefold/request_path/cold_limit.py
+++ b/marblefold/request_path/cold_limit.py
@@ -1,16 +1,19 @@
-"""Holds a cold target to what it bears within any second."""
+"""Limits how many requests a cold target is offered within any second."""
 
 from collections import deque
 
 __all__ = ["ColdLimit"]
 
 _WINDOW_SECONDS = 1.0
-# Both clocks, the target's and ours, may place an arrival a little apart.
+# The target's clock and ours may place an arrival slightly apart.
 _EDGE_SECONDS = 0.05
 
 
 class ColdLimit:
-    """A sliding window of arrivals, counted always, binding while cold."""
+    """A sliding window of arrivals: always counted, enforced only while the target is cold.
+
+    All times are seconds of the monotonic clock.
+    """
 
     def __init__(self) -> None:
         self.cold_until = 0.0
@@ -18,11 +21,14 @@
         self._spent_until = 0.0
 
     def assume_spent(self, now: float) -> None:
-        """After our own start nobody knows what this second already held."""
+        """Counts the current window as used up: after a start its arrivals are unknown."""
         self._spent_until = now + _WINDOW_SECONDS + _EDGE_SECONDS
 
     def may_offer(self, now: float, most: float) -> bool:
-        """Whether one more may go to the target now; if so it is counted."""
+        """Whether one more request may go to the target now; if so, it is counted.
+
+        `most` is the number of requests allowed within a second.
+        """
         self._forget(now)
         if now < self.cold_until:
             if now < self._spent_until or len(self._arrivals) + 1 > most:
@@ -31,7 +37,7 @@
         return True
 
     def retry_after(self, now: float) -> float:
-        """When the window will have room again."""
+        """In how many seconds the window has room again."""
         if not self._arrivals:
             return max(0.05, self._spent_until - now)
         return max(0.05, self._arrivals[0] + _WINDOW_SECONDS + _EDGE_SECONDS - now)
--- a/marblefold/request_path/decision.py
+++ b/marblefold/request_path/decision.py
@@ -1,6 +1,6 @@
-"""Decides, step by step, what becomes of one request.
+"""Decides, step by step, how one request is handled.
 
-The decision is asked and the executor obeys: nothing here waits or sends.
+The executor carries out each decision: nothing here waits or sends.
 """
 
 from collections.abc import Collection
@@ -18,25 +18,25 @@
 
 # Less time than this is not worth a hop.
 _LEAST_SECONDS = 0.004
-# What is not offered within a quarter of its aim had better be told so, for
-# the client to come back while that helps; the rest is for the way.
+# A request that was not offered within this share of its latency aim is refused,
+# so that the client can retry in time; the rest of the aim is left for the hop.
 _QUEUE_AIM_SHARE = 0.2
-# A call in the midst of a run fails that run with it, and nobody comes back
-# for it: it may wait for this part of the time it has.
+# If a call made by a running request fails, that request fails too and is not
+# retried: such a call may wait for this share of the time it has left.
 _QUEUE_CALL_SHARE = 0.6
-# Guards that turn a hop away cost little; still the search must end.
+# A hop refused by a guard costs little, but the search must end.
 _MOST_REFUSED_HOPS = 4
-# One node of hundreds sees a given target once in many seconds: what it knows of
-# its load is old. The guard knows: the first hops of a call within a run, which
-# holds a slot elsewhere while it waits, ask for a slot that is free now, and
-# only the next one joins a queue.
+# One of hundreds of nodes uses a given target only once in many seconds, so its
+# figures of the load there are old; the guard's are exact. A call made by a running
+# request holds a slot elsewhere while it waits: its first hops ask for a slot that
+# is free now, and only the next one joins a queue.
 _HOPS_WITHOUT_QUEUE = 2
 _RETRY_WHEN_NO_TARGET = 0.25
 _RETRY_AT_LEAST = 0.05
 
 
 class Offer(NamedTuple):
-    """Send a hop to this target."""
+    """Send a hop to this target; times are in seconds."""
 
     target: KnownTarget
     seconds_left: float
@@ -54,7 +54,7 @@
 
 
 class Facts(Protocol):
-    """What a decision may ask of its surroundings."""
+    """What a decision reads from its surroundings; times are monotonic seconds."""
 
     def select(
         self,
@@ -102,7 +102,7 @@
         self._offered = 0
         self._refused_hops = 0
         self._tried: set[str] = set()
-        # Targets asked for a free slot that had none; each may still be queued at.
+        # Targets that had no free slot when asked; a hop may still queue at each.
         self._asked: set[str] = set()
         self._is_asking = False
         self._may_have_run = False
@@ -110,16 +110,16 @@
 
     @property
     def weight(self) -> float:
-        """What elapsed times are divided by before they are compared."""
+        """The latency aim in seconds; elapsed times are divided by it to be compared."""
         return self._aim
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a target may have begun work on it."""
+        """Whether a target may have begun to process the request."""
         return self._may_have_run
 
     def note(self, target: KnownTarget, result: HopResult) -> None:
-        """Takes in how a hop ended."""
+        """Records how a hop ended."""
         self._last = result
         is_merely_full = self._is_asking and result.step == NO_SLOT
         (self._asked if is_merely_full else self._tried).add(target.instance)
@@ -131,7 +131,10 @@
             self._may_have_run = True
 
     def next_step(self, now: float) -> Offer | Conclude:
-        """What to do now."""
+        """The next step; `now` is in monotonic seconds.
+
+        Raises ValueError if the last hop was recorded as answered without an answer.
+        """
         if self._last is not None:
             final = self._judge_last(self._last, now)
             if final is not None:
@@ -147,36 +150,36 @@
         passage = self._facts.ask_breaker(self.upstream, now)
         if not passage.allowed:
             return self._give_up("breaker", now, passage.retry_after)
-        nominee = self._select(now)
-        if nominee is None:
+        selected = self._select(now)
+        if selected is None:
             return self._give_up("select", now)
         queue = max(0.0, min(self._queue_end - now, left))
         return Offer(
-            nominee.target,
+            selected.target,
             left,
             0.0 if self._is_asking else queue,
             self._arrived + self._aim - now,
             self._offered + 1,
-            nominee.is_last_resort,
+            selected.is_last_resort,
         )
 
     def _select(self, now: float) -> Nominee | None:
-        """The next target, and whether it is asked for a free slot or queued at."""
+        """Selects the next target and decides whether the hop may queue there."""
         self._is_asking = self._is_call and self._refused_hops < _HOPS_WITHOUT_QUEUE
         tried = self._tried | self._asked if self._is_asking else self._tried
-        nominee = self._facts.select(
+        selected = self._facts.select(
             self.upstream, tried, self._route.allowed_regions, self._kilobytes, now
         )
-        if nominee is None and self._is_asking and self._asked:
-            # All that there are were asked: wait at one of them.
+        if selected is None and self._is_asking and self._asked:
+            # All eligible targets were asked for a free slot: queue at one of them.
             self._is_asking = False
-            nominee = self._facts.select(
+            selected = self._facts.select(
                 self.upstream, self._tried, self._route.allowed_regions, self._kilobytes, now
             )
-        return nominee
+        return selected
 
     def _judge_last(self, last: HopResult, now: float) -> Conclude | None:
-        """The end of the request, if the last hop brought it."""
+        """The conclusion of the request, if the last hop ended it."""
         if last.outcome is HopOutcome.ANSWERED:
             answer = _answer_of(last)
             if answer.status < 500 or not self._may_go_on():
@@ -187,10 +190,10 @@
                 return None
             return self._give_up(last.step, now)
         if not self._is_replayable:
-            # The body is spent: nothing is left to offer to another target.
+            # The body was consumed: it cannot be sent to another target.
             return self._give_up(last.step, now)
         if last.outcome is HopOutcome.NEVER_OFFERED:
-            # Held for long enough, or turned away often enough.
+            # It waited long enough, or was refused often enough.
             if now >= self._queue_end or self._refused_hops >= _MOST_REFUSED_HOPS:
                 return self._give_up(last.step, now)
         return None
@@ -205,7 +208,7 @@
         if last is not None and last.outcome is HopOutcome.ANSWERED:
             return Conclude(_answer_of(last), "answered")
         if self._may_have_run:
-            # It may have run, or run still: no promise can be made.
+            # It may have run, or may still be running: neither can be ruled out.
             status = 504 if now >= self.deadline - _LEAST_SECONDS else 502
             return Conclude(own_answer(status, f"gave up: {step}", self._attempt_id), step)
         if last is not None:
--- a/marblefold/request_path/eligibility.py
+++ b/marblefold/request_path/eligibility.py
@@ -19,10 +19,10 @@
     # A service that a site owns is served nowhere else.
     if owner is not None and (target.site, target.site_agent) != (owner.site, owner.agent):
         return False
-    # The homes of a route bind: elsewhere it must not run.
+    # Outside the allowed regions of its route a request must not run.
     return not homes or target.region in homes
 
 
 def is_last_resort(target: KnownTarget) -> bool:
-    """Whether the target itself says that it had better not be selected."""
+    """Whether the target or its proxy is shutting down and should be avoided."""
     return target.is_draining or target.is_leaving
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -1,4 +1,4 @@
-"""Takes a client's request through the mesh, as its decision says."""
+"""Executes a client's request through the mesh, following its RequestDecision."""
 
 import asyncio
 import random
@@ -25,13 +25,13 @@
 
 __all__ = ["RequestExecutor"]
 
-# A body up to this is held, so that it can be offered once more.
+# A body of up to so many bytes is buffered, so that it can be sent again.
 _HELD_BODY = 512 * 1024
 _NO_DEADLINE_SECONDS = 600.0
-# When to come back with a body that was not in by its deadline.
+# Retry-After, in seconds, for a body that was not received by its deadline.
 _AGAIN_SECONDS = 0.1
 _LONGEST_ID = 200
-# How a request ends that nobody waits for any more.
+# How a request ends whose client is gone.
 _CANCELLED = Conclude(Answer(0), "cancelled")
 
 
@@ -46,7 +46,7 @@
         caller: str,
     ) -> None:
         self.caller = caller
-        # Told of every step, where this node traces.
+        # Records every step, if this node traces.
         self.tracer: RequestTracer | None = None
         self._work = work
         self._surroundings = surroundings
@@ -54,18 +54,18 @@
         self._random = random.Random()
 
     async def serve(self, request: ClientRequest) -> Answer:
-        """The answer to the request."""
+        """The answer to the request; ConnectionError if its client is lost."""
         table = self._surroundings.view.table
         if table is None:
             return own_answer(503, "no configuration yet", request.attempt_id, 0.5)
         route = self._find_route(request, table)
         if isinstance(route, Answer):
             return route
-        # Decided on the head alone, before anything is spent on the request.
+        # Decided on the head alone, before any work is done for the request.
         concurrency_limiter = self._surroundings.concurrency
         passage = concurrency_limiter.ask(route.name, route.priority, request.arrived)
         if not passage.allowed:
-            log.warning("too many alike", route=route.name, attempt=request.attempt_id)
+            log.warning("concurrency limit", route=route.name, attempt=request.attempt_id)
             return own_answer(429, "too many alike", request.attempt_id, passage.retry_after)
         ticket = concurrency_limiter.begin(route.name, request.arrived, request.attempt_id)
         try:
@@ -80,7 +80,7 @@
         try:
             body, is_whole = await _gather(request, body_limit, deadline)
         except TimeoutError:
-            # Nothing was begun, and the rest of the body will be read by nobody.
+            # Nothing was begun, and the rest of the body will not be read.
             return own_answer(503, "not run: body", request.attempt_id, _AGAIN_SECONDS, closes=True)
         except BodyTooLarge:
             return own_answer(413, "the body is too large", request.attempt_id, closes=True)
@@ -123,7 +123,7 @@
         head.config_version = table.number if table is not None else 0
         head.owner_epoch = owner.epoch if owner is not None else 0
         if parent is not None:
-            # Work was put into the run already: its calls go first.
+            # Work was already done for the calling request: its calls go first.
             head.priority = 0
             head.repeat_run = parent.is_repeat
             if parent.is_repeat:
@@ -143,7 +143,7 @@
         end = _CANCELLED
         try:
             while not isinstance(step := decision.next_step(time.monotonic()), Conclude):
-                # What is held whole can be sent again from its beginning.
+                # A body that is buffered whole can be sent again from its beginning.
                 sent: SentRequest = (
                     HeldRequest(request, body) if is_whole and head.body_follows else request
                 )
@@ -185,7 +185,7 @@
         head.attempt_number = offer.attempt_number
         head.last_resort = offer.is_last_resort
         surroundings = self._surroundings
-        # Anything beyond the first offer may arrive at a target as a repeat.
+        # Any attempt after the first may reach a target as a repeat.
         if offer.attempt_number > 1:
             surroundings.note_repeat(target.upstream, time.monotonic())
         ticket = surroundings.begin(target, decision.weight, head.attempt_id)
@@ -208,7 +208,7 @@
     def may_run_ahead(self, request: ClientRequest) -> bool:
         """Whether a pipelined request may run before those ahead of it are answered.
 
-        The method does not tell what may be repeated; the route does.
+        Whether a request may be repeated depends on its route, not on its method.
         """
         table = self._surroundings.view.table
         route = table.find(request.host, request.path) if table is not None else None
@@ -231,8 +231,8 @@
         return route
 
     def _find_deadline(self, request: ClientRequest, route: Route) -> float:
-        told = request.deadline_ms
-        seconds = told / 1000.0 if told is not None else _NO_DEADLINE_SECONDS
+        requested = request.deadline_ms
+        seconds = requested / 1000.0 if requested is not None else _NO_DEADLINE_SECONDS
         return request.arrived + min(seconds, route.time_limit.total_seconds())
 
     def _pick_upstream(self, route: Route) -> str:
@@ -242,7 +242,11 @@
 
 
 async def _gather(request: ClientRequest, most: int, deadline: float) -> tuple[bytes, bool]:
-    """What is held of the body; TimeoutError if it is not in by the deadline."""
+    """The buffered part of the body, and whether it is whole.
+
+    Raises TimeoutError if the body is not received by the deadline (monotonic seconds),
+    BodyTooLarge above `most` bytes, and ConnectionError if the client is lost.
+    """
     if not request.has_body:
         return b"", True
     async with asyncio.timeout(max(0.0, deadline - time.monotonic())):
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -1,7 +1,7 @@
 """The inbound guard: the only way to the target beside this proxy.
 
-What the rules bound at a target (leaving, evacuation, its life, its cold
-seconds, its slots) is kept here, locally and exactly.
+The limits of a target (shutdown, evacuation, instance, cold start, slots) are
+enforced here, locally and exactly.
 """
 
 import asyncio
@@ -30,22 +30,22 @@
 
 __all__ = ["Guard"]
 
-# A leaving target takes what has no other place to go for this part of its
-# drain time; the rest of that time is for what is then under way.
+# A draining target accepts hops that have no alternative for this share of its
+# drain time; the rest is for the requests in progress by then.
 _DRAIN_SHARE = 0.4
 _LEAST_SECONDS = 0.003
-# A body that is not in by this part of its aim had better go elsewhere.
+# A request whose body is not received within this share of its aim is refused.
 _BODY_AIM_SHARE = 0.6
 _LEAST_PATIENCE = 0.3
 _REFUSED_RETRY_SECONDS = 0.1
-# Offered requests and not a byte for so long: look whether the target is there.
+# Requests in progress and not a byte for so many seconds: check the target.
 _QUIET_SECONDS = 0.35
 _LOOK_SECONDS = 0.1
 _SHUN_SECONDS = 0.2
 
 
 class Guard:
-    """Asks nobody else whether a hop may go to the target."""
+    """Decides locally whether a hop may go to the target."""
 
     def __init__(
         self,
@@ -68,27 +68,27 @@
         self._watch = LoopWatch(_LOOK_SECONDS)
         self._unreachable_until = 0.0
         self._leaving = LeavingRule(bounds)
-        # Told of every hop, where this node traces.
+        # Records every hop, if this node traces.
         self.tracer: GuardTracer | None = None
 
     @property
     def in_progress(self) -> int:
-        """How many hops are in this guard's hands."""
+        """How many hops this guard is serving."""
         return len(self._tasks)
 
     def begin_leaving(self, now: float) -> None:
-        """The proxy is about to end: what is taken in must be over by then."""
+        """The proxy shuts down: what is accepted must finish in time; `now`: monotonic seconds."""
         self._leaving.since = now
 
     def set_address(self, address: Address) -> None:
-        """The target's own address, known from the config."""
+        """Sets the address of the target and closes its idle connections."""
         if self._connections is not None:
             self._connections.close()
         self._connections = TargetConnections(address)
         self._caller = TargetCaller(self._connections)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
-        """A hop has come from a peer."""
+        """Serves a hop from a peer; google.protobuf's DecodeError if its head is malformed."""
         head = kinds.RequestHead.FromString(payload)
         task = asyncio.get_running_loop().create_task(self._serve(exchange, head, time.monotonic()))
         self._tasks.add(task)
@@ -101,12 +101,12 @@
         exchange.close()
 
     async def run(self) -> None:
-        """Looks whether the target fell silent, for ever."""
+        """Checks forever whether the target has stopped responding."""
         while True:
             await asyncio.sleep(_LOOK_SECONDS)
             now = time.monotonic()
             self._watch.tick(now)
-            # One long request is no sign; several and not a byte are.
+            # One long request proves nothing; several without a byte do.
             waiting = self._offered.count_older(now, _QUIET_SECONDS)
             connections = self._connections
             if connections is None or waiting < 2 or now - connections.heard_at < _QUIET_SECONDS:
@@ -116,7 +116,7 @@
 
     def _give_up_on_target(self, now: float) -> None:
         self._unreachable_until = time.monotonic() + _SHUN_SECONDS
-        # What may be repeated need not wait here until its deadline.
+        # Repeatable requests need not wait here until their deadline.
         for exchange in self._offered.repeatable_before(now):
             if exchange.on_cancel is not None:
                 exchange.on_cancel()
@@ -135,7 +135,7 @@
             if not answer.body_follows:
                 exchange.send(FrameKind.ANSWER, answer.SerializeToString())
         except asyncio.CancelledError:
-            # The peer gave it up, or we did: in both cases this is the end.
+            # Cancelled by the peer or by this guard: either way the hop is over.
             exchange.send(FrameKind.RESET)
             raise
         except Exception as error:
@@ -152,12 +152,12 @@
         if refusal is not None:
             return refusal
         deadline = came + head.deadline_left_ms / 1000.0
-        # By rank, then by whose aim ends first: short calls, which others
-        # wait for in the midst of their work, are not held up by long ones.
+        # By rank, then by the earliest aim: short calls, which other running
+        # requests wait for, are not delayed by long ones.
         turn = Turn(head.priority, came + head.aim_left_ms / 1000.0)
         longest = head.queue_left_ms / 1000.0
         if head.body_follows and self.slots.expected_wait(turn) <= longest:
-            # Its bytes are worth the link only where a slot is likely.
+            # The body is transferred only if a slot is likely to be free in time.
             patience = max(_LEAST_PATIENCE, _BODY_AIM_SHARE * head.aim_left_ms / 1000.0)
             step = await self._intake.take(exchange, head, deadline - came, patience)
             if step:
@@ -170,7 +170,7 @@
         if span is not None:
             span.queued = started - came
         try:
-            # What held before the wait may not hold any more.
+            # The state may have changed during the wait.
             refusal = self._find_refusal(head)
             caller = self._caller
             # Without a caller there is a refusal.
@@ -205,7 +205,7 @@
             self.slots.note_service(seconds)
 
     def _find_refusal(self, head):
-        """Why the hop must not go to the target, if it must not."""
+        """The refusal of a hop that must not go to the target, or None."""
         target = self._target
         if self._caller is None or target.instance != head.expected_instance:
             return _refuse("another instance", 0.0)
@@ -216,7 +216,7 @@
         if not self._is_owner(head):
             return _refuse("another owner", _REFUSED_RETRY_SECONDS)
         if target.state is TargetState.DRAINING:
-            # News of the drain may be on its way; others may serve meanwhile.
+            # Peers may not know of the drain yet; other targets can serve meanwhile.
             share = self._bounds.drain_time.total_seconds() * _DRAIN_SHARE
             if not head.last_resort or time.monotonic() - target.drain_since > share:
                 return _refuse("draining", 0.0)
@@ -233,7 +233,7 @@
         return None
 
     def _is_owner(self, head) -> bool:
-        """Whether our site owns the service now, under the sender's epoch."""
+        """Whether our site owns the service now, in the sender's epoch."""
         if not head.owner_epoch and head.upstream not in self._view.owners:
             return True
         epoch = self._view.leases.epoch(head.upstream, time.monotonic())
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -1,4 +1,4 @@
-"""Sends one hop to the proxy beside a target and tells how it ended."""
+"""Sends one hop to the proxy beside a target and returns its result."""
 
 import asyncio
 import math
@@ -19,17 +19,17 @@
 
 __all__ = ["HopSender", "Hops", "make_result"]
 
-# A peer that holds hops and is quiet for so long is asked for a sign of life,
-# and counts as silent when none comes in time.
+# A peer that holds hops and sends nothing for so many seconds is pinged, and
+# counts as unresponsive if no frame arrives in time.
 _QUIET_SECONDS = 0.15
 _PATIENCE_SECONDS = 0.3
-# A sign of life may stand behind so much else on a narrow link.
+# On a narrow link a pong may be queued behind so many bytes.
 _AHEAD_BYTES = 96 * 1024
 _LOOK_SECONDS = 0.1
 # Less time than this is not worth a hop.
 _LEAST_SECONDS = 0.004
-# How long after the deadline the guard's own word is still waited for.
-_GUARD_WORD_SECONDS = 0.03
+# How many seconds after the deadline the guard's answer is still awaited.
+_GUARD_ANSWER_SECONDS = 0.03
 
 
 class Hops(Protocol):
@@ -61,10 +61,10 @@
         self._on_silent = on_silent
 
     async def run(self) -> None:
-        """Looks for peers that fell silent, for ever.
+        """Checks forever for unresponsive peers.
 
-        A machine without power or behind a cut says nothing; what may be
-        repeated need not wait for it until the deadline.
+        A machine without power or behind a network partition sends nothing;
+        repeatable requests need not wait for it until their deadline.
         """
         while True:
             await asyncio.sleep(_LOOK_SECONDS)
@@ -88,7 +88,10 @@
         body_bound: int,
         seconds: float,
     ) -> HopResult:
-        """The hop's end; it raises only BodyTooLarge and a lost client."""
+        """The result of the hop, sent within `seconds`.
+
+        Raises BodyTooLarge if the request has more than `body_bound` bytes.
+        """
         started = time.monotonic()
         try:
             connection = await self._peers.reach(peer)
@@ -96,7 +99,7 @@
         except MeshError as error:
             # No connection, nothing sent: certain.
             return HopResult(HopOutcome.NEVER_OFFERED, step=error.step)
-        # Reaching the peer took its time, and this process may have stood still.
+        # Connecting took time, and this process may have been suspended.
         spent = time.monotonic() - started
         seconds -= spent
         if seconds < _LEAST_SECONDS:
@@ -113,7 +116,7 @@
                 sender = asyncio.get_running_loop().create_task(
                     _send_rest(exchange, request, body_bound)
                 )
-            async with asyncio.timeout(seconds + _GUARD_WORD_SECONDS):
+            async with asyncio.timeout(seconds + _GUARD_ANSWER_SECONDS):
                 payload = await exchange.answer
             answer_head = kinds.AnswerHead.FromString(payload)
             has_answer = True
@@ -133,13 +136,13 @@
             if is_over:
                 exchange.close()
             elif not has_answer:
-                # A guard still at work is told that nobody waits; one that is
-                # silent now finds this behind the hop and does not begin it.
+                # Cancels the hop at a guard still working on it; an unresponsive
+                # guard reads this right behind the hop and does not begin it.
                 exchange.abandon()
 
 
 def _take_off(head, spent: float) -> None:
-    """The guard and the target are handed no more time than is left."""
+    """Reduces the times in the head to what is left."""
     milliseconds = math.ceil(spent * 1000)
     head.deadline_left_ms = max(1, head.deadline_left_ms - milliseconds)
     head.queue_left_ms = max(0, head.queue_left_ms - milliseconds)
@@ -152,7 +155,7 @@
             await exchange.send_body(chunk)
         exchange.send(FrameKind.BODY_END)
     except (ConnectionError, BodyTooLarge) as error:
-        # The target must not take a part for the whole.
+        # The target must not mistake a partial body for a whole one.
         exchange.send(FrameKind.CANCEL)
         exchange.break_off(MeshError("body", str(error) or "too large"))
         raise
@@ -166,7 +169,10 @@
     release: Callable[[], object],
     method: str,
 ) -> HopResult:
-    """The result of a hop from the word on it; a large body follows in the pipe."""
+    """The result of a hop from its AnswerHead; a large body follows in the pipe.
+
+    Raises ValueError if the head holds no known outcome.
+    """
     load = TargetLoad(head.running, head.waiting, head.slots) if head.slots else None
     outcome = HopOutcome(head.outcome)
     answer = None
--- a/marblefold/request_path/intake.py
+++ b/marblefold/request_path/intake.py
@@ -1,9 +1,9 @@
-"""Takes bodies in, a few at a time, so that they do not choke a link.
+"""Receives request bodies, a few at a time, so that they do not saturate a link.
 
-A machine's link carries every hop to its target.  Bodies that all come at the
-same time take as long together as one after the other, and meanwhile nothing
-else gets through; in turn, each is whole sooner.  A body that is on its way
-holds no slot: the target gets it whole, at once.
+A machine's link carries every hop to its target.  Bodies received concurrently
+take as long in total as one after the other, and block everything else meanwhile;
+one after the other, each is complete sooner.  A body in transfer holds no slot:
+the target gets it whole, at once.
 """
 
 import asyncio
@@ -13,23 +13,23 @@
 
 __all__ = ["Intake"]
 
-# What one body may have on its way before the guard has taken it: what the link
-# carries in this time, for other hops wait behind it.
+# The window of one body: what the link carries in this time, since other hops
+# wait behind it.
 _WINDOW_SECONDS = 0.05
 _LEAST_WINDOW, _MOST_WINDOW = 8 * 1024, 64 * 1024
-# What all of them together may keep the link busy for.
+# For how long all bodies together may occupy the link.
 _LINK_SECONDS = 0.1
 _FEWEST, _MOST = 2, 64
-# A body whose sender is slow does not hold up the others for longer.
+# A body with a slow sender delays the others for no longer.
 _LONGEST_WAIT = 1.0
-# A larger body, or one without a length, goes through as it comes.
-# A body may take so many times what it would alone on the link.
+# A body may take so many times as long as it would alone on the link.
 _TIMES_USUAL = 2.5
+# A larger body, or one without a length, is forwarded as it arrives.
 _LARGEST_HELD = 512 * 1024
 
 
 class Intake:
-    """Places for bodies on their way in."""
+    """Limits how many bodies are received at once."""
 
     def __init__(self, link_bytes_per_second: float) -> None:
         self._link_bytes_per_second = max(1.0, link_bytes_per_second)
@@ -47,8 +47,12 @@
         seconds: float,
         patience: float = 1e9,
     ) -> str:
-        """Takes the body into the head; the step that broke down, or nothing."""
-        # Nothing was offered yet: better told so soon than held to the end.
+        """Receives the body into the head; returns the step that failed, or "".
+
+        It may take `seconds`, and no longer than the larger of `patience` (seconds)
+        and the usual time for its length.
+        """
+        # Nothing was offered yet: an early refusal is better than a late one.
         usual = _TIMES_USUAL * max(0, head.body_length) / self._link_bytes_per_second
         seconds = min(seconds, max(patience, usual))
         if not 0 <= head.body_length <= _LARGEST_HELD:
--- a/marblefold/request_path/local_target.py
+++ b/marblefold/request_path/local_target.py
@@ -1,4 +1,4 @@
-"""The target beside this proxy, as its beats and answers tell."""
+"""The state of the target beside this proxy, from its heartbeats and answers."""
 
 import enum
 import time
@@ -14,7 +14,7 @@
 
 
 class TargetState(enum.Enum):
-    """Draining and gone never revert within one life of a target."""
+    """The states of a target instance; draining and gone are never reverted."""
 
     UNKNOWN = "unknown"
     READY = "ready"
@@ -23,7 +23,7 @@
 
 
 class Beat(NamedTuple):
-    """What a target says of itself."""
+    """A heartbeat of a target; `cold` is how much longer it is cold."""
 
     instance: str
     upstream: str
@@ -51,7 +51,7 @@
         self._on_change = on_change
 
     def take_beat(self, beat: Beat) -> None:
-        """Takes in a beat; a late one or one of a past life changes nothing."""
+        """Applies a heartbeat; a late one or one of an earlier instance is ignored."""
         if beat.instance in self._past_lives:
             return
         if beat.instance != self.instance:
@@ -60,11 +60,15 @@
             return
         self._beat_number = beat.number
         now = time.monotonic()
-        is_news = (self.upstream, self.zone, self.slots) != (beat.upstream, beat.zone, beat.slots)
+        is_changed = (self.upstream, self.zone, self.slots) != (
+            beat.upstream,
+            beat.zone,
+            beat.slots,
+        )
         self.upstream, self.zone, self.slots = beat.upstream, beat.zone, max(1, beat.slots)
-        is_news |= self.note_cold(beat.cold, now)
+        is_changed |= self.note_cold(beat.cold, now)
         state = TargetState.DRAINING if beat.is_draining else TargetState.READY
-        if self._change_state(state) or is_news:
+        if self._change_state(state) or is_changed:
             self._on_change()
 
     def take_health(
@@ -75,7 +79,7 @@
         slots: int,
         cold: timedelta,
     ) -> None:
-        """A healthy answer to a probe of ours stands in for a missing beat."""
+        """Applies a healthy answer to our probe, in place of a missing heartbeat."""
         if instance in self._past_lives:
             return
         if instance != self.instance:
@@ -87,14 +91,17 @@
         self._on_change()
 
     def leave(self, instance: str) -> None:
-        """The target says that it ends."""
+        """The target has announced its end."""
         if instance == self.instance and self._change_state(TargetState.GONE):
             self._on_change()
         elif instance != self.instance and instance not in self._past_lives:
             self._remember(instance)
 
     def note_cold(self, cold: timedelta, now: float) -> bool:
-        """Takes in how much longer the target is cold; tells if that is news."""
+        """Sets how much longer the target is cold; returns whether it became cold or warm.
+
+        `now` is in monotonic seconds.
+        """
         was_cold = self.cold_until > now
         self.cold_until = now + cold.total_seconds()
         return was_cold != (self.cold_until > now)
@@ -111,9 +118,9 @@
         del self._past_lives[:-_REMEMBERED_LIVES]
 
     def _change_state(self, state: TargetState) -> bool:
-        """The one place where the state changes; tells whether it did."""
+        """The only place where the state changes; returns whether it did."""
         order = list(TargetState)
-        # Within a life the order only rises.
+        # Within one instance the state only moves forward.
         if order.index(state) <= order.index(self.state):
             return False
         self.state = state
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -1,7 +1,7 @@
 """What this proxy knows of the mesh: targets, configuration and evacuations.
 
-It is fed by the registries' feeds and never goes back: of two entries under
-one key the one with the higher life and number holds.
+It is updated from the registries' feeds and never goes back: of two entries
+under one key the one with the higher life and number is kept.
 """
 
 import json
@@ -32,13 +32,13 @@
     is_draining: bool
     cold_until: float
     is_leaving: bool
-    # The site that claims the service here, and the registry that does so.
+    # The site that owns the service here, and the registry that claims it.
     site: str = ""
     site_agent: str = ""
 
 
 class KnownOwner(NamedTuple):
-    """The owner of a service, under its epoch."""
+    """The owner of a service, with its epoch."""
 
     site: str
     agent: str
@@ -46,7 +46,7 @@
 
 
 class MeshView:
-    """The newest known entry of every key, laid out for the request path."""
+    """The newest known entry of every key, indexed for the request path."""
 
     def __init__(self, node: str) -> None:
         self.table: RouteTable | None = None
@@ -54,7 +54,7 @@
         self.evacuated: set[str] = set()
         self.suspects: set[str] = set()
         self.registries: set[str] = set()
-        # Called when another life of this node is taken for the newest.
+        # Called when an entry of another life of this node is the newest.
         self.on_own_notice: Callable[[int], None] | None = None
         self.on_evacuation: Callable[[str, bool], None] | None = None
         self.on_partners: Callable[[], None] | None = None
@@ -62,7 +62,7 @@
         # Routes that partners export; None as long as there is no partner.
         self.partners: PartnerTable | None = None
         self.leases = HeldLeases()
-        # Services that one site owns; the present owner of each, or nobody.
+        # The current owner of each service that is owned by one site, if any.
         self.owners: dict[str, KnownOwner] = {}
         self._node = node
         self._versions: dict[tuple[str, str], tuple[int, int]] = {}
@@ -72,7 +72,7 @@
     def targets(self, upstream: str) -> list[KnownTarget]:
         """The targets of the upstream that are not known to be gone."""
         if self.partners is not None and upstream.startswith(UPSTREAM_PREFIX):
-            return self._partner_doors(upstream)
+            return self._partner_targets(upstream)
         return list(self._targets.get(upstream, {}).values())
 
     def peers(self) -> set[str]:
@@ -80,11 +80,14 @@
         return {target.peer for targets in self._targets.values() for target in targets.values()}
 
     def is_news(self, entry) -> bool:
-        """Whether the entry outranks what is held under its key."""
+        """Whether the entry is newer than the one held under its key."""
         return (entry.life, entry.number) > self._versions.get((entry.kind, entry.key), (-1, -1))
 
     def take(self, entry) -> bool:
-        """Takes in an entry; tells whether it was news."""
+        """Applies an entry; returns whether it was newer than the one held.
+
+        Raises ValueError or a DecodeError if its value is malformed.
+        """
         if not self.is_news(entry):
             return False
         self._versions[entry.kind, entry.key] = (entry.life, entry.number)
@@ -107,12 +110,15 @@
         return True
 
     def find_partner_route(self, host: str, path: str, now: float) -> Route | None:
-        """The partner route of a request, while the routes here surely hold."""
+        """The partner route of a request, while the lease on these routes is valid.
+
+        `now` is in monotonic seconds.
+        """
         if self.partners is None or not self.leases.may_use_partners(now):
             return None
         return self.partners.find(host, path)
 
-    def _partner_doors(self, upstream: str) -> list[KnownTarget]:
+    def _partner_targets(self, upstream: str) -> list[KnownTarget]:
         partners = self.partners
         address = partners.addresses.get(partner_of(upstream)) if partners is not None else None
         if address is None:
@@ -128,7 +134,7 @@
         log.info("owner", upstream=entry.key, site=site, epoch=epoch)
 
     def _take_configuration(self, entry) -> None:
-        # Laid out whole first: a request sees the old configuration or the new one.
+        # Built whole first: a request sees the old configuration or the new one.
         self.table = RouteTable(read_rows(entry.value))
         log.info("configuration in force", number=entry.number, routes=self.table.count)
         if self.on_configuration is not None:
--- a/marblefold/request_path/outcome.py
+++ b/marblefold/request_path/outcome.py
@@ -7,7 +7,7 @@
 
 __all__ = ["HopOutcome", "HopResult", "NO_SLOT", "TargetLoad"]
 
-# The step of a hop that was turned away for want of a slot, and of nothing else.
+# The step of a hop that was refused only because no slot was free.
 NO_SLOT = "no slot in time"
 
 
@@ -25,7 +25,7 @@
 
 
 class TargetLoad(NamedTuple):
-    """How much the proxy beside a target has on its hands."""
+    """The load of a target: requests running and waiting, and its slots."""
 
     running: int
     waiting: int
@@ -33,7 +33,7 @@
 
 
 class HopResult(NamedTuple):
-    """How a hop ended and what it brought."""
+    """How a hop ended; retry_after and service_seconds are in seconds."""
 
     outcome: HopOutcome
     answer: Answer | None = None
--- a/marblefold/request_path/request_head.py
+++ b/marblefold/request_path/request_head.py
@@ -6,7 +6,7 @@
 
 __all__ = ["make_head"]
 
-# A body up to this goes with its head; a larger one comes when it is let.
+# A body of up to so many bytes is sent with its head; a larger one within credit.
 _INLINE_BODY = 16 * 1024
 
 
@@ -20,7 +20,7 @@
 ):
     """The RequestHead of a client's request; what changes from hop to hop is left open.
 
-    The body is what was held of it, is_whole tells whether that is all.
+    `body` is the buffered part of the body, `is_whole` whether that is all of it.
     """
     length = -1
     if is_whole:
--- a/marblefold/request_path/retry_budget.py
+++ b/marblefold/request_path/retry_budget.py
@@ -1,7 +1,7 @@
-"""Each proxy's share of the budget for further tries.
+"""Each proxy's share of the retry budget.
 
-Nothing central is asked on the path: a proxy may spend a part of the ratio
-on the requests that it saw itself, and an even part of the slack.
+No central service is involved: a proxy may spend a share of the ratio on the
+requests that it served itself, and an equal share of the slack.
 """
 
 from collections import deque
@@ -9,14 +9,14 @@
 
 __all__ = ["RetryBudget", "WindowCount"]
 
-# Calls of a run that was itself a repeat count as repeats too, and cannot
-# all be told apart here; what is left unspent covers them.
+# Calls made by a repeated request count as repeats too, and not all of them are
+# recognised here; the unspent share covers them.
 _SPENT_SHARE = 0.5
 _BUCKETS = 20
 
 
 class WindowCount:
-    """Counts events of a sliding window in small buckets."""
+    """Counts the events of a sliding window, in seconds, in small buckets."""
 
     def __init__(self, window: float) -> None:
         self._bucket = window / _BUCKETS
@@ -40,7 +40,7 @@
 
 
 class RetryBudget:
-    """The further tries that this proxy may send to one upstream."""
+    """The retries that this proxy may send to one upstream; times are monotonic seconds."""
 
     def __init__(self, ratio: float, window: timedelta, slack: float) -> None:
         self._ratio = ratio
@@ -49,14 +49,14 @@
         self._repeats = WindowCount(window.total_seconds())
 
     def note_request(self, now: float) -> None:
-        """A first try was sent to the upstream."""
+        """A first attempt was sent to the upstream."""
         self._requests.add(now)
 
     def note_repeat(self, now: float) -> None:
-        """A further try was sent, or a call that counts as one."""
+        """A retry was sent, or a call that counts as one."""
         self._repeats.add(now)
 
     def may_repeat(self, now: float, proxies: int) -> bool:
-        """Whether one more repeat stays within this proxy's part."""
+        """Whether one more retry stays within this proxy's share."""
         allowed = self._ratio * self._requests.total(now) + self._slack / max(1, proxies)
         return self._repeats.total(now) + 1 <= _SPENT_SHARE * allowed
--- a/marblefold/request_path/slot_queue.py
+++ b/marblefold/request_path/slot_queue.py
@@ -1,4 +1,4 @@
-"""Lets only so many requests to a target at once; the rest queue briefly."""
+"""Limits how many requests a target processes at once; the rest queue briefly."""
 
 import asyncio
 import heapq
@@ -11,14 +11,14 @@
 
 
 class Turn(NamedTuple):
-    """Who goes first: the lower rank, then the earlier end."""
+    """The order of the queue: lower rank first, then earlier end (monotonic seconds)."""
 
     rank: int
     end: float
 
 
 class SlotQueue:
-    """Slots handed out in the order of turns."""
+    """Slots granted in the order of turns."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -29,7 +29,7 @@
 
     @property
     def service_seconds(self) -> float:
-        """What a request takes the target, as learned."""
+        """The learned service time of a request, in seconds."""
         return self._service_seconds
 
     @property
@@ -38,25 +38,25 @@
         return sum(1 for _turn, _order, future in self._waiting if not future.done())
 
     def expected_wait(self, turn: Turn) -> float:
-        """How long a request of that turn would likely wait."""
+        """The expected wait of a request with that turn, in seconds."""
         if self.running < self.limit:
             return 0.0
-        # Only who goes first stands in the way.
+        # Only requests that go first delay it.
         ahead = sum(
             1 for other, _order, future in self._waiting if other <= turn and not future.done()
         )
         return (ahead + 1) * self._service_seconds / max(1, self.limit)
 
     def note_service(self, seconds: float) -> None:
-        """A request took the target so long."""
+        """Records the service time of a request, in seconds."""
         self._service_seconds += _LEARN * (seconds - self._service_seconds)
 
     async def take(self, turn: Turn, longest: float) -> bool:
-        """Waits for a slot, at most so long; tells whether it was had."""
+        """Waits for a slot at most `longest` seconds; returns whether it was granted."""
         if self.running < self.limit:
             self.running += 1
             return True
-        # A wait that cannot end in time is refused now: early costs least.
+        # A wait that cannot end in time is refused at once.
         if longest <= 0 or self.expected_wait(turn) > longest:
             return False
         future = asyncio.get_running_loop().create_future()
@@ -74,12 +74,12 @@
             raise
 
     def give_back(self) -> None:
-        """A slot is free: the next in order has it."""
+        """Releases a slot to the next request in order."""
         self.running -= 1
         self._hand_out()
 
     def set_limit(self, limit: int) -> None:
-        """The target told how many it works on at once."""
+        """Sets how many requests the target processes at once."""
         self.limit = max(1, limit)
         self._hand_out()
 
--- a/marblefold/request_path/surroundings.py
+++ b/marblefold/request_path/surroundings.py
@@ -1,4 +1,4 @@
-"""What surrounds every request of a proxy: view, breakers, budgets, selector."""
+"""The shared state of all requests of a proxy: view, breakers, budgets, selector."""
 
 import time
 from collections.abc import Callable, Collection
@@ -19,8 +19,8 @@
 
 
 _SHUN_SECONDS = 0.2
-# What one request may hold at the most, on average: two descriptors, and its
-# part of the memory that the program itself does not need.
+# What one request holds on average, at most: two descriptors, and its share of
+# the memory that the program itself does not need.
 _DESCRIPTORS_EACH = 2
 _DESCRIPTORS_KEPT = 214
 _MEMORY_SHARE = 0.5
@@ -28,7 +28,10 @@
 
 
 class Surroundings:
-    """Answers a decision's questions and learns from the ends of hops."""
+    """Provides the facts of a decision and learns from the results of hops.
+
+    All times are monotonic seconds.
+    """
 
     def __init__(
         self,
@@ -40,8 +43,8 @@
         tell: Callable = log.warning,
     ) -> None:
         # A rehearsal has a clock of its own, and nothing of it belongs in the log.
-        # Looked up now and not at import: whoever stands in for the clock later
-        # would else have target_selection learn by one clock and be asked by another.
+        # Looked up now and not at import: if the clock is replaced later, records would
+        # otherwise be written by one clock and read by another.
         self._clock = clock or time.monotonic
         self._tell = tell
         self.traffic = TrafficCount()
@@ -65,7 +68,7 @@
         return self.selector.select(upstream, tried, homes, kilobytes, now)
 
     def ask_breaker(self, upstream: str, now: float) -> Passage:
-        """The breaker's word on one more call to the upstream."""
+        """Whether the breaker admits one more call to the upstream."""
         breaker = self.breaker(upstream)
         state = breaker.state
         passage = breaker.ask(now)
@@ -80,17 +83,17 @@
         return passage
 
     def may_repeat(self, upstream: str, now: float) -> bool:
-        """Whether a further try is within this proxy's part of the budget."""
-        # While the others are not counted, they may be many.
+        """Whether a retry is within this proxy's share of the budget."""
+        # Until the other proxies are counted, many are assumed.
         proxies = self.view.proxies or 1000
         return self._budget(upstream).may_repeat(now, proxies)
 
     def note_request(self, upstream: str, now: float) -> None:
-        """A request for the upstream came."""
+        """A request for the upstream arrived."""
         self._budget(upstream).note_request(now)
 
     def note_repeat(self, upstream: str, now: float) -> None:
-        """A further try leaves."""
+        """A retry leaves."""
         self._budget(upstream).note_repeat(now)
 
     def begin(self, target: KnownTarget, weight: float, what: str) -> Ticket:
@@ -106,7 +109,7 @@
         answered = result.outcome is HopOutcome.ANSWERED
         status = result.answer.status if result.answer is not None else 0
         success = answered and 0 < status < 400
-        # Errors and refusals teach the breaker nothing of what is normal.
+        # Errors and refusals say nothing about normal latency.
         self.breaker(target.upstream).end(ticket, now, success)
         if result.load is not None:
             selector.note_load(target, result.load, now)
@@ -120,15 +123,15 @@
         ):
             selector.note_error(target, now)
         elif result.outcome is HopOutcome.NEVER_OFFERED:
-            # A guard that turns hops away does so for a while.
+            # A guard that refuses hops usually does so for a while.
             pause = min(_SHUN_SECONDS, result.retry_after or _SHUN_SECONDS)
             selector.note_refusal(target, now + pause)
         elif not answered or status >= 500:
-            # Whatever its health says, it does not serve as it should.
+            # Whatever its health check returns, it does not serve properly.
             selector.note_failure(target, now)
 
     def log_overdue(self, longest: timedelta) -> None:
-        """Keeps calls visible that go on for longer than is sane."""
+        """Logs the calls that have been in flight for longer than `longest`."""
         now = time.monotonic()
         for upstream, breaker in self._breakers.items():
             for ticket in breaker.overdue(now, longest.total_seconds()):
@@ -140,11 +143,11 @@
                 )
 
     def answer_kilobytes(self, route: str) -> float:
-        """How large the answers of the route have been of late."""
+        """The recent mean size of the route's answers, in kilobytes."""
         return self._answer_kilobytes.get(route, 1.0)
 
     def note_answer(self, route: str, kilobytes: float) -> None:
-        """An answer of the route was so large."""
+        """Records the size of an answer of the route, in kilobytes."""
         known = self._answer_kilobytes.get(route, kilobytes)
         self._answer_kilobytes[route] = known + 0.05 * (kilobytes - known)
 
@@ -165,7 +168,7 @@
 
 
 def _count_resources(limits: Limits) -> int:
-    """How many requests this process has the means to hold at once."""
+    """How many requests this process has resources for at once."""
     by_descriptors = (limits.file_descriptors - _DESCRIPTORS_KEPT) // _DESCRIPTORS_EACH
     by_memory = int(limits.memory_mb * _MEMORY_SHARE / _MEMORY_MB_EACH)
     return max(16, min(by_descriptors, by_memory))
--- a/marblefold/request_path/target_caller.py
+++ b/marblefold/request_path/target_caller.py
@@ -1,4 +1,4 @@
-"""Offers one request to the target and tells what came of it."""
+"""Sends one request to the target and reports the outcome."""
 
 import asyncio
 import time
@@ -19,11 +19,11 @@
 
 __all__ = ["BodySource", "OfferedExchange", "TargetCaller", "pack_request"]
 
-# An answer up to this is read whole before its first byte goes out, so that
-# a broken one can still become a repeat or an honest 502.
+# An answer of up to so many bytes is read whole before its first byte is sent, so
+# that a broken one can still be retried or become a 502.
 _HELD_ANSWER = 512 * 1024
-# A connection that rested for longer may be forgotten; it takes only what may run
-# twice.
+# The target may have dropped a connection that was idle for longer (seconds): it is
+# used only for repeatable requests.
 _LONGEST_REST = 0.2
 _PROMISES = (408, 421, 429, 503)
 # Less time than this is not worth an offer.
@@ -37,7 +37,7 @@
 
 
 class OfferedExchange(Protocol):
-    """What the caller asks of a hop: that of a peer, or one of a gateway's own."""
+    """What the caller needs of a hop, be it from a peer or of a gateway itself."""
 
     @property
     def incoming(self) -> BodySource: ...
@@ -63,17 +63,17 @@
         """The AnswerHead of the hop; the body may follow on the exchange.
 
         The request must be answered within the given seconds.  NEVER_OFFERED
-        is said only where not a byte of it was written to the target.
+        is returned only if not a byte of it was written to the target.
         """
         deadline = time.monotonic() + seconds
         try:
-            # Whatever goes out on a connection that the target forgot may have run.
+            # A request sent on a connection that the target dropped may have run.
             rest = None if head.route_type == wire_names.READ_ONLY else _LONGEST_REST
             connection = await self._connections.take(rest)
         except MeshError as error:
             return _never_offered(error.step)
-        # Asked with the connection in hand: nothing is waited for from here on.
-        # Opening it took its time, and the whole process may have stood still.
+        # Checked after the connection was obtained: nothing is awaited from here on.
+        # Opening it took time, and the process may have been suspended.
         left = deadline - time.monotonic()
         if left < _LEAST_SECONDS:
             self._connections.put_back(connection)
@@ -87,7 +87,7 @@
     async def _offer_on(
         self, connection: TargetConnection, exchange: OfferedExchange, head, left: float
     ):
-        """Writes the request to the connection and reads what comes of it."""
+        """Writes the request to the connection and reads the answer."""
         is_kept = False
         try:
             async with asyncio.timeout(left):
@@ -106,7 +106,7 @@
             if is_kept:
                 self._connections.give_back(connection)
             else:
-                # Also when we were cancelled: the target then drops its work.
+                # Also on cancellation: the target then stops its work.
                 self._connections.discard(connection)
 
     async def _exchange(
@@ -118,7 +118,7 @@
         return await connection.answer()
 
     async def _relay(self, answer: TargetAnswer, exchange: OfferedExchange, is_sealed: bool):
-        """The word on the answer, and whether the connection may be kept."""
+        """The AnswerHead, and whether the connection may be kept."""
         if answer.is_not_executed:
             await answer.payload.read()
             result = kinds.AnswerHead(
@@ -127,9 +127,9 @@
             _read_load(answer, result)
             return result, True
         if answer.status in _PROMISES:
-            # Such a status would promise what the target did not say.
+            # Such a status would promise "not executed", which the target did not state.
             return _unknown(f"target said {answer.status}"), False
-        # Only targets of our own seal what they answer.
+        # Only targets of our own seal their answers.
         if 200 <= answer.status < 300 and is_sealed and not _is_success(answer):
             return _unknown("answer without seal"), False
         result = kinds.AnswerHead(
@@ -162,7 +162,7 @@
 
 
 def pack_request(head) -> bytes:
-    """The request as the target gets it, with the body that is at hand."""
+    """The bytes of the request for the target, with the body received so far."""
     length = b""
     if head.body_length >= 0:
         length = b"Content-Length: %d\r\n" % head.body_length
@@ -172,7 +172,7 @@
     if head.body_follows and head.body_length < 0 and first:
         first = b"%x\r\n" % len(first) + first + b"\r\n"
     caller = b""
-    # Where no target stands beside a client, nobody calls.
+    # There is no calling service if no target runs beside the client.
     if head.caller_service:
         caller = wire_names.CALLER_SERVICE + b": " + head.caller_service.encode() + b"\r\n"
     expected = b""
@@ -213,9 +213,9 @@
 
 
 def _read_load(answer: TargetAnswer, result) -> None:
-    """Some targets tell how much they have on their hands."""
-    told = find_header(answer.headers, wire_names.SERVER_LOAD)
-    parts = told.split(b",") if told is not None else ()
+    """Copies the load that some targets report in a header."""
+    reported = find_header(answer.headers, wire_names.SERVER_LOAD)
+    parts = reported.split(b",") if reported is not None else ()
     if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
         result.running, result.waiting, result.slots = (int(part) for part in parts)
 
--- a/marblefold/request_path/target_record.py
+++ b/marblefold/request_path/target_record.py
@@ -1,8 +1,8 @@
-"""What one process learned of one target from its own traffic.
+"""What one process has learned about one target from its own traffic.
 
-Traffic's results outrank whatever the target says of its health: a share of
-failures makes it less wanted, never forgotten, and fades with time, so that
-it is tried again by small steps.
+The results of traffic outrank the health check: a share of failures lowers the
+preference for the target but never removes it, and decays with time, so that the
+target is tried again gradually.
 """
 
 import math
@@ -16,24 +16,24 @@
 # Without traffic a failure, and a latency unlike the usual, is forgotten.
 _FADE_FAILURE_SECONDS = 4.0
 _FADE_LATENCY_SECONDS = 10.0
-# A target that breaks down is passed over; each time again for longer.
+# A target that fails is avoided, for longer each time.
 _FIRST_WAIT = 1.0
 _LONGEST_WAIT = 8.0
 _FLAP_SECONDS = 10.0
-# Told load is news for so long; then our own calls are all we know.
-_TOLD_SECONDS = 1.0
+# Reported load is used for so many seconds; then only our own calls count.
+_REPORT_SECONDS = 1.0
 
 
 class TargetRecord:
-    """The figures of one target."""
+    """The statistics of one target; `now` is in monotonic seconds."""
 
     __slots__ = (
         "in_flight",
         "rank",
         "refused_until",
         "broken_until",
-        "_told",
-        "_told_at",
+        "_reported",
+        "_reported_at",
         "_latency",
         "_latency_at",
         "_failing",
@@ -47,8 +47,8 @@
         self.rank = rank
         self.refused_until = 0.0
         self.broken_until = 0.0
-        self._told: TargetLoad | None = None
-        self._told_at = 0.0
+        self._reported: TargetLoad | None = None
+        self._reported_at = 0.0
         self._latency = 0.0
         self._latency_at = 0.0
         self._failing = 0.0
@@ -57,12 +57,12 @@
         self._broken_at = -1e9
 
     def note_load(self, load: TargetLoad, now: float) -> None:
-        """It was told how much the target has on its hands."""
-        self._told = load
-        self._told_at = now
+        """Records the load that the target reported."""
+        self._reported = load
+        self._reported_at = now
 
     def note_success(self, weighted: float, now: float) -> None:
-        """It answered; how long that took over the aim."""
+        """Records an answer; `weighted` is its time divided by the latency aim."""
         known = self.latency(weighted, now) if self._latency else weighted
         self._latency = known + _LEARN_LATENCY * (weighted - known)
         self._latency_at = now
@@ -70,15 +70,15 @@
         self._failing_at = now
 
     def note_failure(self, now: float) -> None:
-        """It failed a request, or turned it away."""
+        """Records a request that failed or was refused."""
         known = self.failing(now)
         self._failing = known + _LEARN_FAILURE * (1.0 - known)
         self._failing_at = now
 
     def note_error(self, now: float) -> None:
-        """It could not be talked to."""
+        """Records that the target could not be reached."""
         is_still_known = now < self.broken_until
-        # One that goes up and down comes back later each time.
+        # A flapping target is avoided for longer each time.
         if not is_still_known:
             flaps = now - self._broken_at < _FLAP_SECONDS
             self._wait = min(_LONGEST_WAIT, self._wait * 2) if flaps else _FIRST_WAIT
@@ -87,26 +87,26 @@
         self.note_failure(now)
 
     def failing(self, now: float) -> float:
-        """The share of requests that fail there, as far as is remembered."""
+        """The decayed share of requests that fail there, from 0 to 1."""
         if not self._failing:
             return 0.0
         return self._failing * math.exp((self._failing_at - now) / _FADE_FAILURE_SECONDS)
 
     def latency(self, usual: float, now: float) -> float:
-        """How long it takes over the aim, drifting to the usual without news."""
+        """Its time divided by the aim, decaying to `usual` without new answers."""
         if not self._latency:
             return usual
         fade = math.exp((self._latency_at - now) / _FADE_LATENCY_SECONDS)
         return usual + (self._latency - usual) * fade
 
     def use(self, slots: int, now: float) -> float:
-        """The part of its slots that one more request would leave in use."""
+        """The share of its slots in use after one more request."""
         load = float(self.in_flight)
-        if self._told is not None:
-            # The told load fades: without news the target drains.
-            age = now - self._told_at
-            if age < _TOLD_SECONDS:
-                told = self._told.running + self._told.waiting
-                load = max(load, told * (1.0 - age / _TOLD_SECONDS))
-            slots = self._told.slots or slots
+        if self._reported is not None:
+            # The reported load decays: without new reports the target is assumed to empty.
+            age = now - self._reported_at
+            if age < _REPORT_SECONDS:
+                reported = self._reported.running + self._reported.waiting
+                load = max(load, reported * (1.0 - age / _REPORT_SECONDS))
+            slots = self._reported.slots or slots
         return (load + 1.0) / max(1, slots)
--- a/marblefold/request_path/target_selection.py
+++ b/marblefold/request_path/target_selection.py
@@ -12,23 +12,23 @@
 
 __all__ = ["Nominee", "TargetSelector"]
 
-# A peer that says nothing is passed over for so long where others can serve.
+# An unresponsive peer is avoided for so many seconds if others can serve.
 _SHUN_SECONDS = 1.0
-# Beyond this share of an upstream nobody is passed over any more: they cannot
-# all be that bad, and the rest could not bear it.
+# Beyond this share of an upstream no target is avoided any more: not all of them
+# can be at fault, and the rest could not take the load.
 _MOST_SHUNNED = 0.5
-# Bytes between zones have a price: what a kilobyte of a hop adds, in aims,
-# to the latency that is compared, and the most that it may add.
+# Traffic between zones has a cost: what a kilobyte of a hop adds to the compared
+# latency, in aims, and the most that it may add.
 _ZONE_SURCHARGE_PER_KILOBYTE = 0.06
 _MOST_ZONE_SURCHARGE = 1.0
-# What a target costs, in aims, that fails every request.
+# The cost, in aims, of a target that fails every request.
 _FAILURE_SURCHARGE = 3.0
 _FIRST_LATENCY = 0.3
 _LEARN_USUAL = 0.02
 _NEAR_CANDIDATES = 4
 _FAR_CANDIDATES = 2
-# Of many targets only so many in its own zone are used by one process, so
-# that it finds its connections to them still open.
+# A process uses only so many of the targets in its own zone, so that its
+# connections to them stay open.
 _SUBSET = 6
 
 
@@ -40,7 +40,10 @@
 
 
 class TargetSelector:
-    """Learns how targets fare and picks the one likely to answer first."""
+    """Learns how targets perform and selects the one likely to answer first.
+
+    All times are monotonic seconds.
+    """
 
     def __init__(
         self,
@@ -69,7 +72,7 @@
         kilobytes: float,
         now: float,
     ) -> Nominee | None:
-        """The target for the next hop, or None if there is none to be had."""
+        """The target for the next hop, or None if none is eligible."""
         preferred: list[KnownTarget] = []
         busy: list[KnownTarget] = []
         unreachable: list[KnownTarget] = []
@@ -89,15 +92,15 @@
                 busy.append(target)
             else:
                 preferred.append(target)
-        # One that is busy is still better than one that may be dark, and that
-        # than one about to end.
+        # A busy target is better than one that may be unreachable, and that is
+        # better than one that is shutting down.
         candidates = preferred or busy or unreachable or ending
         if not candidates:
             return None
         most = _MOST_SHUNNED * (len(preferred) + len(busy) + len(unreachable))
         if preferred and len(busy) + len(unreachable) > most:
-            # Those that were busy are asked again before those that are lost:
-            # where a zone is dark and the rest is full, the dark are no help.
+            # Busy targets are tried again before unreachable ones: if a zone is
+            # down and the rest is full, the unreachable ones do not help.
             candidates = preferred + busy
         if candidates is not ending and len(unreachable) > most:
             candidates = preferred + busy + unreachable
@@ -119,29 +122,29 @@
         self._record(target.node).in_flight -= 1
 
     def note_load(self, target: KnownTarget, load: TargetLoad, now: float) -> None:
-        """The proxy beside the target, or the target, told its load."""
+        """Records the load reported by the target or the proxy beside it."""
         self._record(target.node).note_load(load, now)
 
     def note_latency(self, target: KnownTarget, weighted: float, now: float) -> None:
-        """The target answered; how long it took over the aim."""
+        """Records an answer; `weighted` is its time divided by the latency aim."""
         self._record(target.node).note_success(weighted, now)
         usual = self._usual.get(target.upstream, weighted)
         self._usual[target.upstream] = usual + _LEARN_USUAL * (weighted - usual)
 
     def note_failure(self, target: KnownTarget, now: float) -> None:
-        """The target failed a request, or turned it away."""
+        """Records a request that failed or was refused."""
         self._record(target.node).note_failure(now)
 
     def note_error(self, target: KnownTarget, now: float) -> None:
-        """The peer or its target could not be talked to."""
+        """Records that the peer or its target could not be reached."""
         self._record(target.node).note_error(now)
 
     def note_silent(self, peer: str, now: float) -> None:
-        """The peer gives no sign of life just now."""
+        """Records that the peer is unresponsive."""
         self._silent_until[peer] = now + _SHUN_SECONDS
 
     def note_refusal(self, target: KnownTarget, until: float) -> None:
-        """The guard does not want more before that time."""
+        """Records that the guard refuses hops until that time."""
         self._record(target.node).refused_until = until
 
     def _is_unreachable(self, target: KnownTarget, now: float) -> bool:
@@ -153,13 +156,13 @@
         )
 
     def _draw(self, candidates: list[KnownTarget]) -> list[KnownTarget]:
-        """A few of many, so that proxies with the same news do not all agree."""
+        """A random sample, so that proxies with the same view do not all select one target."""
         if len(candidates) <= _NEAR_CANDIDATES + _FAR_CANDIDATES:
             return candidates
         near = [target for target in candidates if target.zone == self._zone]
         far = [target for target in candidates if target.zone != self._zone]
         if self._subset_of and len(near) > _SUBSET:
-            # Ranked by key: it changes little when others come or go.
+            # Ranked by hash: the subset changes little when targets come or go.
             near.sort(key=lambda target: self._record(target.node).rank)
             del near[_SUBSET:]
         return self._random.sample(near, min(len(near), _NEAR_CANDIDATES)) + self._random.sample(
@@ -176,7 +179,7 @@
     def _expected(self, target: KnownTarget, now: float) -> float:
         record = self._record(target.node)
         use = record.use(target.slots, now)
-        # While slots are free more work hardly slows; beyond them it queues.
+        # While slots are free, more load hardly slows a target; beyond them it queues.
         factor = 1.0 + 0.3 * use + 4.0 * max(0.0, use - 0.8)
         latency = record.latency(self._usual.get(target.upstream, _FIRST_LATENCY), now)
         if target.cold_until > now:
--- a/marblefold/request_path/tracers.py
+++ b/marblefold/request_path/tracers.py
@@ -1,4 +1,4 @@
-"""What is told of requests and hops, where a node traces."""
+"""The tracing hooks for requests and hops."""
 
 from typing import Protocol
 
@@ -9,7 +9,7 @@
 
 
 class RequestTracer(Protocol):
-    """What is told of the steps of a request."""
+    """Records the steps of a request."""
 
     def begin_request(
         self,
@@ -30,7 +30,7 @@
 
 
 class GuardTracer(Protocol):
-    """What is told of the hops that come to a guard."""
+    """Records the hops that a guard serves."""
 
     def begin_serve(self, head): ...
 
--- a/marblefold/request_path/traffic_count.py
+++ b/marblefold/request_path/traffic_count.py
@@ -1,7 +1,7 @@
 """Counts the requests that begin at this node, by route.
 
-Cumulative and small: whoever hears two counts knows the rate between them,
-and a count that is lost costs nothing.
+Counts are cumulative and small: two of them give the rate in between, and a lost
+one does no harm.
 """
 
 import time
@@ -10,7 +10,7 @@
 
 __all__ = ["TrafficCount"]
 
-# A notice names so many routes; the least used ones are told as one.
+# A notice names so many routes; the least used ones are combined into one.
 _MOST_ROUTES = 48
 OTHERS = ""
 
@@ -26,16 +26,16 @@
 
 
 class TrafficCount:
-    """Told of the end of every request; asked at times for a notice."""
+    """Counts every finished request; makes a notice of the counts when asked."""
 
     def __init__(self) -> None:
         self._counts: dict[str, _Counts] = {}
         self._life = int(time.time() * 1000)
         self._number = 0
-        self._told = -1
+        self._reported = -1
 
     def note(self, route: str, status: int, seconds: float, kilobytes: float) -> None:
-        """A request is over; what it moved counts where zones are weighed."""
+        """Records a finished request: its time in seconds and its traffic in kilobytes."""
         counts = self._counts.get(route)
         if counts is None:
             counts = self._counts[route] = _Counts()
@@ -56,11 +56,11 @@
         region: str,
         service_seconds: float,
     ) -> kinds.TrafficNotice | None:
-        """The counts as they stand; None where nothing came since the last one."""
+        """The current counts; None if no request was counted since the last notice."""
         total = sum(counts.requests for counts in self._counts.values())
-        if total == self._told:
+        if total == self._reported:
             return None
-        self._told = total
+        self._reported = total
         self._number += 1
         notice = kinds.TrafficNotice(
             node=node,
