--- a/marblefold/http_connections/target_connection.py
+++ b/marblefold/http_connections/target_connection.py
@@ -175,7 +175,7 @@
     def connection_lost(self, exc: BaseException | None) -> None:
         super().connection_lost(exc)
         self.change_state(ConnectionState.CLOSED)
-        self._fail(MeshError("target", f"closed: {exc or 'without a word'}"))
+        self._fail(MeshError("target", f"closed: {exc or 'no error'}"))
 
     def _take(self, message, payload) -> None:
         waiter = self._waiter
@@ -224,4 +224,4 @@
             self._waiter.set_exception(error)
             self._waiter.exception()
         if self._payload is not None and not self._payload.is_eof():
-            self._payload.set_exception(ConnectionResetError("answer broken off"))
+            self._payload.set_exception(ConnectionResetError("answer aborted"))
--- a/marblefold/request_path/decision.py
+++ b/marblefold/request_path/decision.py
@@ -12,7 +12,7 @@
 from marblefold.http_connections.answer import Answer, own_answer
 from marblefold.request_path.mesh_view import KnownTarget
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult
-from marblefold.request_path.target_selection import Nominee
+from marblefold.request_path.target_selection import SelectedTarget
 
 __all__ = ["Conclude", "Facts", "Offer", "RequestDecision"]
 
@@ -63,7 +63,7 @@
         homes: Collection[str] | None,
         kilobytes: float,
         now: float,
-    ) -> Nominee | None: ...
+    ) -> SelectedTarget | None: ...
 
     def ask_breaker(self, upstream: str, now: float) -> Passage: ...
 
@@ -163,7 +163,7 @@
             selected.is_last_resort,
         )
 
-    def _select(self, now: float) -> Nominee | None:
+    def _select(self, now: float) -> SelectedTarget | None:
         """Selects the next target and decides whether the hop may queue there."""
         self._is_asking = self._is_call and self._refused_hops < _HOPS_WITHOUT_QUEUE
         tried = self._tried | self._asked if self._is_asking else self._tried
--- a/marblefold/request_path/surroundings.py
+++ b/marblefold/request_path/surroundings.py
@@ -12,7 +12,7 @@
 from marblefold.request_path.mesh_view import KnownTarget, MeshView
 from marblefold.request_path.outcome import HopOutcome, HopResult
 from marblefold.request_path.retry_budget import RetryBudget
-from marblefold.request_path.target_selection import Nominee, TargetSelector
+from marblefold.request_path.target_selection import SelectedTarget, TargetSelector
 from marblefold.request_path.traffic_count import TrafficCount
 
 __all__ = ["Surroundings"]
@@ -63,7 +63,7 @@
         homes: Collection[str] | None,
         kilobytes: float,
         now: float,
-    ) -> Nominee | None:
+    ) -> SelectedTarget | None:
         """The target for the next hop."""
         return self.selector.select(upstream, tried, homes, kilobytes, now)
 
--- a/marblefold/request_path/target_selection.py
+++ b/marblefold/request_path/target_selection.py
@@ -10,7 +10,7 @@
 from marblefold.request_path.outcome import TargetLoad
 from marblefold.request_path.target_record import TargetRecord
 
-__all__ = ["Nominee", "TargetSelector"]
+__all__ = ["SelectedTarget", "TargetSelector"]
 
 # An unresponsive peer is avoided for so many seconds if others can serve.
 _SHUN_SECONDS = 1.0
@@ -32,7 +32,7 @@
 _SUBSET = 6
 
 
-class Nominee(NamedTuple):
+class SelectedTarget(NamedTuple):
     """The selected target; the last resort if nothing better is known."""
 
     target: KnownTarget
@@ -71,7 +71,7 @@
         homes: Collection[str] | None,
         kilobytes: float,
         now: float,
-    ) -> Nominee | None:
+    ) -> SelectedTarget | None:
         """The target for the next hop, or None if none is eligible."""
         preferred: list[KnownTarget] = []
         busy: list[KnownTarget] = []
@@ -111,7 +111,7 @@
                 self._expected(target, now) + (surcharge if target.zone != self._zone else 0.0)
             ),
         )
-        return Nominee(best, not preferred)
+        return SelectedTarget(best, not preferred)
 
     def begin(self, target: KnownTarget) -> None:
         """A hop leaves for the target."""
--- a/tests/test_decision.py
+++ b/tests/test_decision.py
@@ -12,7 +12,7 @@
 from marblefold.request_path.mesh_view import KnownTarget
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult
 from marblefold.request_path.running_work import Run, RunningWork
-from marblefold.request_path.target_selection import Nominee
+from marblefold.request_path.target_selection import SelectedTarget
 
 PROMISES = (408, 421, 429, 503)
 
@@ -42,7 +42,7 @@
         if self.selected >= self.targets:
             return None
         self.selected += 1
-        return Nominee(make_target(self.selected), False)
+        return SelectedTarget(make_target(self.selected), False)
 
     def ask_breaker(self, upstream, now):
         return self.passage
@@ -156,7 +156,7 @@
     class Two(Facts):
         def select(self, upstream, tried, homes, kilobytes, now):
             left = [make_target(n) for n in (1, 2) if f"i-{n}" not in tried]
-            return Nominee(left[0], False) if left else None
+            return SelectedTarget(left[0], False) if left else None
 
     asked, offer = ask_until_queued(make_decision("mutating", Two(), is_call=True))
     assert [target.node for target in asked] == ["node-1", "node-2"]
