--- a/marblefold/circuit_breaker/breaker.py
+++ b/marblefold/circuit_breaker/breaker.py
@@ -42,7 +42,7 @@
 
 
 class Gate(Protocol):
-    """What the request path asks of a breaker."""
+    """What the request path needs of a breaker; times are in seconds."""
 
     def ask(self, now: float) -> Passage: ...
 
@@ -83,7 +83,7 @@
             self._statistics.record((now - ticket.started) / ticket.weight)
 
     def ask(self, now: float) -> Passage:
-        """Whether a new call may leave now."""
+        """Whether a new call may leave at `now`, in seconds."""
         self._tracker.clean(now, self._config.longest_seconds)
         self._change_state(self._judge(now))
         if self.state is BreakerState.CLOSED:
@@ -122,14 +122,14 @@
         return BreakerState.OPEN if average > threshold else BreakerState.CLOSED
 
     def _change_state(self, state: BreakerState) -> None:
-        """The one place where the state changes."""
+        """The only place where the state changes."""
         if state is self.state:
             return
         self.state = state
         self._refused_since_probe = 0
 
     def _retry_after(self, now: float) -> float:
-        # As in the source: the age of the oldest call in flight, within bounds.
+        # The age of the oldest call in flight, within bounds.
         for ticket in self._tracker.oldest_first():
             return max(0.1, min(5.0, now - ticket.started))
         return 0.1
--- a/marblefold/circuit_breaker/concurrency_limit.py
+++ b/marblefold/circuit_breaker/concurrency_limit.py
@@ -1,8 +1,7 @@
 """Limits the requests of one route so that they do not crowd out all others.
 
-The source calls them tribbles: ordinary requests, but too many of them too
-fast.  Spikes are admitted while there is room for what the other sorts
-normally need, and some headroom.
+These are ordinary requests, but too many of them too fast.  Spikes are admitted
+while there is room for the normal load of the other routes, and some headroom.
 """
 
 from typing import NamedTuple
@@ -37,7 +36,7 @@
 
 
 class ConcurrencyLimiter:
-    """Counts the requests in this process by sort, which is their route."""
+    """Counts the requests in this process by sort, which is their route (its name)."""
 
     def __init__(self, config: ConcurrencyLimits) -> None:
         self._config = config
@@ -85,7 +84,7 @@
         return known
 
     def _retry_after(self, known: _Sort, now: float) -> float:
-        # As in the source: the age of the oldest request of the sort, within bounds.
+        # The age of the oldest request of the sort, within bounds.
         for ticket in known.tracker.oldest_first():
             return max(0.1, min(5.0, now - ticket.started))
         return 0.1
--- a/marblefold/http_connections/answer.py
+++ b/marblefold/http_connections/answer.py
@@ -13,7 +13,7 @@
 
 
 class Answer(NamedTuple):
-    """An answer ready to be written; the body is at hand or in a pipe."""
+    """An answer ready to be written; the body is in `body` or comes through a pipe."""
 
     status: int
     reason: bytes = b""
--- a/marblefold/inner_protocol/exchange.py
+++ b/marblefold/inner_protocol/exchange.py
@@ -104,7 +104,10 @@
 
 
 def take_frame(exchange: Exchange, kind: int, payload: bytes) -> None:
-    """Applies a received frame to its exchange; struct.error if a credit is malformed."""
+    """Applies a received frame to its exchange.
+
+    Raises struct.error if the payload of a CREDIT frame is malformed.
+    """
     if kind == FrameKind.ANSWER:
         if not exchange.answer.done():
             exchange.answer.set_result(payload)
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -158,7 +158,7 @@
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
         """Applies a message of a registry: a part of its feed, an entry or a lease.
 
-        Raises ValueError if it is malformed.
+        Raises ValueError, zlib.error or DecodeError if it is malformed.
         """
         feed = unpack_message(payload)
         if isinstance(feed, kinds.LeaseGrant) and self._asker is not None:
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -86,7 +86,8 @@
     def take(self, entry) -> bool:
         """Applies an entry; returns whether it was newer than the one held.
 
-        Raises ValueError or a DecodeError if its value is malformed.
+        Raises ValueError, KeyError, TypeError, zlib.error or DecodeError if its value is
+        malformed; the entry then counts as known.
         """
         if not self.is_news(entry):
             return False
--- a/marblefold/request_path/outcome.py
+++ b/marblefold/request_path/outcome.py
@@ -14,7 +14,7 @@
 class HopOutcome(enum.IntEnum):
     """What is known of a hop when it is over."""
 
-    # The target ran the request and its whole answer is at hand.
+    # The target ran the request and its answer is available.
     ANSWERED = 1
     # No target was offered the request, and none will be by this hop.
     NEVER_OFFERED = 2
--- a/marblefold/request_path/slot_queue.py
+++ b/marblefold/request_path/slot_queue.py
@@ -86,7 +86,7 @@
     def _hand_out(self) -> None:
         while self._waiting and self.running < self.limit:
             _turn, _order, future = heapq.heappop(self._waiting)
-            # Whoever left the queue is still in the heap, marked as done.
+            # A request that left the queue is still in the heap, marked as done.
             if future.done():
                 continue
             self.running += 1
