--- a/marblefold/http_connections/answer.py
+++ b/marblefold/http_connections/answer.py
@@ -1,5 +1,6 @@
-"""The answer a client gets, as a small value, and its one writer."""
+"""The answer to a client as a value, and the encoder of its head."""
 
+from collections.abc import Callable
 from http import HTTPStatus
 from typing import NamedTuple
 
@@ -12,7 +13,7 @@
 
 
 class Answer(NamedTuple):
-    """An answer ready to be written; the body is at hand or in a pipe."""
+    """An answer ready to be written; the body is in `body` or comes through a pipe."""
 
     status: int
     reason: bytes = b""
@@ -20,10 +21,10 @@
     body: bytes = b""
     pipe: BodyPipe | None = None
     closes: bool = False
-    # The answer to HEAD tells a length without carrying the body.
+    # The answer to HEAD states a length but carries no body.
     is_bodiless: bool = False
     # Called once the answer is written or given up.
-    release: object = None
+    release: Callable[[], object] | None = None
 
 
 def own_answer(
@@ -33,7 +34,7 @@
     retry_after: float | None = None,
     closes: bool = False,
 ) -> Answer:
-    """An answer of the mesh itself."""
+    """An answer of the mesh itself; `retry_after` is in seconds."""
     block = b"Content-Type: text/plain\r\n"
     if attempt_id:
         block += wire_names.ATTEMPT_ID + b": " + attempt_id.encode("latin-1") + b"\r\n"
