--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -13,6 +13,7 @@
     CONFIGURATION,
     CORE,
     FIRST_PORTS,
+    NETWORK,
     Door,
     StandIn,
     ask,
@@ -20,9 +21,9 @@
     make_watch,
 )
 
-FRONT = "127.0.0.31"
-HOSTS = ("127.0.0.41", "127.0.0.42")
-DOOR = "127.0.0.51"
+FRONT = f"{NETWORK}.31"
+HOSTS = (f"{NETWORK}.41", f"{NETWORK}.42")
+DOOR = f"{NETWORK}.51"
 SECRET = "secret-of-the-dealer"
 
 
