--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -139,8 +139,10 @@
             done, pending = await asyncio.wait(
                 pending, timeout=left, return_when=asyncio.FIRST_COMPLETED
             )
-            for task in done:
-                self._sort(tasks[task], task, agreed)
+            # In the order of peers, so that a test repeats itself.
+            for task, peer in tasks.items():
+                if task in done:
+                    self._sort(peer, task, agreed)
         # The others still get to hold it: theirs is a copy more.
         for task in pending:
             task.add_done_callback(_forget)
--- a/tests/test_one_number_one_content.py
+++ b/tests/test_one_number_one_content.py
@@ -5,10 +5,6 @@
 the only one ever confirmed under it, and is never refused from then on.
 """
 
-import itertools
-from types import SimpleNamespace
-from unittest import mock
-
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import rule
@@ -35,11 +31,6 @@
     """Operators that send few numbers with few contents, again and again."""
 
     def __init__(self):
-        # Lives order ballots of one store: counted, so that a run repeats itself.
-        lives = itertools.count()
-        counted = SimpleNamespace(urandom=lambda size: next(lives).to_bytes(size, "big"))
-        self.lives = mock.patch("marblefold.register_store.lives.os", counted)
-        self.lives.start()
         super().__init__()
         self.confirmed = {}
         self.refused = set()
@@ -79,10 +70,6 @@
         if outcome is Outcome.OVERTAKEN:
             assert holding.number > call.number
 
-    def teardown(self):
-        self.lives.stop()
-        super().teardown()
-
 
 NumberMachine.TestCase.settings = settings(
     max_examples=200,
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -6,6 +6,10 @@
 """
 
 import asyncio
+import contextlib
+import itertools
+from types import SimpleNamespace
+from unittest import mock
 
 from hypothesis import HealthCheck, settings
 from hypothesis import strategies as st
@@ -25,6 +29,15 @@
 
     def __init__(self):
         super().__init__()
+        # A run must repeat itself: lives order ballots of one store, so they are
+        # counted; and no phase of a ballot may end by the real time that it took.
+        lives = itertools.count()
+        counted = SimpleNamespace(urandom=lambda size: next(lives).to_bytes(size, "big"))
+        self.patches = contextlib.ExitStack()
+        self.patches.enter_context(mock.patch("marblefold.register_store.lives.os", counted))
+        self.patches.enter_context(
+            mock.patch("marblefold.register_store.proposer._PHASE_SECONDS", 1e6)
+        )
         self.loop = asyncio.new_event_loop()
         self.network = Network()
         self.stores = {address: Store(self, address, True) for address in ALL}
@@ -193,6 +206,7 @@
         for _ in range(20):
             self.loop.run_until_complete(asyncio.sleep(0))
         self.loop.close()
+        self.patches.close()
 
 
 StoreMachine.TestCase.settings = settings(
