--- a/marblefold/registry/list_duty.py
+++ b/marblefold/registry/list_duty.py
@@ -22,9 +22,8 @@
 
 DUTY_REGISTER = "duty/instances"
 _LOOK_EVERY = timedelta(milliseconds=250)
-# The list is read several times within the time that a drain may take: a change may
-# just miss a page, a read of many pages takes its time, and so do the feeds.
-_READS_IN_A_DRAIN = 6
+# The list is read several times within the time that a drain may take.
+_READS_IN_A_DRAIN = 3
 _LONGEST_PAUSE = timedelta(seconds=1)
 _MOST_BACK_OFF = 4.0
 
