--- a/tests/test_orders_take_effect_once.py
+++ b/tests/test_orders_take_effect_once.py
@@ -220,3 +220,17 @@
         order = b"%d" % number
         held = read_order(make_call(RegisterCallKind.DUTY, b"x", number, order)).change(held)
     assert held.number == 30 and held.orders == tuple(b"%d" % one for one in range(22, 30))
+
+
+def test_a_stop_of_what_is_stopped_already_fences_off_an_earlier_start():
+    """An abandoned start comes to its store behind a stop that changed no state."""
+    stores = OrderedStores(lambda: 0.0)
+    for number, value in ((0, b"on"), (1, b"off")):
+        stores.do("a:1", make_call(RegisterCallKind.EVACUATION, value, number, value))
+    start = make_call(RegisterCallKind.EVACUATION, b"on", 2, b"abandoned")
+    stop = make_call(RegisterCallKind.EVACUATION, b"off", 2, b"again")
+    stores.do("b:1", stop)
+    assert held_of(stores, "b:1", REGISTER).value == b"off"
+    stores.do("c:1", start)
+    assert held_of(stores, "c:1", REGISTER).value == b"off"
+    stores.close()
