--- /dev/null
+++ b/tests/test_bench_days.py
@@ -0,0 +1,183 @@
+"""The days under tools/bench_days: they parse, hold the kinds they are for, and runs are read right."""
+
+import json
+from pathlib import Path
+
+import pytest
+
+from tools.bench_days.days import DAYS, listed_kinds, read_day, read_days
+from tools.bench_days.outcome import failed_run, journal_entry, read_outcome
+
+# What each of the five sets of days must hold, over all days whose names begin so.
+POINTS = {
+    "control-cut": {"core_cut", "config_race", "evacuate"},
+    "races-with-lost-acks": {"config_race", "ack_lost", "node_freeze"},
+    "replace-then-loss": {"replace_core", "after_ack_wipe", "herd_kill"},
+    "hundreds-of-changes": {"config_storm", "herd_kill"},
+    "wrong-caller": {"reset_conns", "garble", "answer_lost", "node_freeze", "roll_term"},
+}
+# Every kind that the sites in hand list, those that "may come too" among them.
+KINDS = frozenset("""
+    ack_lost add_nodes after_ack_kill after_ack_wipe answer_lost bad_config burst clock_step
+    cold_return config_change config_race config_storm core_cut disk_full disk_slow disk_stall
+    evacuate garble give_up herd_kill hup idle_race lossy node_cut node_freeze node_kill node_slow
+    release replace_core replace_with_reuse reset_conns retry_abuse roll_term scale_in scale_out
+    seed_turnover srv_crash srv_flap srv_grey srv_lying_health srv_slow zone_cut zone_loss
+    """.split())
+
+DAY = """
+[[day]]
+name = "{name}"
+plan = [{{ at = 9.0, kind = "config_race", count = 2 }}, {{ at = 2.0, kind = "config_race" }}]
+faults = [{{ at = 4.0, kind = "core_cut", how = "leader race" }}]
+closing = {{ kind = "kill_all", down_s = 1.0 }}
+"""
+
+
+def _day(tmp_path: Path, text: str, name: str = "sample"):
+    path = tmp_path / f"{name}.toml"
+    path.write_text(text)
+    return read_day(path)
+
+
+def _of(point: str):
+    return [day for day in read_days([]) if day.name == point or day.name.startswith(f"{point}-")]
+
+
+def test_every_file_is_a_day_and_every_day_has_its_own_name():
+    days = read_days([])
+    assert len(days) == len(list(DAYS.iterdir()))
+    assert len({day.name for day in days}) == len(days)
+
+
+@pytest.mark.parametrize("point", POINTS)
+def test_each_day_of_a_point_holds_its_kinds(point):
+    days = _of(point)
+    assert days
+    for day in days:
+        assert POINTS[point] <= day.kinds, day.name
+
+
+def test_the_core_is_cut_for_twenty_seconds_in_each_variant():
+    hows = set()
+    for day in _of("control-cut"):
+        text = day.path.read_text()
+        assert "for_s = 20.0" in text
+        (cut,) = [entry for entry in day.entries if entry.kind == "core_cut"]
+        hows |= set(cut.how.split())
+    assert {"leader", "race", "hard", "one_way"} <= hows
+
+
+def test_replacements_come_twice_planned_and_unplanned():
+    variants = {day.name: [entry.how for entry in day.entries if entry.kind == "replace_core"]
+                for day in _of("replace-then-loss")}
+    assert all(len(hows) == 2 for hows in variants.values())
+    assert any(all("planned" in how for how in hows) for hows in variants.values())
+    assert any(all("planned" not in how for how in hows) for hows in variants.values())
+
+
+def test_a_couple_of_hundred_changes_end_with_a_wipe():
+    (day,) = _of("hundreds-of-changes")
+    assert day.closing == "wipe_after_ack"
+    assert "count = 220" in day.path.read_text()
+
+
+def test_all_days_together_hold_every_kind():
+    assert frozenset().union(*(day.kinds for day in _of("kinds"))) == KINDS
+
+
+def test_no_day_names_a_place_or_a_service():
+    for day in read_days([]):
+        for word in ("zone =", "to_zone", "region", "service =", "class ="):
+            assert word not in day.path.read_text(), day.name
+
+
+def test_entries_are_read_in_order_of_time(tmp_path):
+    day = _day(tmp_path, DAY.format(name="sample"))
+    assert [(entry.at, entry.kind, entry.how, entry.planned) for entry in day.entries] == [
+        (2.0, "config_race", "", True), (4.0, "core_cut", "leader race", False),
+        (9.0, "config_race", "", True)]
+    assert day.closing == "kill_all"
+
+
+@pytest.mark.parametrize("text", [
+    "", "[[day]]\nname = 'sample'\n", DAY.format(name="other"),
+    DAY.format(name="sample") * 2, "[[day]]\nname = 'sample'\nplan = [{ kind = 'hup' }]\n"])
+def test_what_is_no_day_is_refused(tmp_path, text):
+    with pytest.raises(ValueError):
+        _day(tmp_path, text)
+
+
+def test_listed_kinds_are_the_names_before_colons():
+    text = ("'plan' holds planned work: the rest\nclosing = { kind = kill_all }\n\n"
+            "hup: share (.3) get SIGHUP, over gap_s\n\nthese may come too:\n"
+            "zone_cut: a zone is cut off; how: x\n")
+    assert listed_kinds(text) == {"hup", "zone_cut"}
+
+
+def test_the_journal_entry_is_the_one_that_the_output_names(tmp_path):
+    (tmp_path / "20260101T000000-aaaa1111.json").write_text("{}")
+    (tmp_path / "20260101T000001-bbbb2222.json").write_text("{}")
+    found = journal_entry("to play it took 2 s\nsnapshot bbbb2222\n", tmp_path)
+    assert found is not None and found.name.endswith("bbbb2222.json")
+    assert journal_entry("snapshot cccc3333\n", tmp_path) is None
+    assert journal_entry("no such line", tmp_path) is None
+
+
+def _entry(**changes) -> dict:
+    found = {"G": 0.71, "rules": {}, "gate": True, "short": [], "fault": None} | changes
+    return {"id": "bbbb2222", "site": "somewhere", "ok": True, "error": None, "days": [found]}
+
+
+def test_a_clean_run_is_read_with_what_was_not_played(tmp_path):
+    day = _day(tmp_path, DAY.format(name="sample"))
+    report = {"events": [{"at_s": 2.0, "kind": "config_race"},
+                         {"at_s": 4.0, "kind": "core_cut (leader race)"}]}
+    outcome = read_outcome(day, 7, _entry(), report)
+    assert outcome.clean and outcome.gate and outcome.worth == 0.71
+    assert outcome.played == {"config_race", "core_cut"}
+    # One event stands for one entry: the second race is missing.
+    assert [entry.at for entry in outcome.not_played] == [9.0]
+    assert "worth 0.710; gate passed; no rule broken; not played: config_race at 9" in outcome.line()
+    assert outcome.line().startswith("somewhere sample seed 7:")
+
+
+def test_another_variant_does_not_stand_for_an_entry(tmp_path):
+    day = _day(tmp_path, DAY.format(name="sample"))
+    report = {"events": [{"kind": "config_race"}, {"kind": "config_race"}, {"kind": "core_cut (near)"}]}
+    outcome = read_outcome(day, 7, _entry(), report)
+    assert [entry.kind for entry in outcome.not_played] == ["core_cut"]
+
+
+@pytest.mark.parametrize("changes, words", [
+    ({"rules": {"LOST": 2, "CONFIG": 1}, "gate": False}, "gate failed; rules broken: CONFIG 1, LOST 2"),
+    ({"fault": "too slow", "gate": False}, "fault: too slow")])
+def test_a_run_with_a_broken_rule_or_a_fault_is_not_clean(tmp_path, changes, words):
+    outcome = read_outcome(_day(tmp_path, DAY.format(name="sample")), 7, _entry(**changes), {})
+    assert not outcome.clean and not outcome.gate
+    assert words in outcome.line()
+
+
+def test_a_run_short_of_its_floors_keeps_their_words(tmp_path):
+    entry = _entry(gate=False, short=["0.28 of the worth; the floor is 0.39"])
+    outcome = read_outcome(_day(tmp_path, DAY.format(name="sample")), 7, entry, {})
+    assert outcome.clean and not outcome.gate
+    assert "the floor is 0.39" in outcome.line()
+
+
+def test_a_run_without_a_day_has_no_figures(tmp_path):
+    day = _day(tmp_path, DAY.format(name="sample"))
+    for entry in ({"site": "somewhere", "ok": False, "error": "no build"},
+                  {"site": "somewhere", "ok": True, "days": []}):
+        outcome = read_outcome(day, 7, entry, {})
+        assert not outcome.clean and outcome.worth is None
+        assert "no figures" in outcome.line()
+    silent = failed_run(day, 7, "somewhere", "built in 2 s\nfleetbench: no such kind\n\n")
+    assert silent.error == "fleetbench: no such kind" and not silent.clean
+
+
+def test_outcomes_can_be_written_as_json(tmp_path):
+    from dataclasses import asdict
+
+    outcome = read_outcome(_day(tmp_path, DAY.format(name="sample")), 7, _entry(), {})
+    assert json.loads(json.dumps(asdict(outcome), default=sorted))["day"] == "sample"
--- /dev/null
+++ b/tools/bench_days/__main__.py
@@ -0,0 +1,117 @@
+"""python3 -m tools.bench_days: plays days of our own over several seeds on one site."""
+
+import json
+import subprocess
+import sys
+import tempfile
+from concurrent.futures import ThreadPoolExecutor
+from dataclasses import asdict
+from functools import partial
+from pathlib import Path
+
+from absl import flags
+
+from tools.bench_days.days import Day, listed_kinds, read_days
+from tools.bench_days.outcome import Outcome, failed_run, journal_entry, read_outcome
+
+__all__ = ["main"]
+
+FLAGS = flags.FLAGS
+flags.DEFINE_string("bench", None, "Path of fleetbench.")
+flags.DEFINE_string("site", None, "Path of the site file.")
+flags.DEFINE_multi_string("day", [], "Name of a day to play; all of them without it.")
+flags.DEFINE_multi_integer("seed", [101], "Seed of a day; give several to play each day with each.")
+flags.DEFINE_integer("jobs", 1, "How many days are played at once.", lower_bound=1, upper_bound=3)
+flags.DEFINE_float("until", None, "Second at which each day is ended.", lower_bound=1)
+flags.DEFINE_float("longest", 1500.0, "Seconds that one run may take.", lower_bound=10)
+flags.DEFINE_string("why", "", "Why it is played; each journal entry gets it with day and seed.")
+flags.DEFINE_boolean("listed", True, "Pass over days with a kind that the site doesn't list.")
+flags.DEFINE_boolean("go_on", False, "Go on after a broken rule.")
+flags.DEFINE_string("out", "", "File that gets the outcomes as JSON lines, one after each run.")
+
+_CLEAN, _BROKEN, _USAGE = 0, 1, 2
+# The bench cuts longer reasons.
+_LONGEST_WHY = 119
+_JOURNAL = Path("journal")
+
+
+def main(arguments: list[str]) -> int:
+    """Plays what the flags say; 0 if every run was whole and broke no rule."""
+    try:
+        rest = FLAGS(arguments)
+        days = read_days(FLAGS.day)
+    except (flags.Error, OSError, ValueError) as error:
+        print(error, file=sys.stderr)
+        return _USAGE
+    if rest[1:] or not FLAGS.bench or not FLAGS.site:
+        print("usage: python3 -m tools.bench_days --bench=FLEETBENCH --site=FILE "
+              "[--day=NAME]... [--seed=N]... [--jobs=N]", file=sys.stderr)
+        return _USAGE
+    if FLAGS.listed:
+        days = _playable(days)
+    runs = [(day, seed) for seed in FLAGS.seed for day in days]
+    outcomes = []
+    with ThreadPoolExecutor(FLAGS.jobs) as pool:
+        stopped: list[Outcome] = []
+        for outcome in pool.map(partial(_play_unless, stopped), runs):
+            if outcome is None:
+                continue
+            outcomes.append(outcome)
+            if not outcome.clean and not FLAGS.go_on:
+                stopped.append(outcome)
+    broken = [outcome for outcome in outcomes if not outcome.clean]
+    print(f"{len(outcomes)} of {len(runs)} runs played, {len(broken)} with a broken rule or no figures")
+    return _BROKEN if broken or len(outcomes) < len(runs) else _CLEAN
+
+
+def _playable(days: list[Day]) -> list[Day]:
+    """Leaves out days with a kind that the site's contracts don't hold, and says so."""
+    done = subprocess.run([FLAGS.bench, "kinds", FLAGS.site], capture_output=True, text=True, check=True)
+    listed = listed_kinds(done.stdout)
+    kept = []
+    for day in days:
+        unlisted = sorted(day.kinds - listed)
+        if unlisted:
+            print(f"{Path(FLAGS.site).stem} {day.name}: passed over, not listed: {', '.join(unlisted)}")
+        else:
+            kept.append(day)
+    return kept
+
+
+def _play_unless(stopped: list[Outcome], run: tuple[Day, int]) -> Outcome | None:
+    """Plays a run, unless one before it has ended badly; then None."""
+    if stopped:
+        return None
+    outcome = _play(*run)
+    print(outcome.line(), flush=True)
+    for item in outcome.first:
+        print(f"  {item}", flush=True)
+    if FLAGS.out:
+        with open(FLAGS.out, "a", encoding="utf-8") as file:
+            file.write(json.dumps(asdict(outcome), default=sorted) + "\n")
+    return outcome
+
+
+def _play(day: Day, seed: int) -> Outcome:
+    site = Path(FLAGS.site).stem
+    with tempfile.TemporaryDirectory(prefix="bench-day-") as folder:
+        report = Path(folder) / "report.json"
+        why = f"Own day {day.name}, seed {seed}" + (f": {FLAGS.why}" if FLAGS.why else "")
+        command = [FLAGS.bench, "run", FLAGS.site, str(day.path.relative_to(Path.cwd())),
+                   "--seed", str(seed), "--jobs", "1", "--why", why[:_LONGEST_WHY],
+                   "--report", str(report)]
+        if FLAGS.until:
+            command += ["--until", f"{FLAGS.until:g}"]
+        try:
+            done = subprocess.run(command, stdout=subprocess.PIPE, stderr=subprocess.STDOUT,
+                                  text=True, check=False, timeout=FLAGS.longest)
+        except subprocess.TimeoutExpired:
+            return failed_run(day, seed, site, f"took more than {FLAGS.longest:g} s")
+        entry = journal_entry(done.stdout, _JOURNAL)
+        if entry is None or not report.exists():
+            return failed_run(day, seed, site, done.stdout)
+        return read_outcome(day, seed, json.loads(entry.read_text()), json.loads(report.read_text()))
+
+
+if __name__ == "__main__":
+    sys.exit(main(sys.argv))
--- /dev/null
+++ b/tools/bench_days/days.py
@@ -0,0 +1,75 @@
+"""The days of this folder: which entries each one holds, and of which kinds."""
+
+import re
+import tomllib
+from dataclasses import dataclass
+from pathlib import Path
+
+__all__ = ["DAYS", "Day", "Entry", "listed_kinds", "read_day", "read_days"]
+
+DAYS = Path(__file__).parent / "days"
+
+# One line of `fleetbench kinds`: the name of a kind, a colon, and what it means.
+_KIND_LINE = re.compile(r"^([a-z][a-z_]*): ", re.MULTILINE)
+
+
+@dataclass(frozen=True)
+class Entry:
+    """One trouble or piece of planned work, as the day's file has it."""
+
+    at: float
+    kind: str
+    how: str
+    planned: bool
+
+
+@dataclass(frozen=True)
+class Day:
+    """A day's file, its name and its entries by time."""
+
+    path: Path
+    name: str
+    entries: tuple[Entry, ...]
+    closing: str
+
+    @property
+    def kinds(self) -> frozenset[str]:
+        """The kinds of all entries; the closing fault isn't one."""
+        return frozenset(entry.kind for entry in self.entries)
+
+
+def read_day(path: Path) -> Day:
+    """Reads one file; ValueError when it doesn't hold exactly one day with a name of its own."""
+    with path.open("rb") as file:
+        document = tomllib.load(file)
+    days = document.get("day")
+    if not isinstance(days, list) or len(days) != 1:
+        raise ValueError(f"{path}: one [[day]] is expected")
+    (table,) = days
+    if table.get("name") != path.stem:
+        raise ValueError(f"{path}: the day must be named {path.stem!r}")
+    entries = [_entry(path, found, planned)
+               for part, planned in (("plan", True), ("faults", False))
+               for found in table.get(part, [])]
+    if not entries:
+        raise ValueError(f"{path}: neither plan nor faults")
+    entries.sort(key=lambda entry: entry.at)
+    return Day(path, path.stem, tuple(entries), table.get("closing", {}).get("kind", ""))
+
+
+def read_days(names: list[str], folder: Path = DAYS) -> list[Day]:
+    """Reads the days with these names in this order; all of the folder by name, if none is given."""
+    paths = [folder / f"{name}.toml" for name in names] or sorted(folder.glob("*.toml"))
+    return [read_day(path) for path in paths]
+
+
+def listed_kinds(text: str) -> frozenset[str]:
+    """The kinds that the output of `fleetbench kinds SITE` lists."""
+    return frozenset(_KIND_LINE.findall(text))
+
+
+def _entry(path: Path, table: dict, planned: bool) -> Entry:
+    at, kind, how = table.get("at"), table.get("kind"), table.get("how", "")
+    if not isinstance(at, (int, float)) or not isinstance(kind, str) or not isinstance(how, str):
+        raise ValueError(f"{path}: an entry needs a number `at` and a word `kind`: {table}")
+    return Entry(float(at), kind, how, planned)
--- /dev/null
+++ b/tools/bench_days/outcome.py
@@ -0,0 +1,114 @@
+"""What one run came to, read from its journal entry and from the report that it wrote."""
+
+import json
+import re
+from dataclasses import dataclass
+from pathlib import Path
+
+from tools.bench_days.days import Day, Entry
+
+__all__ = ["Outcome", "failed_run", "journal_entry", "read_outcome"]
+
+# The line of a run's output that names its journal entry.
+_SNAPSHOT = re.compile(r"^snapshot ([0-9a-f]+)$", re.MULTILINE)
+# An event's kind as reports write it, with the variant in brackets: `core_cut (leader race)`.
+_EVENT = re.compile(r"^([a-z_]+)(?: \((.*)\))?$")
+
+
+@dataclass(frozen=True)
+class Outcome:
+    """One day with one seed on one site. With an `error` it has no figures."""
+
+    day: str
+    seed: int
+    site: str
+    snapshot: str = ""
+    worth: float | None = None
+    gate: bool | None = None
+    rules: dict[str, int] | None = None
+    first: tuple[str, ...] = ()
+    short: tuple[str, ...] = ()
+    fault: str = ""
+    played: frozenset[str] = frozenset()
+    not_played: tuple[Entry, ...] = ()
+    error: str = ""
+
+    @property
+    def clean(self) -> bool:
+        """It was played to its end, with no rule broken."""
+        return not self.error and not self.fault and not self.rules
+
+    def line(self) -> str:
+        """One line for people."""
+        start = f"{self.site} {self.day} seed {self.seed}:"
+        if self.error:
+            return f"{start} no figures: {self.error}"
+        rules = ", ".join(f"{rule} {count}" for rule, count in sorted((self.rules or {}).items()))
+        parts = [f"worth {self.worth:.3f}" if self.worth is not None else "no worth",
+                 "gate passed" if self.gate else "gate failed",
+                 f"rules broken: {rules}" if rules else "no rule broken", *self.short]
+        if self.fault:
+            parts.append(f"fault: {self.fault}")
+        if self.not_played:
+            parts.append("not played: " + ", ".join(
+                f"{entry.kind} at {entry.at:g}" for entry in self.not_played))
+        return f"{start} {'; '.join(parts)} [{self.snapshot}]"
+
+
+def failed_run(day: Day, seed: int, site: str, text: str) -> Outcome:
+    """A run that left nothing to read; the last line of its output says why."""
+    lines = [line for line in text.splitlines() if line.strip()]
+    return Outcome(day.name, seed, site, error=lines[-1] if lines else "no output")
+
+
+def journal_entry(output: str, folder: Path) -> Path | None:
+    """The journal entry that a run's output names, if it is there."""
+    found = _SNAPSHOT.search(output)
+    if found is None:
+        return None
+    return next(iter(sorted(folder.glob(f"*-{found.group(1)}.json"))), None)
+
+
+def read_outcome(day: Day, seed: int, entry: dict, report: dict) -> Outcome:
+    """Joins a journal entry (rules, gate, worth) with a report (what was played, when)."""
+    site = str(entry.get("site"))
+    days = entry.get("days") or []
+    if not entry.get("ok") or len(days) != 1:
+        return Outcome(day.name, seed, site, str(entry.get("id", "")),
+                       error=str(entry.get("error") or "the journal entry has no day"))
+    (found,) = days
+    played = [_parts(event["kind"]) for event in report.get("events", [])]
+    return Outcome(
+        day.name, seed, site, str(entry.get("id", "")), worth=found.get("G"),
+        gate=found.get("gate"), rules=dict(found.get("rules") or {}),
+        first=tuple(_text(item) for item in report.get("first") or []),
+        short=tuple(_text(item) for item in found.get("short") or []),
+        fault=found.get("fault") or "", played=frozenset(kind for kind, _ in played),
+        not_played=_missing(day, played))
+
+
+def _missing(day: Day, played: list[tuple[str, str]]) -> tuple[Entry, ...]:
+    """The entries that no event of the report stands for; each event stands for one entry."""
+    left = list(played)
+    missing = []
+    for entry in day.entries:
+        match = next((event for event in left if _stands_for(event, entry)), None)
+        if match is None:
+            missing.append(entry)
+        else:
+            left.remove(match)
+    return tuple(missing)
+
+
+def _stands_for(event: tuple[str, str], entry: Entry) -> bool:
+    # The seed may pick a variant where the entry names none, but never another one.
+    return event[0] == entry.kind and (not entry.how or event[1] == entry.how)
+
+
+def _parts(kind: str) -> tuple[str, str]:
+    found = _EVENT.match(kind)
+    return (found.group(1), found.group(2) or "") if found else (kind, "")
+
+
+def _text(item: object) -> str:
+    return item if isinstance(item, str) else json.dumps(item)
