--- a/tools/bench_days/days.py
+++ b/tools/bench_days/days.py
@@ -1,17 +1,14 @@
 """The days of this folder: which entries each one holds, and of which kinds."""
 
-import re
 import tomllib
+from collections.abc import Collection
 from dataclasses import dataclass
 from pathlib import Path
 
-__all__ = ["DAYS", "Day", "Entry", "listed_kinds", "read_day", "read_days"]
+__all__ = ["DAYS", "Day", "Entry", "read_day", "read_days", "write_without"]
 
 DAYS = Path(__file__).parent / "days"
 
-# One line of `fleetbench kinds`: the name of a kind, a colon, and what it means.
-_KIND_LINE = re.compile(r"^([a-z][a-z_]*): ", re.MULTILINE)
-
 
 @dataclass(frozen=True)
 class Entry:
@@ -63,9 +60,20 @@
     return [read_day(path) for path in paths]
 
 
-def listed_kinds(text: str) -> frozenset[str]:
-    """The kinds that the output of `fleetbench kinds SITE` lists."""
-    return frozenset(_KIND_LINE.findall(text))
+def write_without(day: Day, kinds: Collection[str], folder: Path) -> Path | None:
+    """A copy of the day's file in the folder, without entries of these kinds.
+
+    The file itself if none are named, None if no entry would be left. Files hold an entry a line.
+    """
+    if not kinds:
+        return day.path
+    if day.kinds <= set(kinds):
+        return None
+    marks = [f'kind = "{kind}"' for kind in kinds]
+    lines = day.path.read_text().splitlines(keepends=True)
+    path = folder / day.path.name
+    path.write_text("".join(line for line in lines if not any(mark in line for mark in marks)))
+    return path
 
 
 def _entry(path: Path, table: dict, planned: bool) -> Entry:
