--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -11,7 +11,7 @@
 from marblefold.register_store.calls import Refusal
 from marblefold.register_store.lives import NO_LIFE, first_life, is_past, life_above, may_follow
 from marblefold.register_store.reading import find_unproven, merge_holdings, merge_lives
-from marblefold.register_store.records import DoubtfulRecords, Records
+from marblefold.register_store.records import Records, UncertainRecords
 from marblefold.register_store.store_records import Standing, StoreMeta
 from marblefold.register_store.view import View, first_view, read_view
 
@@ -39,7 +39,7 @@
         # Copied while reading although a higher ballot was promised: no proof
         # that a majority accepted the value under its ballot.
         self._unproven: set[str] = set()
-        self._records = DoubtfulRecords(records)
+        self._records = UncertainRecords(records)
         loaded = records.load()
         for name, data in loaded.items():
             if name.startswith(_REGISTER_PREFIX):
@@ -72,7 +72,7 @@
 
         To be called before each answer: none may rest on what power loss can change.
         """
-        for name in sorted(self._records.in_doubt):
+        for name in sorted(self._records.uncertain_names):
             register = name.removeprefix(_REGISTER_PREFIX)
             if name == META_RECORD:
                 self._write_meta()
--- a/marblefold/register_store/records.py
+++ b/marblefold/register_store/records.py
@@ -4,7 +4,7 @@
 
 from marblefold.errors import DiskError
 
-__all__ = ["DoubtfulRecords", "Records"]
+__all__ = ["UncertainRecords", "Records"]
 
 
 class Records(Protocol):
@@ -15,7 +15,7 @@
     def write(self, name: str, data: bytes) -> None: ...
 
 
-class DoubtfulRecords:
+class UncertainRecords:
     """Records, and the names of those whose last write failed.
 
     After a failed write the disk may hold the record as it was before or as it
@@ -23,7 +23,7 @@
     """
 
     def __init__(self, records: Records) -> None:
-        self.in_doubt: set[str] = set()
+        self.uncertain_names: set[str] = set()
         self._records = records
 
     def write(self, name: str, data: bytes) -> None:
@@ -31,6 +31,6 @@
         try:
             self._records.write(name, data)
         except DiskError:
-            self.in_doubt.add(name)
+            self.uncertain_names.add(name)
             raise
-        self.in_doubt.discard(name)
+        self.uncertain_names.discard(name)
