--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -12,10 +12,10 @@
 from marblefold.register_store.lives import NO_LIFE, first_life, is_past, life_above, may_follow
 from marblefold.register_store.reading import find_unproven, merge_holdings, merge_lives
 from marblefold.register_store.records import Records, UncertainRecords
-from marblefold.register_store.store_records import Standing, StoreMeta
+from marblefold.register_store.store_records import StoreMeta, VotingStatus
 from marblefold.register_store.view import View, first_view, read_view
 
-__all__ = ["Acceptor", "META_RECORD", "Standing", "VIEW_REGISTER"]
+__all__ = ["Acceptor", "META_RECORD", "VotingStatus", "VIEW_REGISTER"]
 
 VIEW_REGISTER = "view"
 META_RECORD = "meta"
@@ -27,7 +27,7 @@
 
     def __init__(self, address: str, records: Records, seeds: list[str], is_first: bool) -> None:
         self.address = address
-        self.standing = Standing.READING
+        self.standing = VotingStatus.READING
         self.life = NO_LIFE
         self.lives: dict[str, str] = {}
         self.holdings: dict[str, Holding] = {}
@@ -52,7 +52,7 @@
                 self._read_meta(loaded[META_RECORD])
             elif is_first and not loaded:
                 self._begin_first(seeds)
-            if self.standing is Standing.READING:
+            if self.standing is VotingStatus.READING:
                 self.begin_reading()
 
     @property
@@ -83,7 +83,7 @@
         """Starts a life that knows nothing: no vote before it has read."""
         self.life = life_above([self.life, self.lives.get(self.address, NO_LIFE)])
         self.previous = self.left_view = None
-        self._change_standing(Standing.READING)
+        self._change_standing(VotingStatus.READING)
 
     def outlive(self, known: str) -> bool:
         """Begins a later life if one not before ours is known; returns whether it did.
@@ -130,7 +130,7 @@
         if register == VIEW_REGISTER:
             self.take_view(read_view(holding.value))
         held = self.holdings.get(register, NOTHING)
-        if holding.ballot <= held.ballot or self.standing is not Standing.VOTING:
+        if holding.ballot <= held.ballot or self.standing is not VotingStatus.VOTING:
             return False
         promised = max(held.promised, holding.ballot)
         self._hold(register, holding._replace(promised=promised))
@@ -152,18 +152,20 @@
             for member, life in self.lives.items()
             if member in view.members or member == self.address
         }
-        if self.standing is Standing.VOTING and not (follows and self.is_member):
+        if self.standing is VotingStatus.VOTING and not (follows and self.is_member):
             self.begin_reading()
         else:
             self._write_meta()
         is_next = before is not None and view.number == before.number + 1
-        self.previous = before if is_next and was is Standing.READING else None
-        self.left_view = view if follows and was is Standing.VOTING and not self.is_member else None
+        self.previous = before if is_next and was is VotingStatus.READING else None
+        self.left_view = (
+            view if follows and was is VotingStatus.VOTING and not self.is_member else None
+        )
         return True
 
     def answer_read(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """Gives all that is held, and knows the reader's new life from then on."""
-        votes = self.standing is Standing.VOTING and not self.has_open_view
+        votes = self.standing is VotingStatus.VOTING and not self.has_open_view
         # Who was just swapped out votes no more: what it holds is final.
         if not votes and (self.left_view is None or self.left_view != self.view):
             return self._refuse(Refusal.UNREADABLE, "")
@@ -186,10 +188,10 @@
         for register, holding in self.holdings.items():
             self._write_register(register, holding)
         self._unproven = find_unproven(self.holdings)
-        self._change_standing(Standing.VOTING)
+        self._change_standing(VotingStatus.VOTING)
 
     def _find_refusal(self, call: kinds.StoreCall) -> Refusal:
-        if self.standing is not Standing.VOTING or not self.is_member:
+        if self.standing is not VotingStatus.VOTING or not self.is_member:
             return Refusal.DOES_NOT_VOTE
         if read_view(call.view) != self.view:
             return Refusal.ANOTHER_VIEW
@@ -225,9 +227,9 @@
         self.life, self.view = first_life(), first_view(seeds)
         # A store that no seed names waits to be swapped in.
         if self.is_member:
-            self._change_standing(Standing.VOTING)
+            self._change_standing(VotingStatus.VOTING)
 
-    def _change_standing(self, standing: Standing) -> None:
+    def _change_standing(self, standing: VotingStatus) -> None:
         """The one place where the standing changes."""
         self.standing = standing
         self._write_meta()
--- a/marblefold/register_store/heartbeat.py
+++ b/marblefold/register_store/heartbeat.py
@@ -1,7 +1,7 @@
 """The cheap call by which a registry finds out whether it reaches a majority."""
 
 from marblefold.inner_protocol.messages import kinds
-from marblefold.register_store.acceptor import Acceptor, Standing
+from marblefold.register_store.acceptor import Acceptor, VotingStatus
 from marblefold.register_store.call_kinds import Outcome
 
 __all__ = ["answer_heartbeat"]
@@ -14,7 +14,9 @@
     a replaced view a majority did, so they never make a quorum of it again.
     """
     has_vote = (
-        acceptor.standing is Standing.VOTING and acceptor.is_member and not acceptor.has_open_view
+        acceptor.standing is VotingStatus.VOTING
+        and acceptor.is_member
+        and not acceptor.has_open_view
     )
     return kinds.RegisterAnswer(
         outcome=Outcome.HELD if has_vote else Outcome.UNKNOWN, value=acceptor.pack_view()
--- a/marblefold/register_store/member_changes.py
+++ b/marblefold/register_store/member_changes.py
@@ -12,7 +12,7 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
-from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, Standing
+from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, VotingStatus
 from marblefold.register_store.calls import CallKind
 from marblefold.register_store.changes import change_view
 from marblefold.register_store.peer_calls import StorePeers
@@ -62,7 +62,7 @@
         """
         acceptor = self._acceptor
         votes = (
-            acceptor.standing is Standing.VOTING
+            acceptor.standing is VotingStatus.VOTING
             and acceptor.is_member
             and not acceptor.has_open_view
         )
@@ -115,7 +115,7 @@
     def _can_hand_over(self) -> bool:
         acceptor = self._acceptor
         return (
-            acceptor.standing is Standing.VOTING
+            acceptor.standing is VotingStatus.VOTING
             and acceptor.is_member
             and acceptor.view is not None
             and len(acceptor.view.members) >= self._wanted_members
--- a/marblefold/register_store/store_records.py
+++ b/marblefold/register_store/store_records.py
@@ -6,10 +6,10 @@
 
 from marblefold.register_store.view import View, read_view
 
-__all__ = ["Standing", "StoreMeta"]
+__all__ = ["VotingStatus", "StoreMeta"]
 
 
-class Standing(enum.Enum):
+class VotingStatus(enum.Enum):
     """Whether this store may vote."""
 
     # Its disk may miss what it once promised or accepted.
@@ -21,7 +21,7 @@
     """The record of a store's life, standing and view."""
 
     life: str
-    standing: Standing
+    standing: VotingStatus
     lives: dict[str, str]
     unproven: frozenset[str]
     view: View | None
@@ -45,7 +45,7 @@
         view = fields["view"]
         return cls(
             fields["life"],
-            Standing(fields["standing"]),
+            VotingStatus(fields["standing"]),
             fields["lives"],
             frozenset(fields.get("unproven", ())),
             read_view(view.encode()) if view else None,
--- a/marblefold/register_store/upkeep.py
+++ b/marblefold/register_store/upkeep.py
@@ -7,7 +7,7 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
-from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, Standing
+from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, VotingStatus
 from marblefold.register_store.ballots import NOTHING, Ballot, Holding
 from marblefold.register_store.calls import CallKind, Refusal
 from marblefold.register_store.chosen_registers import ChosenRegisters
@@ -101,9 +101,9 @@
 
     async def _act(self) -> None:
         acceptor = self._acceptor
-        if acceptor.standing is Standing.READING and not self._members.is_leaving:
+        if acceptor.standing is VotingStatus.READING and not self._members.is_leaving:
             await self._read()
-        if acceptor.standing is Standing.VOTING:
+        if acceptor.standing is VotingStatus.VOTING:
             if acceptor.has_open_view:
                 await self._settler.settle(VIEW_REGISTER)
             self._note_unsure()
@@ -132,13 +132,13 @@
         for answer in answers.values():
             if answer.view:
                 acceptor.take_view(read_view(answer.view))
-        if acceptor.standing is Standing.READING:
+        if acceptor.standing is VotingStatus.READING:
             for answer in answers.values():
                 acceptor.outlive(answer.lives.get(acceptor.address, ""))
 
     def _finish_reading(self, kind: CallKind, answers: dict[str, kinds.StoreAnswer]) -> None:
         acceptor = self._acceptor
-        if kind is not CallKind.READ or acceptor.standing is not Standing.READING:
+        if kind is not CallKind.READ or acceptor.standing is not VotingStatus.READING:
             return
         agreed = {peer: answer for peer, answer in answers.items() if answer.agreed}
         view = acceptor.view
--- a/tests/simulated_core.py
+++ b/tests/simulated_core.py
@@ -9,7 +9,7 @@
 
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import pack_message, unpack_message
-from marblefold.register_store.acceptor import Acceptor, Standing
+from marblefold.register_store.acceptor import Acceptor, VotingStatus
 from marblefold.register_store.ballots import read_holding
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.peer_calls import StorePeers
@@ -257,7 +257,7 @@
             for peer in view.members
             if peer in self.machines
             and self.machines[peer].is_up
-            and self.machines[peer].acceptor.standing is Standing.VOTING
+            and self.machines[peer].acceptor.standing is VotingStatus.VOTING
             and self.machines[peer].acceptor.view == view
         ]
 
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -8,7 +8,7 @@
 
 from marblefold.errors import DiskError, MeshError
 from marblefold.inner_protocol.messages import kinds
-from marblefold.register_store.acceptor import META_RECORD, Acceptor, Standing
+from marblefold.register_store.acceptor import META_RECORD, Acceptor, VotingStatus
 from marblefold.register_store.ballots import Ballot
 from marblefold.register_store.lives import NO_LIFE, is_past
 from marblefold.register_store.peer_calls import answer_call
@@ -85,7 +85,7 @@
 
     def check(self):
         """What it said still holds, and it votes on."""
-        assert self.acceptor.standing is Standing.VOTING
+        assert self.acceptor.standing is VotingStatus.VOTING
         for register, ballot in self.promised.items():
             assert self.acceptor.holdings[register].promised >= ballot
         for register, ballot in self.accepted.items():
@@ -141,7 +141,7 @@
 
     acceptor = open_acceptor(OWN, FOLDER, PEERS, False, sleep)
     assert len(pauses) == 3
-    assert acceptor.life == first.life and acceptor.standing is Standing.VOTING
+    assert acceptor.life == first.life and acceptor.standing is VotingStatus.VOTING
 
 
 def test_a_first_start_on_a_full_disk_refuses_until_there_is_room(monkeypatch):
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -17,7 +17,7 @@
 
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
-from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, Standing
+from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, VotingStatus
 from marblefold.register_store.changes import change_view, hold_configuration
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.view import read_view
@@ -130,7 +130,7 @@
     def read(self, address):
         store = self.stores[address]
         acceptor = store.acceptor
-        if acceptor.standing is Standing.VOTING:
+        if acceptor.standing is VotingStatus.VOTING:
             return
         life = acceptor.life
         answers = []
@@ -177,7 +177,7 @@
     def all_vote(self):
         views = {store.acceptor.pack_view() for store in self.stores.values()}
         return len(views) == 1 and all(
-            self.stores[peer].acceptor.standing is Standing.VOTING
+            self.stores[peer].acceptor.standing is VotingStatus.VOTING
             for peer in self.stores["a:1"].acceptor.view.members
         )
 
--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -12,7 +12,7 @@
 
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
-from marblefold.register_store.acceptor import Acceptor, Standing
+from marblefold.register_store.acceptor import Acceptor, VotingStatus
 from marblefold.register_store.calls import CallKind
 from marblefold.register_store.changes import hold_configuration
 from marblefold.register_store.peer_calls import answer_call
@@ -137,7 +137,7 @@
         ]
         for member in self.bounds.troubled:
             acceptor = self.acceptors[member]
-            if acceptor.standing is Standing.READING:
+            if acceptor.standing is VotingStatus.READING:
                 found += self._readings(member, acceptor)
                 continue
             if self.counts["wipe"] < self.bounds.wipes:
@@ -158,7 +158,7 @@
         return [
             Action("read", member, sources=chosen)
             for chosen in sets
-            if all(self.acceptors[p].standing is Standing.VOTING for p in chosen)
+            if all(self.acceptors[p].standing is VotingStatus.VOTING for p in chosen)
         ]
 
     def act(self, action: Action) -> None:
@@ -230,7 +230,7 @@
         if not chosen:
             return
         number, value = max(chosen.items())
-        voters = [a for a in self.acceptors.values() if a.standing is Standing.VOTING]
+        voters = [a for a in self.acceptors.values() if a.standing is VotingStatus.VOTING]
         for quorum in itertools.combinations(voters, len(self.bounds.members) // 2 + 1):
             held = [a.holdings[REGISTER] for a in quorum if REGISTER in a.holdings]
             newest = max(held, key=lambda holding: holding.ballot, default=None)
