--- a/marblefold/register_store/changes.py
+++ b/marblefold/register_store/changes.py
@@ -9,7 +9,7 @@
 __all__ = [
     "Change",
     "EvacuationState",
-    "Held",
+    "RegisterContent",
     "change_view",
     "empty_for_window",
     "fence",
@@ -39,7 +39,7 @@
         return cls(value) if value else cls.OFF
 
 
-class Held(NamedTuple):
+class RegisterContent(NamedTuple):
     """What a register holds: its number, its value, and who made it so."""
 
     number: int
@@ -49,17 +49,19 @@
 
 
 # A change gives the very value it was given where it changes nothing.
-Change = Callable[[Held], Held]
+Change = Callable[[RegisterContent], RegisterContent]
 
 
-def keep(held: Held) -> Held:
+def keep(held: RegisterContent) -> RegisterContent:
     """Changes nothing; it finds out what a majority holds."""
     return held
 
 
 def hold_configuration(number: int, body: bytes) -> Change:
     """The highest number holds, with the content that was chosen first under it."""
-    return lambda held: Held(number, body) if not held.value or number > held.number else held
+    return lambda held: (
+        RegisterContent(number, body) if not held.value or number > held.number else held
+    )
 
 
 def hold_evacuation(value: bytes) -> Change:
@@ -68,26 +70,26 @@
     Otherwise an earlier order that is still under way would not be fenced off by
     this one.  On its own not idempotent: orders come through `fence`.
     """
-    return lambda held: Held(held.number + 1, value)
+    return lambda held: RegisterContent(held.number + 1, value)
 
 
-def empty_for_window(held: Held) -> Held:
+def empty_for_window(held: RegisterContent) -> RegisterContent:
     """Evacuates a zone for a maintenance window, unless an operator did."""
     if EvacuationState.read(held.value) is not EvacuationState.OFF:
         return held
-    return Held(held.number + 1, EvacuationState.WINDOW.value)
+    return RegisterContent(held.number + 1, EvacuationState.WINDOW.value)
 
 
-def release_from_window(held: Held) -> Held:
+def release_from_window(held: RegisterContent) -> RegisterContent:
     """Takes back what a window evacuated, never what an operator did."""
     if EvacuationState.read(held.value) is not EvacuationState.WINDOW:
         return held
-    return Held(held.number + 1, EvacuationState.OFF.value)
+    return RegisterContent(held.number + 1, EvacuationState.OFF.value)
 
 
 def replace_at(number: int, value: bytes) -> Change:
     """Replaces the value if nobody else did since it was read."""
-    return lambda held: Held(number + 1, value) if held.number == number else held
+    return lambda held: RegisterContent(number + 1, value) if held.number == number else held
 
 
 def fence(base: int, order: bytes, change: Change) -> Change:
@@ -99,7 +101,7 @@
     was taken.
     """
 
-    def fenced(held: Held) -> Held:
+    def fenced(held: RegisterContent) -> RegisterContent:
         if held.number != base or (order and order in held.orders):
             return held
         after = change(held)
@@ -114,8 +116,8 @@
 def change_view(base: View, following: View) -> Change:
     """Swaps a member if the view is still the one that the swap was made for."""
 
-    def change(held: Held) -> Held:
+    def change(held: RegisterContent) -> RegisterContent:
         now = read_view(held.value) if held.value else base
-        return Held(following.number, following.pack()) if now == base else held
+        return RegisterContent(following.number, following.pack()) if now == base else held
 
     return change
--- a/marblefold/register_store/orders.py
+++ b/marblefold/register_store/orders.py
@@ -7,7 +7,7 @@
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import (
     Change,
-    Held,
+    RegisterContent,
     empty_for_window,
     fence,
     hold_configuration,
@@ -24,7 +24,7 @@
     """A change, and the judgement on what a majority holds after it."""
 
     change: Change
-    judge: Callable[[Held], Outcome]
+    judge: Callable[[RegisterContent], Outcome]
 
 
 def read_order(call: kinds.RegisterCall) -> Order | None:
@@ -51,7 +51,7 @@
 def _order_configuration(number: int, body: bytes) -> Order:
     """Contents are compared as they were sent, byte for byte."""
 
-    def judge(held: Held) -> Outcome:
+    def judge(held: RegisterContent) -> Outcome:
         if held.number != number:
             return Outcome.OVERTAKEN
         return Outcome.HELD if held.value == body else Outcome.CONFLICT
@@ -62,7 +62,7 @@
 def _order_replacement(call: kinds.RegisterCall) -> Order:
     """A document goes on from the number at which its writer read it."""
 
-    def judge(held: Held) -> Outcome:
+    def judge(held: RegisterContent) -> Outcome:
         is_known = bool(call.order) and call.order in held.orders
         is_ours = (held.number, held.value) == (call.number + 1, call.value)
         return Outcome.HELD if is_known or is_ours else Outcome.OVERTAKEN
@@ -73,7 +73,7 @@
 def _order_evacuation(call: kinds.RegisterCall) -> Order:
     """An evacuation is answered by what holds now, as that of a window is."""
 
-    def judge(held: Held) -> Outcome:
+    def judge(held: RegisterContent) -> Outcome:
         is_behind = held.number > call.number
         return Outcome.HELD if is_behind and held.value == call.value else Outcome.OVERTAKEN
 
@@ -87,7 +87,7 @@
     any more: whoever counted from that answer on would count wrongly.
     """
 
-    def judge(held: Held) -> Outcome:
+    def judge(held: RegisterContent) -> Outcome:
         return Outcome.HELD if change(held) == held else Outcome.OVERTAKEN
 
     return Order(fence(call.number, call.order, change), judge)
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -18,7 +18,7 @@
 from marblefold.register_store.acceptor import META_RECORD, VIEW_REGISTER, Acceptor
 from marblefold.register_store.ballots import Holding, read_holding
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
-from marblefold.register_store.changes import Held
+from marblefold.register_store.changes import RegisterContent
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.heartbeat import answer_heartbeat
 from marblefold.register_store.orders import read_order
@@ -132,7 +132,7 @@
         except MeshError as error:
             return kinds.RegisterAnswer(outcome=Outcome.UNKNOWN, reason=str(error))
         self._spread(call.register, holding)
-        outcome = order.judge(Held(holding.number, holding.value, holding.orders))
+        outcome = order.judge(RegisterContent(holding.number, holding.value, holding.orders))
         return kinds.RegisterAnswer(outcome=outcome, number=holding.number, value=holding.value)
 
     def _send_view(self, connection: PeerConnection) -> None:
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -10,7 +10,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NO_BALLOT, Ballot, Holding, read_holding
 from marblefold.register_store.calls import CallKind
-from marblefold.register_store.changes import Change, Held
+from marblefold.register_store.changes import Change, RegisterContent
 from marblefold.register_store.lives import NO_LIFE, is_past, later_life
 from marblefold.register_store.view import View, read_view
 
@@ -83,9 +83,9 @@
         if promises is None:
             return None
         newest = max(promises.holdings, key=lambda holding: holding.ballot)
-        held = Held(newest.number, newest.value, newest.orders)
+        held = RegisterContent(newest.number, newest.value, newest.orders)
         wanted = change(held)
-        # Held by a whole majority under one ballot already: nothing to settle.
+        # RegisterContent by a whole majority under one ballot already: nothing to settle.
         # One that was copied below a promise is no acceptance that counts.
         is_settled = all(
             holding.ballot == newest.ballot and holding.promised <= holding.ballot
--- a/tests/many_changes.py
+++ b/tests/many_changes.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from marblefold.register_store.ballots import pack_holding
-from marblefold.register_store.changes import Held, hold_configuration
+from marblefold.register_store.changes import RegisterContent, hold_configuration
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.program import RegistryProgram
 from marblefold.registry.quorum_contact import QuorumContact
@@ -45,7 +45,7 @@
         return hold_configuration(number, document_of(number))
     # Long enough that not all of them fit into one answer.
     value = (b"on" if number % 2 else b"off").ljust(600)
-    return lambda held: Held(held.number + 1, value)
+    return lambda held: RegisterContent(held.number + 1, value)
 
 
 async def change_all(core, by, changes=CHANGES, registers=REGISTERS, seed=7):
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -19,7 +19,7 @@
 from marblefold.ownership.calls import Claimed, OwnerCalls
 from marblefold.partners.calls import PartnerCalls
 from marblefold.partners.duty import PartnerDuty
-from marblefold.register_store.changes import Held
+from marblefold.register_store.changes import RegisterContent
 from marblefold.register_store.orders import read_order
 from marblefold.registry.control_calls import ControlCalls
 from marblefold.rehearsal.calls import RehearsalCalls
@@ -44,7 +44,7 @@
             kind=kind, register=register, number=number, value=value, order=os.urandom(12)
         )
         order = read_order(kinds.RegisterCall.FromString(call.SerializeToString()))
-        before = self.held.get(register, Held(0, b""))
+        before = self.held.get(register, RegisterContent(0, b""))
         held = order.change(before)
         if held != before:
             self.held[register] = held
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -7,7 +7,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NOTHING
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
-from marblefold.register_store.changes import Held, keep
+from marblefold.register_store.changes import RegisterContent, keep
 from marblefold.register_store.orders import read_order
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
@@ -71,7 +71,7 @@
         holding = await self.stores[address].proposer.change(
             call.register, order.change, _TRYING_SECONDS
         )
-        held = Held(holding.number, holding.value, holding.orders)
+        held = RegisterContent(holding.number, holding.value, holding.orders)
         return order.judge(held), held
 
     async def _judge(self, address, call):
@@ -90,7 +90,7 @@
     def read(self, address, register):
         task = self.start(self.stores[address].proposer.change(register, keep, 5.0))
         self.deliver_all("", self.turn)
-        return Held(task.result().number, task.result().value, task.result().orders)
+        return RegisterContent(task.result().number, task.result().value, task.result().orders)
 
     def deliver(self, index):
         if self.network.waiting:
--- a/tests/test_maintenance_duty.py
+++ b/tests/test_maintenance_duty.py
@@ -14,7 +14,7 @@
 from marblefold.maintenance.model import Document, Window, WindowState
 from marblefold.maintenance.planning import LiveSlots, change_state
 from marblefold.register_store.changes import (
-    Held,
+    RegisterContent,
     empty_for_window,
     fence,
     hold_evacuation,
@@ -36,7 +36,7 @@
         self.grants = []
 
     def find(self, register):
-        return self.held.get(register, Held(0, b""))
+        return self.held.get(register, RegisterContent(0, b""))
 
     def change(self, register, change):
         self.held[register] = change(self.find(register))
@@ -104,7 +104,7 @@
     registers = Registers()
     world = World(registers)
     document = Document({"quotes": FLOOR}, {one.name: one for one in windows})
-    registers.held[REGISTER] = Held(1, document.pack())
+    registers.held[REGISTER] = RegisterContent(1, document.pack())
     duties = [MaintenanceDuty(registers, world) for _ in range(2)]
     for duty in duties:
         duty.take(1, document.pack())
@@ -131,7 +131,7 @@
 def test_a_holder_that_died_after_the_grant_is_followed_by_one_that_empties():
     registers, world, duties = make(window("one", "a"))
     granted = change_state(window("one", "a"), WindowState.RUNNING, start=NIGHT)
-    registers.held[REGISTER] = Held(2, Document({}, {"one": granted}).pack())
+    registers.held[REGISTER] = RegisterContent(2, Document({}, {"one": granted}).pack())
     duties[1].take(2, registers.find(REGISTER).value)
     run(duties[1].step())
     assert world.evacuation("a") == b"window"
@@ -143,7 +143,7 @@
     document = held_document(registers)
     withdrawn = document.with_window(change_state(document.windows["one"], WindowState.WITHDRAWN))
     number = registers.find(REGISTER).number
-    registers.held[REGISTER] = Held(number + 1, withdrawn.pack())
+    registers.held[REGISTER] = RegisterContent(number + 1, withdrawn.pack())
     duties[0].take(number + 1, withdrawn.pack())
     registers.change("evacuation/b", hold_evacuation(b"on"))
     run(duties[0].step())
--- a/tests/test_one_number_one_content.py
+++ b/tests/test_one_number_one_content.py
@@ -11,7 +11,7 @@
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
-from marblefold.register_store.changes import Held
+from marblefold.register_store.changes import RegisterContent
 from marblefold.register_store.orders import read_order
 from tests.simulated_orders import OrderedStores, held_of
 from tests.simulated_stores import ALL, SEEDS
@@ -59,7 +59,7 @@
         if task.exception() is not None:
             return
         holding = task.result()
-        outcome = read_order(call).judge(Held(holding.number, holding.value))
+        outcome = read_order(call).judge(RegisterContent(holding.number, holding.value))
         if outcome is Outcome.HELD:
             assert self.confirmed.setdefault(call.number, call.value) == call.value
             assert (call.number, call.value) not in self.refused
--- a/tests/test_order_gate.py
+++ b/tests/test_order_gate.py
@@ -16,7 +16,7 @@
 from marblefold.register_store.call_kinds import RegisterCallKind
 from marblefold.register_store.changes import (
     EvacuationState,
-    Held,
+    RegisterContent,
     empty_for_window,
     hold_evacuation,
     release_from_window,
@@ -191,10 +191,12 @@
                 self.put(other)
             self.others.clear()
             if number == self.number:
-                changed = CHANGES.get(kind, hold_evacuation(value))(Held(self.number, self.value))
+                changed = CHANGES.get(kind, hold_evacuation(value))(
+                    RegisterContent(self.number, self.value)
+                )
                 if changed.number != self.number:
                     self.put(changed.value)
-        return type("Held", (), {"number": self.number, "value": self.value})
+        return type("RegisterContent", (), {"number": self.number, "value": self.value})
 
     def put(self, value):
         self.number, self.value = self.number + 1, value
--- a/tests/test_orders_take_effect_once.py
+++ b/tests/test_orders_take_effect_once.py
@@ -18,7 +18,7 @@
 from marblefold.http_connections.call_router import Call
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
-from marblefold.register_store.changes import Held, keep
+from marblefold.register_store.changes import RegisterContent, keep
 from marblefold.register_store.orders import read_order
 from marblefold.registry.control_calls import ControlCalls
 from marblefold.registry.order_gate import OrderGate
@@ -192,7 +192,7 @@
 
 
 def test_a_document_that_was_taken_and_then_replaced_is_known_by_its_order():
-    held = Held(0, b"")
+    held = RegisterContent(0, b"")
     first = read_order(make_call(RegisterCallKind.DUTY, b"first", 0))
     held = first.change(held)
     held = read_order(make_call(RegisterCallKind.DUTY, b"second", 1, b"two")).change(held)
@@ -215,7 +215,7 @@
 
 
 def test_the_orders_kept_are_few_and_outlast_those_under_way_at_once():
-    held = Held(0, b"")
+    held = RegisterContent(0, b"")
     for number in range(30):
         order = b"%d" % number
         held = read_order(make_call(RegisterCallKind.DUTY, b"x", number, order)).change(held)
