--- a/marblefold/register_store/changes.py
+++ b/marblefold/register_store/changes.py
@@ -11,13 +11,13 @@
     "EvacuationState",
     "RegisterContent",
     "change_view",
-    "empty_for_window",
+    "evacuate_for_window",
     "fence",
-    "hold_configuration",
-    "hold_evacuation",
+    "set_configuration",
+    "set_evacuation",
     "keep",
     "release_from_window",
-    "replace_at",
+    "replace_if_number",
 ]
 
 # An order is asked about again only for as long as its registry tries, and no
@@ -57,14 +57,14 @@
     return held
 
 
-def hold_configuration(number: int, body: bytes) -> Change:
+def set_configuration(number: int, body: bytes) -> Change:
     """The highest number holds, with the content that was chosen first under it."""
     return lambda held: (
         RegisterContent(number, body) if not held.value or number > held.number else held
     )
 
 
-def hold_evacuation(value: bytes) -> Change:
+def set_evacuation(value: bytes) -> Change:
     """Starts or stops an evacuation, under a new number even where it holds already.
 
     Otherwise an earlier order that is still under way would not be fenced off by
@@ -73,7 +73,7 @@
     return lambda held: RegisterContent(held.number + 1, value)
 
 
-def empty_for_window(held: RegisterContent) -> RegisterContent:
+def evacuate_for_window(held: RegisterContent) -> RegisterContent:
     """Evacuates a zone for a maintenance window, unless an operator did."""
     if EvacuationState.read(held.value) is not EvacuationState.OFF:
         return held
@@ -87,7 +87,7 @@
     return RegisterContent(held.number + 1, EvacuationState.OFF.value)
 
 
-def replace_at(number: int, value: bytes) -> Change:
+def replace_if_number(number: int, value: bytes) -> Change:
     """Replaces the value if nobody else did since it was read."""
     return lambda held: RegisterContent(number + 1, value) if held.number == number else held
 
--- a/marblefold/register_store/orders.py
+++ b/marblefold/register_store/orders.py
@@ -8,13 +8,13 @@
 from marblefold.register_store.changes import (
     Change,
     RegisterContent,
-    empty_for_window,
+    evacuate_for_window,
     fence,
-    hold_configuration,
-    hold_evacuation,
     keep,
     release_from_window,
-    replace_at,
+    replace_if_number,
+    set_configuration,
+    set_evacuation,
 )
 
 __all__ = ["Order", "read_order"]
@@ -42,7 +42,7 @@
     if kind is RegisterCallKind.EVACUATION:
         return _order_evacuation(call)
     if kind is RegisterCallKind.WINDOW_EMPTY:
-        return _order_state(call, empty_for_window)
+        return _order_state(call, evacuate_for_window)
     if kind is RegisterCallKind.WINDOW_RELEASE:
         return _order_state(call, release_from_window)
     return None
@@ -56,7 +56,7 @@
             return Outcome.OVERTAKEN
         return Outcome.HELD if held.value == body else Outcome.CONFLICT
 
-    return Order(hold_configuration(number, body), judge)
+    return Order(set_configuration(number, body), judge)
 
 
 def _order_replacement(call: kinds.RegisterCall) -> Order:
@@ -67,7 +67,7 @@
         is_ours = (held.number, held.value) == (call.number + 1, call.value)
         return Outcome.HELD if is_known or is_ours else Outcome.OVERTAKEN
 
-    return Order(fence(call.number, call.order, replace_at(call.number, call.value)), judge)
+    return Order(fence(call.number, call.order, replace_if_number(call.number, call.value)), judge)
 
 
 def _order_evacuation(call: kinds.RegisterCall) -> Order:
@@ -77,7 +77,7 @@
         is_behind = held.number > call.number
         return Outcome.HELD if is_behind and held.value == call.value else Outcome.OVERTAKEN
 
-    return Order(fence(call.number, call.order, hold_evacuation(call.value)), judge)
+    return Order(fence(call.number, call.order, set_evacuation(call.value)), judge)
 
 
 def _order_state(call: kinds.RegisterCall, change: Change) -> Order:
--- a/tests/core_troubles.py
+++ b/tests/core_troubles.py
@@ -7,7 +7,7 @@
 import asyncio
 
 from marblefold.errors import MeshError
-from marblefold.register_store.changes import hold_configuration
+from marblefold.register_store.changes import set_configuration
 from tests.simulated_core import Core
 
 CATCH_UP = 6.0
@@ -133,7 +133,7 @@
         self.next_number += 1
         number, floor = self.next_number, self.acknowledged
         machine = self.chance.choice(up)
-        change = hold_configuration(number, f"{machine.address} {number}".encode())
+        change = set_configuration(number, f"{machine.address} {number}".encode())
         try:
             holding = await machine.change("configuration", change, seconds)
         except (MeshError, asyncio.CancelledError):
--- a/tests/many_changes.py
+++ b/tests/many_changes.py
@@ -5,7 +5,7 @@
 from types import SimpleNamespace
 
 from marblefold.register_store.ballots import pack_holding
-from marblefold.register_store.changes import RegisterContent, hold_configuration
+from marblefold.register_store.changes import RegisterContent, set_configuration
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.program import RegistryProgram
 from marblefold.registry.quorum_contact import QuorumContact
@@ -42,7 +42,7 @@
 def put(index, number):
     """The change of a number: a configuration, or an evacuation that goes on or off."""
     if index == 0:
-        return hold_configuration(number, document_of(number))
+        return set_configuration(number, document_of(number))
     # Long enough that not all of them fit into one answer.
     value = (b"on" if number % 2 else b"off").ljust(600)
     return lambda held: RegisterContent(held.number + 1, value)
--- a/tests/test_lost_promises.py
+++ b/tests/test_lost_promises.py
@@ -6,7 +6,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.acceptor import Acceptor, VotingStatus
 from marblefold.register_store.calls import CallKind, Refusal
-from marblefold.register_store.changes import hold_configuration, keep
+from marblefold.register_store.changes import keep, set_configuration
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.reading import is_enough
@@ -85,11 +85,11 @@
         late = make_proposer(five, "late", ["u:1", "x:1", "y:1"], 10)
         gate = asyncio.get_running_loop().create_future()
         late._peers.gates = {(CallKind.PREPARE, "u:1"): gate, (CallKind.PREPARE, "y:1"): gate}
-        task = asyncio.create_task(late.change(SPEC, hold_configuration(1, b"late"), 0.0))
+        task = asyncio.create_task(late.change(SPEC, set_configuration(1, b"late"), 0.0))
         await settle_loop()
         read_anew(five, "x:1", ["w:1", "y:1", "z:1"])
         first = make_proposer(five, "first", ["w:1", "x:1", "z:1"], 0)
-        chosen = await first.change(SPEC, hold_configuration(1, b"first"), 0.0)
+        chosen = await first.change(SPEC, set_configuration(1, b"first"), 0.0)
         gate.set_result(None)
         await asyncio.gather(task, return_exceptions=True)
         reader = make_proposer(five, "reader", ["u:1", "x:1", "y:1"], 50)
@@ -108,7 +108,7 @@
         late = make_proposer(five, "late", ["u:1", "x:1", "y:1"], 10)
         gate = asyncio.get_running_loop().create_future()
         late._peers.gates = {(CallKind.ACCEPT, peer): gate for peer in ("u:1", "x:1", "y:1")}
-        task = asyncio.create_task(late.change(SPEC, hold_configuration(1, b"late"), 0.0))
+        task = asyncio.create_task(late.change(SPEC, set_configuration(1, b"late"), 0.0))
         await settle_loop()
         early = make_proposer(five, "early", ["w:1", "z:1"], 0)
         call = kinds.StoreCall(
@@ -143,7 +143,7 @@
         read_anew(five, "x:1", ["u:1", "w:1", "y:1"])
         assert five["x:1"].standing is VotingStatus.VOTING
         proposer = make_proposer(five, "p", ["w:1", "x:1", "z:1"], 0)
-        return await proposer.change(SPEC, hold_configuration(1, b"one"), 0.0)
+        return await proposer.change(SPEC, set_configuration(1, b"one"), 0.0)
 
     assert asyncio.run(play()).value == b"one"
 
--- a/tests/test_maintenance_duty.py
+++ b/tests/test_maintenance_duty.py
@@ -15,12 +15,12 @@
 from marblefold.maintenance.planning import LiveSlots, change_state
 from marblefold.register_store.changes import (
     RegisterContent,
-    empty_for_window,
+    evacuate_for_window,
     fence,
-    hold_evacuation,
     keep,
     release_from_window,
-    replace_at,
+    replace_if_number,
+    set_evacuation,
 )
 
 NIGHT = datetime(2026, 3, 1, 22, 0, tzinfo=UTC)
@@ -47,8 +47,8 @@
             raise MeshError(kind, "no majority")
         change = {
             "describe": keep,
-            REGISTER: replace_at(number, value),
-            "window-empty": fence(number, b"", empty_for_window),
+            REGISTER: replace_if_number(number, value),
+            "window-empty": fence(number, b"", evacuate_for_window),
             "window-release": fence(number, b"", release_from_window),
         }[kind]
         held = self.change(register, change)
@@ -145,7 +145,7 @@
     number = registers.find(REGISTER).number
     registers.held[REGISTER] = RegisterContent(number + 1, withdrawn.pack())
     duties[0].take(number + 1, withdrawn.pack())
-    registers.change("evacuation/b", hold_evacuation(b"on"))
+    registers.change("evacuation/b", set_evacuation(b"on"))
     run(duties[0].step())
     assert world.evacuation("a") == b"off" and world.evacuation("b") == b"on"
 
@@ -153,7 +153,7 @@
 def test_an_operator_who_takes_a_zone_back_ends_its_window():
     registers, world, duties = make(window("one", "a"))
     run(duties[0].step())
-    registers.change("evacuation/a", hold_evacuation(b"off"))
+    registers.change("evacuation/a", set_evacuation(b"off"))
     run(duties[0].step())
     run(duties[0].step())
     ended = held_document(registers).windows["one"]
@@ -215,11 +215,11 @@
 
     @rule(zone=st.sampled_from("abc"), value=st.sampled_from([b"on", b"off"]))
     def operator(self, zone, value):
-        self.registers.change("evacuation/" + zone, hold_evacuation(value))
+        self.registers.change("evacuation/" + zone, set_evacuation(value))
 
     @rule(zone=st.sampled_from("abc"))
     def late_act_of_an_older_holder(self, zone):
-        self.registers.change("evacuation/" + zone, empty_for_window)
+        self.registers.change("evacuation/" + zone, evacuate_for_window)
 
     @invariant()
     def no_zone_is_emptied_for_nobody(self):
--- a/tests/test_membership_liveness.py
+++ b/tests/test_membership_liveness.py
@@ -6,7 +6,7 @@
 
 from marblefold.register_store.acceptor import VotingStatus
 from marblefold.register_store.calls import CallKind
-from marblefold.register_store.changes import hold_configuration, keep
+from marblefold.register_store.changes import keep, set_configuration
 from tests.core_troubles import ANSWER_BOUND, VOTE_BOUND
 from tests.simulated_core import Core
 
@@ -52,7 +52,7 @@
         assert await wait_until(
             core, lambda: "o:1" in core.view().members and all_vote(core), VOTE_BOUND
         )
-        holding = await core.machines["m0:1"].change(REGISTER, hold_configuration(1, b"one"))
+        holding = await core.machines["m0:1"].change(REGISTER, set_configuration(1, b"one"))
         assert holding.value == b"one"
 
     core.run(play())
@@ -92,7 +92,7 @@
             or (sender == "n:1" and kind == CallKind.READ)
             or (kind == CallKind.ACCEPT and peer == "m2:1")
         )
-        await core.machines["m0:1"].proposer.change(REGISTER, hold_configuration(1, b"one"), 1.0)
+        await core.machines["m0:1"].proposer.change(REGISTER, set_configuration(1, b"one"), 1.0)
         assert not core.machines["m2:1"].acceptor.holdings[REGISTER].value
         core.is_blocked = lambda sender, peer, kind: (
             kind == CallKind.COMPARE
@@ -173,7 +173,7 @@
 
     async def play():
         away = core.machines["m2:1"]
-        await core.machines["m0:1"].change(REGISTER, hold_configuration(1, b"one"))
+        await core.machines["m0:1"].change(REGISTER, set_configuration(1, b"one"))
         await asyncio.sleep(1.0)
         away.stop()
         for gone, newcomer in (("", "n:1"), ("m0:1", "o:1"), ("m1:1", "p:1")):
--- a/tests/test_order_gate.py
+++ b/tests/test_order_gate.py
@@ -17,9 +17,9 @@
 from marblefold.register_store.changes import (
     EvacuationState,
     RegisterContent,
-    empty_for_window,
-    hold_evacuation,
+    evacuate_for_window,
     release_from_window,
+    set_evacuation,
 )
 from marblefold.register_store.view import View
 from marblefold.registry.fenced_orders import set_fenced
@@ -175,7 +175,7 @@
     assert ask(router, "PUT", "/x") == ask(router, "GET", wire_names.OWNERS_PATH) == status
 
 
-CHANGES = {"window-empty": empty_for_window, "window-release": release_from_window}
+CHANGES = {"window-empty": evacuate_for_window, "window-release": release_from_window}
 
 
 class Registers:
@@ -191,7 +191,7 @@
                 self.put(other)
             self.others.clear()
             if number == self.number:
-                changed = CHANGES.get(kind, hold_evacuation(value))(
+                changed = CHANGES.get(kind, set_evacuation(value))(
                     RegisterContent(self.number, self.value)
                 )
                 if changed.number != self.number:
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -18,7 +18,7 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, VotingStatus
-from marblefold.register_store.changes import change_view, hold_configuration
+from marblefold.register_store.changes import change_view, set_configuration
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.view import read_view
 from tests.simulated_stores import ALL, SEEDS, MemoryRecords, Network, Store
@@ -72,7 +72,7 @@
         if store.acceptor.view is None or len(self.tasks) > 3:
             return
         self.next_number += 1
-        change = hold_configuration(self.next_number, f"{address} {self.next_number}".encode())
+        change = set_configuration(self.next_number, f"{address} {self.next_number}".encode())
         task = self.loop.create_task(store.proposer.change("configuration", change, 0.0))
         self.tasks.append((task, self.acknowledged, store.acceptor.life))
         self.turn()
--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -14,7 +14,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.acceptor import Acceptor, VotingStatus
 from marblefold.register_store.calls import CallKind
-from marblefold.register_store.changes import hold_configuration
+from marblefold.register_store.changes import set_configuration
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.view import View
@@ -115,7 +115,7 @@
             proposer = Proposer(messages, f"p{index}", clock=lambda: 0.0)
             # Ballots fall from proposer to proposer, so that the first may be late.
             proposer._counter = 10 * (len(self.messages) - index)
-            change = hold_configuration(index + 1, b"value %d" % index)
+            change = set_configuration(index + 1, b"value %d" % index)
             self.tasks.append(self.loop.create_task(proposer.change(REGISTER, change, 0.0)))
         self._turn()
 
