--- a/marblefold/register_store/changes.py
+++ b/marblefold/register_store/changes.py
@@ -15,7 +15,7 @@
     "fence",
     "set_configuration",
     "set_evacuation",
-    "keep",
+    "leave_unchanged",
     "release_from_window",
     "replace_if_number",
 ]
@@ -52,7 +52,7 @@
 Change = Callable[[RegisterContent], RegisterContent]
 
 
-def keep(held: RegisterContent) -> RegisterContent:
+def leave_unchanged(held: RegisterContent) -> RegisterContent:
     """Changes nothing; it finds out what a majority holds."""
     return held
 
--- a/marblefold/register_store/orders.py
+++ b/marblefold/register_store/orders.py
@@ -10,7 +10,7 @@
     RegisterContent,
     evacuate_for_window,
     fence,
-    keep,
+    leave_unchanged,
     release_from_window,
     replace_if_number,
     set_configuration,
@@ -34,7 +34,7 @@
     except ValueError:
         return None
     if kind is RegisterCallKind.DESCRIBE:
-        return Order(keep, lambda _held: Outcome.HELD)
+        return Order(leave_unchanged, lambda _held: Outcome.HELD)
     if kind is RegisterCallKind.CONFIGURATION:
         return _order_configuration(call.number, call.value)
     if kind in (RegisterCallKind.MAINTENANCE, RegisterCallKind.DUTY):
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -85,7 +85,7 @@
         newest = max(promises.holdings, key=lambda holding: holding.ballot)
         held = RegisterContent(newest.number, newest.value, newest.orders)
         wanted = change(held)
-        # RegisterContent by a whole majority under one ballot already: nothing to settle.
+        # Held by a whole majority under one ballot already: nothing to settle.
         # One that was copied below a promise is no acceptance that counts.
         is_settled = all(
             holding.ballot == newest.ballot and holding.promised <= holding.ballot
--- a/marblefold/register_store/settling.py
+++ b/marblefold/register_store/settling.py
@@ -2,7 +2,7 @@
 
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.ballots import Holding
-from marblefold.register_store.changes import Change, keep
+from marblefold.register_store.changes import Change, leave_unchanged
 from marblefold.register_store.comparing import Comparing
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.proposer import Proposer
@@ -29,7 +29,7 @@
 
     async def settle(self, register: str) -> None:
         """A ballot that changes nothing: what the register holds, a majority holds."""
-        await self.propose(register, keep)
+        await self.propose(register, leave_unchanged)
 
     async def settle_all(self) -> None:
         """Settles every register that is known here; MeshError if one cannot be."""
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -7,7 +7,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NOTHING
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
-from marblefold.register_store.changes import RegisterContent, keep
+from marblefold.register_store.changes import RegisterContent, leave_unchanged
 from marblefold.register_store.orders import read_order
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
@@ -88,7 +88,7 @@
         return task.result()
 
     def read(self, address, register):
-        task = self.start(self.stores[address].proposer.change(register, keep, 5.0))
+        task = self.start(self.stores[address].proposer.change(register, leave_unchanged, 5.0))
         self.deliver_all("", self.turn)
         return RegisterContent(task.result().number, task.result().value, task.result().orders)
 
--- a/tests/test_lost_promises.py
+++ b/tests/test_lost_promises.py
@@ -6,7 +6,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.acceptor import Acceptor, VotingStatus
 from marblefold.register_store.calls import CallKind, Refusal
-from marblefold.register_store.changes import keep, set_configuration
+from marblefold.register_store.changes import leave_unchanged, set_configuration
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.reading import is_enough
@@ -93,7 +93,7 @@
         gate.set_result(None)
         await asyncio.gather(task, return_exceptions=True)
         reader = make_proposer(five, "reader", ["u:1", "x:1", "y:1"], 50)
-        return chosen, await reader.change(SPEC, keep, 0.0)
+        return chosen, await reader.change(SPEC, leave_unchanged, 0.0)
 
     chosen, read = asyncio.run(play())
     assert read.value == chosen.value, "the register forked"
@@ -124,11 +124,11 @@
         read_anew(five, "x:1", ["w:1", "y:1", "z:1"])
         early = make_proposer(five, "settler", ["w:1", "x:1", "z:1"], 20)
         early._peers.gates = {}
-        settled = await early.change(SPEC, keep, 0.0)
+        settled = await early.change(SPEC, leave_unchanged, 0.0)
         gate.set_result(None)
         await asyncio.gather(task, return_exceptions=True)
         reader = make_proposer(five, "reader", ["u:1", "x:1", "y:1"], 50)
-        return settled, await reader.change(SPEC, keep, 0.0)
+        return settled, await reader.change(SPEC, leave_unchanged, 0.0)
 
     settled, read = asyncio.run(play())
     assert read.value == settled.value, "the register forked"
--- a/tests/test_maintenance_duty.py
+++ b/tests/test_maintenance_duty.py
@@ -17,7 +17,7 @@
     RegisterContent,
     evacuate_for_window,
     fence,
-    keep,
+    leave_unchanged,
     release_from_window,
     replace_if_number,
     set_evacuation,
@@ -46,7 +46,7 @@
         if not self.is_reachable:
             raise MeshError(kind, "no majority")
         change = {
-            "describe": keep,
+            "describe": leave_unchanged,
             REGISTER: replace_if_number(number, value),
             "window-empty": fence(number, b"", evacuate_for_window),
             "window-release": fence(number, b"", release_from_window),
--- a/tests/test_membership_liveness.py
+++ b/tests/test_membership_liveness.py
@@ -6,7 +6,7 @@
 
 from marblefold.register_store.acceptor import VotingStatus
 from marblefold.register_store.calls import CallKind
-from marblefold.register_store.changes import keep, set_configuration
+from marblefold.register_store.changes import leave_unchanged, set_configuration
 from tests.core_troubles import ANSWER_BOUND, VOTE_BOUND
 from tests.simulated_core import Core
 
@@ -106,7 +106,7 @@
         core.machines["m1:1"].wipe()
         core.is_blocked = lambda _sender, _peer, _kind: False
         await leaving
-        holding = await core.machines["m2:1"].change(REGISTER, keep, ANSWER_BOUND)
+        holding = await core.machines["m2:1"].change(REGISTER, leave_unchanged, ANSWER_BOUND)
         assert holding.value == b"one", "an acknowledged record left with a member"
 
     core.run(play())
--- a/tests/test_orders_take_effect_once.py
+++ b/tests/test_orders_take_effect_once.py
@@ -18,7 +18,7 @@
 from marblefold.http_connections.call_router import Call
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
-from marblefold.register_store.changes import RegisterContent, keep
+from marblefold.register_store.changes import RegisterContent, leave_unchanged
 from marblefold.register_store.orders import read_order
 from marblefold.registry.control_calls import ControlCalls
 from marblefold.registry.order_gate import OrderGate
@@ -116,7 +116,7 @@
     def read_back(self, address):
         if self.wanted is None:
             proposer = self.stores.stores[address].proposer
-            self.reads.append(self.stores.start(proposer.change(REGISTER, keep, 5.0)))
+            self.reads.append(self.stores.start(proposer.change(REGISTER, leave_unchanged, 5.0)))
             self.turn()
 
     @rule(address=st.sampled_from(SEEDS))
