--- a/marblefold/maintenance/calls.py
+++ b/marblefold/maintenance/calls.py
@@ -121,7 +121,7 @@
                 answer = await self._store_client.ask(
                     RegisterCallKind.MAINTENANCE, REGISTER, held.number, value
                 )
-                if Outcome.read(answer.outcome) is Outcome.HELD:
+                if Outcome.read(answer.outcome) is Outcome.APPLIED:
                     return json_answer(200, {})
         except _Refused as refused:
             return json_answer(refused.status, {wire_names.REASON: str(refused)})
--- a/marblefold/partners/calls.py
+++ b/marblefold/partners/calls.py
@@ -112,7 +112,7 @@
                 answer = await self._store_client.ask(
                     RegisterCallKind.DUTY, REGISTER, held.number, value
                 )
-                if Outcome.read(answer.outcome) is Outcome.HELD:
+                if Outcome.read(answer.outcome) is Outcome.APPLIED:
                     self._duty.take(answer.number, answer.value)
                     return await self._wait_enforced(
                         held.number, held.value, held.number + 1, value
--- a/marblefold/register_store/call_kinds.py
+++ b/marblefold/register_store/call_kinds.py
@@ -32,9 +32,9 @@
     """What came of an order, as far as a majority of the stores knows."""
 
     # It was taken: it holds, or it did until a later order replaced it.
-    HELD = "held"
+    APPLIED = "held"
     # Something newer holds, and this order changes nothing, now or later.
-    OVERTAKEN = "overtaken"
+    SUPERSEDED = "overtaken"
     # Another content holds under the same number; this one was never confirmed.
     CONFLICT = "conflict"
     # No majority answered in time: it may or may not be taken.
--- a/marblefold/register_store/heartbeat.py
+++ b/marblefold/register_store/heartbeat.py
@@ -19,5 +19,5 @@
         and not acceptor.has_open_view
     )
     return kinds.RegisterAnswer(
-        outcome=Outcome.HELD if has_vote else Outcome.UNKNOWN, value=acceptor.pack_view()
+        outcome=Outcome.APPLIED if has_vote else Outcome.UNKNOWN, value=acceptor.pack_view()
     )
--- a/marblefold/register_store/orders.py
+++ b/marblefold/register_store/orders.py
@@ -34,7 +34,7 @@
     except ValueError:
         return None
     if kind is RegisterCallKind.DESCRIBE:
-        return Order(leave_unchanged, lambda _held: Outcome.HELD)
+        return Order(leave_unchanged, lambda _held: Outcome.APPLIED)
     if kind is RegisterCallKind.CONFIGURATION:
         return _order_configuration(call.number, call.value)
     if kind in (RegisterCallKind.MAINTENANCE, RegisterCallKind.DUTY):
@@ -53,8 +53,8 @@
 
     def judge(held: RegisterContent) -> Outcome:
         if held.number != number:
-            return Outcome.OVERTAKEN
-        return Outcome.HELD if held.value == body else Outcome.CONFLICT
+            return Outcome.SUPERSEDED
+        return Outcome.APPLIED if held.value == body else Outcome.CONFLICT
 
     return Order(set_configuration(number, body), judge)
 
@@ -65,7 +65,7 @@
     def judge(held: RegisterContent) -> Outcome:
         is_known = bool(call.order) and call.order in held.orders
         is_ours = (held.number, held.value) == (call.number + 1, call.value)
-        return Outcome.HELD if is_known or is_ours else Outcome.OVERTAKEN
+        return Outcome.APPLIED if is_known or is_ours else Outcome.SUPERSEDED
 
     return Order(fence(call.number, call.order, replace_if_number(call.number, call.value)), judge)
 
@@ -75,7 +75,7 @@
 
     def judge(held: RegisterContent) -> Outcome:
         is_behind = held.number > call.number
-        return Outcome.HELD if is_behind and held.value == call.value else Outcome.OVERTAKEN
+        return Outcome.APPLIED if is_behind and held.value == call.value else Outcome.SUPERSEDED
 
     return Order(fence(call.number, call.order, set_evacuation(call.value)), judge)
 
@@ -88,6 +88,6 @@
     """
 
     def judge(held: RegisterContent) -> Outcome:
-        return Outcome.HELD if change(held) == held else Outcome.OVERTAKEN
+        return Outcome.APPLIED if change(held) == held else Outcome.SUPERSEDED
 
     return Order(fence(call.number, call.order, change), judge)
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -121,7 +121,7 @@
         if call.kind == RegisterCallKind.WATCH:
             self._chosen.watch(connection)
             self._send_view(connection)
-            return kinds.RegisterAnswer(outcome=Outcome.HELD)
+            return kinds.RegisterAnswer(outcome=Outcome.APPLIED)
         if call.kind == RegisterCallKind.HEARTBEAT:
             return answer_heartbeat(self._acceptor)
         order = read_order(call)
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -141,7 +141,7 @@
         except MeshError:
             # A store that hangs is still watched: its updates come when it goes on.
             return
-        if answer.outcome == Outcome.HELD:
+        if answer.outcome == Outcome.APPLIED:
             self._contact.take_vote(peer, read_view(answer.value), asked_at)
         else:
             self._contact.take_refusal(peer, asked_at)
--- a/tests/test_one_number_one_content.py
+++ b/tests/test_one_number_one_content.py
@@ -60,14 +60,14 @@
             return
         holding = task.result()
         outcome = read_order(call).judge(RegisterContent(holding.number, holding.value))
-        if outcome is Outcome.HELD:
+        if outcome is Outcome.APPLIED:
             assert self.confirmed.setdefault(call.number, call.value) == call.value
             assert (call.number, call.value) not in self.refused
         if outcome is Outcome.CONFLICT:
             assert not is_known, "a confirmed order was refused"
             assert self.confirmed.get(call.number) != call.value
             self.refused.add((call.number, call.value))
-        if outcome is Outcome.OVERTAKEN:
+        if outcome is Outcome.SUPERSEDED:
             assert holding.number > call.number
 
 
@@ -86,11 +86,11 @@
     stores.deliver_until(lambda: held_of(stores, "a:1", REGISTER).value == CONTENTS[0])
     stores.lose_all()
     # Nothing but a's own disk holds it: b and c choose the other content.
-    assert stores.do("b:1", make_call(4, CONTENTS[1]), but="a:1") is Outcome.HELD
+    assert stores.do("b:1", make_call(4, CONTENTS[1]), but="a:1") is Outcome.APPLIED
     stores.deliver_all("", stores.turn)
     assert first.result() is Outcome.CONFLICT
     assert stores.do("c:1", make_call(4, CONTENTS[0])) is Outcome.CONFLICT
-    assert stores.do("c:1", make_call(4, CONTENTS[1])) is Outcome.HELD
+    assert stores.do("c:1", make_call(4, CONTENTS[1])) is Outcome.APPLIED
     stores.close()
 
 
@@ -106,10 +106,10 @@
         stores.stores[address].lose_power()
     assert stores.do("c:1", make_call(4, CONTENTS[2])) is Outcome.CONFLICT
     for address in SEEDS:
-        assert stores.do(address, make_call(4, CONTENTS[0])) is Outcome.HELD
-    assert stores.do("b:1", make_call(9, CONTENTS[1])) is Outcome.HELD
+        assert stores.do(address, make_call(4, CONTENTS[0])) is Outcome.APPLIED
+    assert stores.do("b:1", make_call(9, CONTENTS[1])) is Outcome.APPLIED
     # Overtaken by now, but taken: acknowledged, and nothing goes back.
     for content in CONTENTS:
-        assert stores.do("a:1", make_call(4, content)) is Outcome.OVERTAKEN
+        assert stores.do("a:1", make_call(4, content)) is Outcome.SUPERSEDED
     assert stores.read("a:1", REGISTER)[:2] == (9, CONTENTS[1])
     stores.close()
--- a/tests/test_orders_take_effect_once.py
+++ b/tests/test_orders_take_effect_once.py
@@ -169,11 +169,11 @@
     # Its accept stands at its own store alone; b and c never heard of it.
     stores.lose_all()
     stop = make_call(RegisterCallKind.EVACUATION, b"on", 2, b"again")
-    assert stores.do("b:1", stop, but="a:1") is Outcome.HELD
+    assert stores.do("b:1", stop, but="a:1") is Outcome.APPLIED
     stop = make_call(RegisterCallKind.EVACUATION, b"off", 3, b"stop")
-    assert stores.do("b:1", stop, but="a:1") is Outcome.HELD
+    assert stores.do("b:1", stop, but="a:1") is Outcome.APPLIED
     stores.deliver_all("", stores.turn)
-    assert late.done() and late.result() is Outcome.OVERTAKEN
+    assert late.done() and late.result() is Outcome.SUPERSEDED
     assert stores.read("c:1", REGISTER).value == b"off"
     stores.close()
 
@@ -186,7 +186,7 @@
     stores.deliver_until(lambda: len(stores.network.waiting) > 4 or tries[0].done())
     stores.deliver_all("a:1", stores.turn)
     stores.deliver_all("", stores.turn)
-    assert [one.result() for one in tries] == [Outcome.HELD, Outcome.HELD]
+    assert [one.result() for one in tries] == [Outcome.APPLIED, Outcome.APPLIED]
     assert stores.read("c:1", REGISTER)[:2] == (1, b"document")
     stores.close()
 
@@ -196,9 +196,9 @@
     first = read_order(make_call(RegisterCallKind.DUTY, b"first", 0))
     held = first.change(held)
     held = read_order(make_call(RegisterCallKind.DUTY, b"second", 1, b"two")).change(held)
-    assert first.change(held) == held and first.judge(held) is Outcome.HELD
+    assert first.change(held) == held and first.judge(held) is Outcome.APPLIED
     never = read_order(make_call(RegisterCallKind.DUTY, b"first", 0, b"never"))
-    assert never.change(held) == held and never.judge(held) is Outcome.OVERTAKEN
+    assert never.change(held) == held and never.judge(held) is Outcome.SUPERSEDED
 
 
 def test_a_start_that_is_sent_again_after_nothing_else_happened_holds():
@@ -207,9 +207,9 @@
     first = stores.propose("a:1", start)
     stores.lose_all()
     again = make_call(RegisterCallKind.EVACUATION, b"on", 0, b"two")
-    assert stores.do("b:1", again, but="a:1") is Outcome.HELD
+    assert stores.do("b:1", again, but="a:1") is Outcome.APPLIED
     stores.deliver_all("", stores.turn)
-    assert first.result() is Outcome.HELD
+    assert first.result() is Outcome.APPLIED
     assert stores.read("c:1", REGISTER)[:2] == (1, b"on")
     stores.close()
 
