--- a/marblefold/register_store/orders.py
+++ b/marblefold/register_store/orders.py
@@ -24,7 +24,7 @@
     """A change, and the judgement on what a majority holds after it."""
 
     change: Change
-    judge: Callable[[RegisterContent], Outcome]
+    outcome_of: Callable[[RegisterContent], Outcome]
 
 
 def read_order(call: kinds.RegisterCall) -> Order | None:
@@ -51,33 +51,35 @@
 def _order_configuration(number: int, body: bytes) -> Order:
     """Contents are compared as they were sent, byte for byte."""
 
-    def judge(held: RegisterContent) -> Outcome:
+    def outcome_of(held: RegisterContent) -> Outcome:
         if held.number != number:
             return Outcome.SUPERSEDED
         return Outcome.APPLIED if held.value == body else Outcome.CONFLICT
 
-    return Order(set_configuration(number, body), judge)
+    return Order(set_configuration(number, body), outcome_of)
 
 
 def _order_replacement(call: kinds.RegisterCall) -> Order:
     """A document goes on from the number at which its writer read it."""
 
-    def judge(held: RegisterContent) -> Outcome:
+    def outcome_of(held: RegisterContent) -> Outcome:
         is_known = bool(call.order) and call.order in held.orders
         is_ours = (held.number, held.value) == (call.number + 1, call.value)
         return Outcome.APPLIED if is_known or is_ours else Outcome.SUPERSEDED
 
-    return Order(fence(call.number, call.order, replace_if_number(call.number, call.value)), judge)
+    return Order(
+        fence(call.number, call.order, replace_if_number(call.number, call.value)), outcome_of
+    )
 
 
 def _order_evacuation(call: kinds.RegisterCall) -> Order:
     """An evacuation is answered by what holds now, as that of a window is."""
 
-    def judge(held: RegisterContent) -> Outcome:
+    def outcome_of(held: RegisterContent) -> Outcome:
         is_behind = held.number > call.number
         return Outcome.APPLIED if is_behind and held.value == call.value else Outcome.SUPERSEDED
 
-    return Order(fence(call.number, call.order, set_evacuation(call.value)), judge)
+    return Order(fence(call.number, call.order, set_evacuation(call.value)), outcome_of)
 
 
 def _order_state(call: kinds.RegisterCall, change: Change) -> Order:
@@ -87,7 +89,7 @@
     any more: whoever counted from that answer on would count wrongly.
     """
 
-    def judge(held: RegisterContent) -> Outcome:
+    def outcome_of(held: RegisterContent) -> Outcome:
         return Outcome.APPLIED if change(held) == held else Outcome.SUPERSEDED
 
-    return Order(fence(call.number, call.order, change), judge)
+    return Order(fence(call.number, call.order, change), outcome_of)
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -132,7 +132,7 @@
         except MeshError as error:
             return kinds.RegisterAnswer(outcome=Outcome.UNKNOWN, reason=str(error))
         self._spread(call.register, holding)
-        outcome = order.judge(RegisterContent(holding.number, holding.value, holding.orders))
+        outcome = order.outcome_of(RegisterContent(holding.number, holding.value, holding.orders))
         return kinds.RegisterAnswer(outcome=outcome, number=holding.number, value=holding.value)
 
     def _send_view(self, connection: PeerConnection) -> None:
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -48,7 +48,9 @@
         held = order.change(before)
         if held != before:
             self.held[register] = held
-        return kinds.RegisterAnswer(outcome=order.judge(held), number=held.number, value=held.value)
+        return kinds.RegisterAnswer(
+            outcome=order.outcome_of(held), number=held.number, value=held.value
+        )
 
 
 class Transport(asyncio.Transport):
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -72,7 +72,7 @@
             call.register, order.change, _TRYING_SECONDS
         )
         held = RegisterContent(holding.number, holding.value, holding.orders)
-        return order.judge(held), held
+        return order.outcome_of(held), held
 
     async def _judge(self, address, call):
         return (await self.settle(address, call))[0]
--- a/tests/test_one_number_one_content.py
+++ b/tests/test_one_number_one_content.py
@@ -59,7 +59,7 @@
         if task.exception() is not None:
             return
         holding = task.result()
-        outcome = read_order(call).judge(RegisterContent(holding.number, holding.value))
+        outcome = read_order(call).outcome_of(RegisterContent(holding.number, holding.value))
         if outcome is Outcome.APPLIED:
             assert self.confirmed.setdefault(call.number, call.value) == call.value
             assert (call.number, call.value) not in self.refused
--- a/tests/test_orders_take_effect_once.py
+++ b/tests/test_orders_take_effect_once.py
@@ -196,9 +196,9 @@
     first = read_order(make_call(RegisterCallKind.DUTY, b"first", 0))
     held = first.change(held)
     held = read_order(make_call(RegisterCallKind.DUTY, b"second", 1, b"two")).change(held)
-    assert first.change(held) == held and first.judge(held) is Outcome.APPLIED
+    assert first.change(held) == held and first.outcome_of(held) is Outcome.APPLIED
     never = read_order(make_call(RegisterCallKind.DUTY, b"first", 0, b"never"))
-    assert never.change(held) == held and never.judge(held) is Outcome.SUPERSEDED
+    assert never.change(held) == held and never.outcome_of(held) is Outcome.SUPERSEDED
 
 
 def test_a_start_that_is_sent_again_after_nothing_else_happened_holds():
