--- a/marblefold/register_store/chosen_registers.py
+++ b/marblefold/register_store/chosen_registers.py
@@ -41,7 +41,7 @@
         for register, holding in self.holdings.items():
             connection.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
 
-    def forget(self, connection: PeerConnection) -> None:
+    def remove_watcher(self, connection: PeerConnection) -> None:
         """A watcher is gone."""
         self._watchers.discard(connection)
 
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -103,7 +103,7 @@
 
     def on_lost(self, connection: PeerConnection) -> None:
         """A connection is gone; if a registry was behind it, it watches no more."""
-        self._chosen.forget(connection)
+        self._chosen.remove_watcher(connection)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
         """Nobody sends hops to a store."""
