--- a/marblefold/membership/members.py
+++ b/marblefold/membership/members.py
@@ -34,7 +34,7 @@
     liveness: Liveness
 
     @property
-    def order(self) -> tuple[int, int, int]:
+    def precedence(self) -> tuple[int, int, int]:
         """Of two updates on one address the one with the higher order holds."""
         return self.life, self.incarnation, int(self.liveness)
 
@@ -44,7 +44,7 @@
 
     def __init__(self, own: Member, on_change: Callable[[Member], None]) -> None:
         self.own = own
-        self.since: dict[str, float] = {}
+        self.changed_at: dict[str, float] = {}
         self._members: dict[str, Member] = {}
         self._updates: dict[str, int] = {own.address: 0}
         self._on_change = on_change
@@ -56,7 +56,7 @@
         return len(self._members)
 
     @property
-    def doublings(self) -> float:
+    def log2_size(self) -> float:
         """Logarithm to base 2 of the number of nodes: updates spread in so many steps."""
         return math.log2(len(self._members) + 2)
 
@@ -64,37 +64,37 @@
         """The member at the address."""
         return self._members.get(address)
 
-    def take(self, member: Member, now: float) -> bool:
+    def merge(self, member: Member, now: float) -> bool:
         """Merges an update; whether it changed anything. `now` in seconds, steady clock."""
         if member.address == self.own.address:
             return self._refute(member)
         held = self._members.get(member.address)
-        if held is not None and member.order <= held.order:
+        if held is not None and member.precedence <= held.precedence:
             return False
         # That a node which was never known here is gone changes nothing.
         if held is None and member.liveness is Liveness.GONE:
             return False
         self._members[member.address] = member
-        self.since[member.address] = now
+        self.changed_at[member.address] = now
         self._updates[member.address] = 0
         if held is None or held.liveness != member.liveness or held.life != member.life:
             self._on_change(member)
         return True
 
-    def judge(self, member: Member, liveness: Liveness, now: float) -> None:
+    def set_liveness(self, member: Member, liveness: Liveness, now: float) -> None:
         """Records what this node found out about a member by itself."""
-        self.take(member._replace(liveness=liveness), now)
+        self.merge(member._replace(liveness=liveness), now)
 
-    def forget(self, address: str) -> None:
+    def remove(self, address: str) -> None:
         """Removes a member that has been gone for long."""
         self._members.pop(address, None)
         self._updates.pop(address, None)
-        self.since.pop(address, None)
+        self.changed_at.pop(address, None)
 
     def pick_updates(self, most: int) -> list[Member]:
         """At most `most` updates to send, those passed on least often first."""
         addresses = heapq.nsmallest(most, self._updates, key=self._updates.__getitem__)
-        passed_on = max(_PASSED_ON, math.ceil(_PASSED_ON_EACH_DOUBLING * self.doublings))
+        passed_on = max(_PASSED_ON, math.ceil(_PASSED_ON_EACH_DOUBLING * self.log2_size))
         picked = []
         for address in addresses:
             member = self.own if address == self.own.address else self._members[address]
@@ -107,7 +107,7 @@
     def _refute(self, update: Member) -> bool:
         own = self.own
         # An update about this node that outranks its own state is refuted by a higher one.
-        if update.order <= own.order:
+        if update.precedence <= own.precedence:
             return False
         life = own.life if update.life == own.life else update.life + 1
         self.own = own._replace(life=life, incarnation=update.incarnation + 1)
--- a/marblefold/membership/prober.py
+++ b/marblefold/membership/prober.py
@@ -110,7 +110,7 @@
     def receive(self, message: Message, now: float) -> list[Message]:
         """Processes a datagram; the messages to send in answer."""
         for member in message.members:
-            self.table.take(member, now)
+            self.table.merge(member, now)
         self._note_sign_of_life(message.peer, now)
         if message.kind == "ping":
             return [self._make(message.peer, "acknowledgement", message.number, "")]
@@ -131,7 +131,7 @@
             return
         # It sends, so it is alive here. Others accept only its own refutation:
         # the answer shows it how it is judged (_make), so that it can refute.
-        self.table.take(
+        self.table.merge(
             member._replace(incarnation=member.incarnation + 1, liveness=Liveness.ALIVE), now
         )
 
@@ -161,8 +161,8 @@
         ]
         gone = [member for member in self.table if member.liveness is Liveness.GONE]
         for member in gone:
-            if now - self.table.since[member.address] > self._config.forget:
-                self.table.forget(member.address)
+            if now - self.table.changed_at[member.address] > self._config.forget:
+                self.table.remove(member.address)
         if gone:
             out.append(self._ping(self._random.choice(gone).address))
         return out
@@ -184,7 +184,7 @@
                 del self._pending[number]
                 held = self.table.find(pending.member.address)
                 if held is not None and held.liveness is Liveness.ALIVE:
-                    self.table.judge(held, Liveness.SUSPECT, now)
+                    self.table.set_liveness(held, Liveness.SUSPECT, now)
         for number in [number for number in self._relays if number < self._number - 200]:
             del self._relays[number]
         return out
@@ -203,16 +203,16 @@
 
     def _end_suspicions(self, now: float) -> None:
         config = self._config
-        suspicion = config.suspicion * max(1.0, self.table.doublings / config.usual_doublings)
+        suspicion = config.suspicion * max(1.0, self.table.log2_size / config.usual_doublings)
         for member in list(self.table):
             if member.liveness is not Liveness.SUSPECT:
                 continue
-            if now - self.table.since[member.address] >= suspicion:
-                self.table.judge(member, Liveness.GONE, now)
+            if now - self.table.changed_at[member.address] >= suspicion:
+                self.table.set_liveness(member, Liveness.GONE, now)
 
     def _count_updates(self) -> int:
         config = self._config
-        return min(config.most_updates, max(config.updates, int(1.7 * self.table.doublings)))
+        return min(config.most_updates, max(config.updates, int(1.7 * self.table.log2_size)))
 
     def _ping(self, address: str) -> Message:
         self._number += 1
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -102,8 +102,8 @@
     net.run(3)
     node = net.nodes["n2"]
     word = node.table.own._replace(liveness=Liveness.SUSPECT)
-    node.table.take(word, net.now)
-    assert node.table.own.order > word.order
+    node.table.merge(word, net.now)
+    assert node.table.own.precedence > word.precedence
     assert node.table.own.liveness is Liveness.ALIVE
 
 
--- a/tests/test_peer_connections.py
+++ b/tests/test_peer_connections.py
@@ -51,7 +51,7 @@
     prober = Prober(
         Member("a", "a", "proxy", "hall", 1, 0, Liveness.ALIVE), list, config=config, seed=1
     )
-    prober.table.take(Member("b", "b", "proxy", "hall", 1, 0, Liveness.ALIVE), 0.0)
+    prober.table.merge(Member("b", "b", "proxy", "hall", 1, 0, Liveness.ALIVE), 0.0)
     now = 10.0
     for _ in range(12):
         prober.tick(now)
