--- a/marblefold/membership/datagrams.py
+++ b/marblefold/membership/datagrams.py
@@ -26,7 +26,7 @@
                 node=member.node,
                 role=member.role,
                 zone=member.zone,
-                life=member.life,
+                life=member.generation,
                 incarnation=member.incarnation,
                 state=member.liveness.name,
             )
--- a/marblefold/membership/members.py
+++ b/marblefold/membership/members.py
@@ -29,14 +29,14 @@
     node: str
     role: str
     zone: str
-    life: int
+    generation: int
     incarnation: int
     liveness: Liveness
 
     @property
     def precedence(self) -> tuple[int, int, int]:
         """Of two updates on one address the one with the higher order holds."""
-        return self.life, self.incarnation, int(self.liveness)
+        return self.generation, self.incarnation, int(self.liveness)
 
 
 class MemberTable:
@@ -77,7 +77,7 @@
         self._members[member.address] = member
         self.changed_at[member.address] = now
         self._updates[member.address] = 0
-        if held is None or held.liveness != member.liveness or held.life != member.life:
+        if held is None or held.liveness != member.liveness or held.generation != member.generation:
             self._on_change(member)
         return True
 
@@ -109,7 +109,9 @@
         # An update about this node that outranks its own state is refuted by a higher one.
         if update.precedence <= own.precedence:
             return False
-        life = own.life if update.life == own.life else update.life + 1
-        self.own = own._replace(life=life, incarnation=update.incarnation + 1)
+        generation = (
+            own.generation if update.generation == own.generation else update.generation + 1
+        )
+        self.own = own._replace(generation=generation, incarnation=update.incarnation + 1)
         self._updates[own.address] = 0
         return True
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -22,8 +22,8 @@
         for index in range(count):
             self.start(f"n{index}", 1000)
 
-    def start(self, address, life):
-        own = Member(address, address, "proxy", "hall", life, 0, Liveness.ALIVE)
+    def start(self, address, generation):
+        own = Member(address, address, "proxy", "hall", generation, 0, Liveness.ALIVE)
         self.nodes[address] = Prober(
             own,
             lambda: SEEDS,
