--- a/marblefold/membership/prober.py
+++ b/marblefold/membership/prober.py
@@ -15,20 +15,20 @@
 class ProberConfig(NamedTuple):
     """Periods and timeouts in seconds, and counts of peers and updates."""
 
-    period: float = 0.4
-    direct: float = 0.25
-    indirect: float = 0.35
-    suspicion: float = 2.0
-    helpers: int = 3
-    gone_probe: float = 1.0
-    forget: float = 60.0
+    probe_interval_seconds: float = 0.4
+    direct_timeout_seconds: float = 0.25
+    indirect_timeout_seconds: float = 0.35
+    suspicion_timeout_seconds: float = 2.0
+    relay_count: int = 3
+    gone_probe_interval_seconds: float = 1.0
+    gone_retention_seconds: float = 60.0
     # Updates in a datagram; more with more nodes, up to what one datagram
     # carries without fragmentation.
-    updates: int = 8
-    most_updates: int = 13
+    min_updates: int = 8
+    max_updates: int = 13
     # The suspicion timeout holds up to so many doublings of the number of nodes
     # and grows beyond, as a refutation takes longer to spread.
-    usual_doublings: float = 5.0
+    reference_log2_size: float = 5.0
 
 
 class Message(NamedTuple):
@@ -83,7 +83,7 @@
         out = self._check_pending(now)
         self._end_suspicions(now)
         if now >= self._next_probe:
-            self._next_probe = now + self._config.period
+            self._next_probe = now + self._config.probe_interval_seconds
             out.extend(self._probe_next(now))
             # A suspect must learn of it more than once, as any datagram may be
             # lost.  All nodes do this, so a few suspects each are enough and a
@@ -91,10 +91,10 @@
             suspects = [
                 member.address for member in self.table if member.liveness is Liveness.SUSPECT
             ]
-            picked = self._random.sample(suspects, min(len(suspects), self._config.helpers))
+            picked = self._random.sample(suspects, min(len(suspects), self._config.relay_count))
             out.extend(self._ping(address) for address in picked)
         if now >= self._next_gone_probe:
-            self._next_gone_probe = now + self._config.gone_probe
+            self._next_gone_probe = now + self._config.gone_probe_interval_seconds
             out.extend(self._probe_gone(now))
         return out
 
@@ -103,7 +103,9 @@
         config = self._config
         due = min(self._next_probe, self._next_gone_probe)
         for pending in self._pending.values():
-            waits = config.direct + (config.indirect if pending.is_indirect else 0.0)
+            waits = config.direct_timeout_seconds + (
+                config.indirect_timeout_seconds if pending.is_indirect else 0.0
+            )
             due = min(due, pending.sent + waits)
         return due
 
@@ -161,7 +163,7 @@
         ]
         gone = [member for member in self.table if member.liveness is Liveness.GONE]
         for member in gone:
-            if now - self.table.changed_at[member.address] > self._config.forget:
+            if now - self.table.changed_at[member.address] > self._config.gone_retention_seconds:
                 self.table.remove(member.address)
         if gone:
             out.append(self._ping(self._random.choice(gone).address))
@@ -177,10 +179,13 @@
         config = self._config
         for number, pending in list(self._pending.items()):
             age = now - pending.sent
-            if not pending.is_indirect and age >= config.direct:
+            if not pending.is_indirect and age >= config.direct_timeout_seconds:
                 self._pending[number] = pending._replace(is_indirect=True)
                 out.extend(self._ask_helpers(pending.member, number))
-            elif pending.is_indirect and age >= config.direct + config.indirect:
+            elif (
+                pending.is_indirect
+                and age >= config.direct_timeout_seconds + config.indirect_timeout_seconds
+            ):
                 del self._pending[number]
                 held = self.table.find(pending.member.address)
                 if held is not None and held.liveness is Liveness.ALIVE:
@@ -195,7 +200,7 @@
             for other in self.table
             if other.liveness is Liveness.ALIVE and other.address != member.address
         ]
-        picked = self._random.sample(helpers, min(len(helpers), self._config.helpers))
+        picked = self._random.sample(helpers, min(len(helpers), self._config.relay_count))
         # A single lost datagram is likely enough to send one more direct ping.
         return [self._make(member.address, "ping", number, "")] + [
             self._make(helper.address, "ping_request", number, member.address) for helper in picked
@@ -203,7 +208,9 @@
 
     def _end_suspicions(self, now: float) -> None:
         config = self._config
-        suspicion = config.suspicion * max(1.0, self.table.log2_size / config.usual_doublings)
+        suspicion = config.suspicion_timeout_seconds * max(
+            1.0, self.table.log2_size / config.reference_log2_size
+        )
         for member in list(self.table):
             if member.liveness is not Liveness.SUSPECT:
                 continue
@@ -212,7 +219,7 @@
 
     def _count_updates(self) -> int:
         config = self._config
-        return min(config.most_updates, max(config.updates, int(1.7 * self.table.log2_size)))
+        return min(config.max_updates, max(config.min_updates, int(1.7 * self.table.log2_size)))
 
     def _ping(self, address: str) -> Message:
         self._number += 1
--- a/marblefold/rehearsal/playing.py
+++ b/marblefold/rehearsal/playing.py
@@ -217,4 +217,9 @@
     """Seconds until all nodes suspect the lost ones, from the settings of the prober."""
     config = ProberConfig()
     hops = math.log2(max(2, nodes))
-    return config.period + config.direct + config.indirect + hops * _PASS_ON_SECONDS
+    return (
+        config.probe_interval_seconds
+        + config.direct_timeout_seconds
+        + config.indirect_timeout_seconds
+        + hops * _PASS_ON_SECONDS
+    )
--- a/tests/test_peer_connections.py
+++ b/tests/test_peer_connections.py
@@ -56,7 +56,7 @@
     for _ in range(12):
         prober.tick(now)
         due = prober.next_due(now)
-        assert now <= due <= now + config.period
+        assert now <= due <= now + config.probe_interval_seconds
         # Before what is due there is nothing to send.
         assert prober.tick(max(now, due - 0.01)) == []
         now = due + 0.001
