--- a/marblefold/membership/__init__.py
+++ b/marblefold/membership/__init__.py
@@ -1,1 +1,1 @@
-
+"""Membership of the mesh: failure detection between nodes by UDP datagrams."""
--- a/marblefold/membership/datagrams.py
+++ b/marblefold/membership/datagrams.py
@@ -1,4 +1,4 @@
-"""Sends and receives the prober's messages as UDP datagrams."""
+"""Sends and receives messages of the prober as UDP datagrams."""
 
 import asyncio
 import time
@@ -12,7 +12,7 @@
 
 __all__ = ["MembershipSocket"]
 
-_TICK_SECONDS = 0.02
+_MIN_SLEEP_SECONDS = 0.02
 
 
 def _pack(message: Message) -> bytes:
@@ -58,25 +58,25 @@
 
 
 class MembershipSocket(asyncio.DatagramProtocol):
-    """Owns the datagram socket of a node's membership."""
+    """The UDP socket that connects a prober with the network."""
 
     def __init__(self, prober: Prober) -> None:
         self._prober = prober
         self._transport: asyncio.DatagramTransport | None = None
 
     async def start(self, address: str) -> None:
-        """Binds to HOST:PORT. Raises OSError where the port is taken."""
+        """Binds to HOST:PORT. Raises OSError if the port is in use."""
         own = Address.parse(address)
         loop = asyncio.get_running_loop()
         await loop.create_datagram_endpoint(lambda: self, local_addr=(own.host, own.port))
 
     async def run(self) -> None:
-        """Calls the prober when something is due, for ever."""
+        """Calls the prober whenever something is due; never returns."""
         while True:
             now = time.monotonic()
             self._send(self._prober.tick(now))
-            # Sleeps until something is due instead of polling.
-            await asyncio.sleep(max(_TICK_SECONDS, self._prober.next_due(now) - now))
+            # Sleeps until the next due time instead of polling.
+            await asyncio.sleep(max(_MIN_SLEEP_SECONDS, self._prober.next_due(now) - now))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)
@@ -85,16 +85,16 @@
         try:
             message = _unpack(data, f"{address[0]}:{address[1]}")
         except Exception as error:
-            log.info("datagram cannot be read", peer=str(address), reason=str(error))
+            log.info("datagram could not be decoded", peer=str(address), reason=str(error))
             return
         self._send(self._prober.receive(message, time.monotonic()))
 
     def error_received(self, error: Exception) -> None:
-        """Ignored: an unreachable port shows in unanswered probes as well."""
+        """Ignores the error: an unreachable port also shows as unacknowledged probes."""
 
     def _send(self, messages: list[Message]) -> None:
         if self._transport is None:
             raise RuntimeError("membership socket used before it was started")
         for message in messages:
-            host, _sign, port = message.peer.rpartition(":")
+            host, _separator, port = message.peer.rpartition(":")
             self._transport.sendto(_pack(message), (host, int(port)))
--- a/marblefold/membership/node.py
+++ b/marblefold/membership/node.py
@@ -1,4 +1,4 @@
-"""The membership of a node: prober and socket, set up from its config."""
+"""The membership of a node: a prober and its socket, created from the node's config."""
 
 import time
 from collections.abc import Callable
@@ -14,11 +14,11 @@
 
 
 class ConfigSource(Protocol):
-    """Where the config in force is read; it may be another after each wait."""
+    """Gives access to the current config, which may change while a coroutine waits."""
 
     @property
     def config(self) -> NodeConfig:
-        """The config in force now."""
+        """The current config."""
 
 
 class NodeMembership:
@@ -47,15 +47,15 @@
         self._socket = MembershipSocket(self._prober)
 
     async def start(self) -> None:
-        """Binds the datagram socket. Raises OSError where the port is taken."""
+        """Binds the datagram socket. Raises OSError if the port is in use."""
         await self._socket.start(self._address)
 
     async def run(self) -> None:
-        """Probes for ever."""
+        """Probes the other nodes; never returns."""
         await self._socket.run()
 
     def members(self, role: str) -> list[Member]:
-        """The other members of a role, suspected ones included, removed ones not."""
+        """Returns the other members of a role, including suspected but not removed ones."""
         return [
             member
             for member in self._prober.table
--- a/marblefold/membership/prober.py
+++ b/marblefold/membership/prober.py
@@ -1,6 +1,9 @@
-"""Failure detection by probing: a few peers in turn, indirectly through others
-before a peer is suspected, and suspicion before removal (as in SWIM).  Pure:
-time and received messages are arguments, messages to send are results.
+"""Failure detection as in SWIM.
+
+Peers are probed in turn; a peer that does not acknowledge is probed indirectly
+through others before it is suspected, and suspected before it is removed.  The
+code does no I/O: time and received messages are arguments, messages to send are
+results.
 """
 
 import random
@@ -13,7 +16,7 @@
 
 
 class ProberConfig(NamedTuple):
-    """Periods and timeouts in seconds, and counts of peers and updates."""
+    """Intervals and timeouts, and limits on the number of peers and updates."""
 
     probe_interval_seconds: float = 0.4
     direct_timeout_seconds: float = 0.25
@@ -22,12 +25,12 @@
     relay_count: int = 3
     gone_probe_interval_seconds: float = 1.0
     gone_retention_seconds: float = 60.0
-    # Updates in a datagram; more with more nodes, up to what one datagram
-    # carries without fragmentation.
+    # Updates in a datagram: grows with the number of nodes, up to what fits into
+    # a datagram without fragmentation.
     min_updates: int = 8
     max_updates: int = 13
-    # The suspicion timeout holds up to so many doublings of the number of nodes
-    # and grows beyond, as a refutation takes longer to spread.
+    # Binary logarithm of the number of nodes beyond which the suspicion timeout
+    # grows in proportion, as a refutation takes longer to spread.
     reference_log2_size: float = 5.0
 
 
@@ -42,7 +45,7 @@
 
 
 class _Pending(NamedTuple):
-    """A probe that has not been acknowledged."""
+    """A probe that is not yet acknowledged."""
 
     member: Member
     sent: float
@@ -50,14 +53,14 @@
 
 
 class _Relay(NamedTuple):
-    """A probe made on behalf of another node."""
+    """A probe sent on behalf of another node."""
 
-    asker: str
+    requester: str
     number: int
 
 
 class Prober:
-    """The failure detector of one node; all times in seconds on its steady clock."""
+    """The failure detector of one node; all times in seconds on a monotonic clock."""
 
     def __init__(
         self,
@@ -74,20 +77,20 @@
         self._number = 0
         self._pending: dict[int, _Pending] = {}
         self._relays: dict[int, _Relay] = {}
-        self._turn: list[str] = []
+        self._probe_queue: list[str] = []
         self._next_probe = 0.0
         self._next_gone_probe = 0.0
 
     def tick(self, now: float) -> list[Message]:
-        """The messages to send now; ends probes and suspicions that timed out."""
+        """Returns the messages to send now; handles probes and suspicions that timed out."""
         out = self._check_pending(now)
-        self._end_suspicions(now)
+        self._expire_suspicions(now)
         if now >= self._next_probe:
             self._next_probe = now + self._config.probe_interval_seconds
             out.extend(self._probe_next(now))
-            # A suspect must learn of it more than once, as any datagram may be
-            # lost.  All nodes do this, so a few suspects each are enough and a
-            # lost zone does not flood the remaining nodes.
+            # A suspect must be told repeatedly, as any datagram may be lost.  All nodes
+            # do this, so a few suspects per node are enough, and the loss of a zone
+            # does not flood the remaining nodes.
             suspects = [
                 member.address for member in self.table if member.liveness is Liveness.SUSPECT
             ]
@@ -99,40 +102,43 @@
         return out
 
     def next_due(self, now: float) -> float:
-        """When tick() has to be called next if nothing is received."""
+        """Returns when tick() must be called next if nothing is received."""
         config = self._config
         due = min(self._next_probe, self._next_gone_probe)
         for pending in self._pending.values():
-            waits = config.direct_timeout_seconds + (
+            timeout = config.direct_timeout_seconds + (
                 config.indirect_timeout_seconds if pending.is_indirect else 0.0
             )
-            due = min(due, pending.sent + waits)
+            due = min(due, pending.sent + timeout)
         return due
 
     def receive(self, message: Message, now: float) -> list[Message]:
-        """Processes a datagram; the messages to send in answer."""
+        """Processes a received datagram; returns the messages to send in response."""
         for member in message.members:
             self.table.merge(member, now)
-        self._note_sign_of_life(message.peer, now)
+        self._mark_alive(message.peer, now)
         if message.kind == "ping":
-            return [self._make(message.peer, "acknowledgement", message.number, "")]
+            return [self._make_message(message.peer, "acknowledgement", message.number, "")]
         if message.kind == "ping_request":
             self._number += 1
             self._relays[self._number] = _Relay(message.peer, message.number)
-            return [self._make(message.subject, "ping", self._number, "")]
+            return [self._make_message(message.subject, "ping", self._number, "")]
         relay = self._relays.pop(message.number, None)
-        # Another node asked for this probe: the peer is alive.
+        # Forwards the acknowledgement to the node that requested this probe.
         if relay is not None:
-            return [self._make(relay.asker, "acknowledgement", relay.number, message.peer)]
+            return [
+                self._make_message(relay.requester, "acknowledgement", relay.number, message.peer)
+            ]
         self._pending.pop(message.number, None)
         return []
 
-    def _note_sign_of_life(self, address: str, now: float) -> None:
+    def _mark_alive(self, address: str, now: float) -> None:
         member = self.table.find(address)
         if member is None or member.liveness is Liveness.ALIVE:
             return
-        # It sends, so it is alive here. Others accept only its own refutation:
-        # the answer shows it how it is judged (_make), so that it can refute.
+        # The member sent a datagram, so this node considers it alive.  Other nodes
+        # accept only the member's own refutation, so the response tells it about the
+        # suspicion (see _make_message).
         self.table.merge(
             member._replace(incarnation=member.incarnation + 1, liveness=Liveness.ALIVE), now
         )
@@ -145,17 +151,17 @@
                 for address in self._seeds()
                 if address != self.table.own.address
             ]
-        if not self._turn:
-            self._turn = [member.address for member in members]
-            self._random.shuffle(self._turn)
-        while self._turn:
-            member = self.table.find(self._turn.pop())
+        if not self._probe_queue:
+            self._probe_queue = [member.address for member in members]
+            self._random.shuffle(self._probe_queue)
+        while self._probe_queue:
+            member = self.table.find(self._probe_queue.pop())
             if member is not None and member.liveness is not Liveness.GONE:
                 return [self._start_probe(member, now)]
         return []
 
     def _probe_gone(self, now: float) -> list[Message]:
-        """A partition may heal: removed members and unknown seeds are probed at times."""
+        """Probes removed members and unknown seeds, as a network partition may have healed."""
         out = [
             self._ping(address)
             for address in self._seeds()
@@ -172,7 +178,7 @@
     def _start_probe(self, member: Member, now: float) -> Message:
         self._number += 1
         self._pending[self._number] = _Pending(member, now, False)
-        return self._make(member.address, "ping", self._number, "")
+        return self._make_message(member.address, "ping", self._number, "")
 
     def _check_pending(self, now: float) -> list[Message]:
         out = []
@@ -181,59 +187,60 @@
             age = now - pending.sent
             if not pending.is_indirect and age >= config.direct_timeout_seconds:
                 self._pending[number] = pending._replace(is_indirect=True)
-                out.extend(self._ask_helpers(pending.member, number))
+                out.extend(self._request_indirect_probes(pending.member, number))
             elif (
                 pending.is_indirect
                 and age >= config.direct_timeout_seconds + config.indirect_timeout_seconds
             ):
                 del self._pending[number]
-                held = self.table.find(pending.member.address)
-                if held is not None and held.liveness is Liveness.ALIVE:
-                    self.table.set_liveness(held, Liveness.SUSPECT, now)
+                known = self.table.find(pending.member.address)
+                if known is not None and known.liveness is Liveness.ALIVE:
+                    self.table.set_liveness(known, Liveness.SUSPECT, now)
         for number in [number for number in self._relays if number < self._number - 200]:
             del self._relays[number]
         return out
 
-    def _ask_helpers(self, member: Member, number: int) -> list[Message]:
-        helpers = [
+    def _request_indirect_probes(self, member: Member, number: int) -> list[Message]:
+        relays = [
             other
             for other in self.table
             if other.liveness is Liveness.ALIVE and other.address != member.address
         ]
-        picked = self._random.sample(helpers, min(len(helpers), self._config.relay_count))
-        # A single lost datagram is likely enough to send one more direct ping.
-        return [self._make(member.address, "ping", number, "")] + [
-            self._make(helper.address, "ping_request", number, member.address) for helper in picked
+        picked = self._random.sample(relays, min(len(relays), self._config.relay_count))
+        # Pings directly once more, as a single lost datagram is a likely cause.
+        return [self._make_message(member.address, "ping", number, "")] + [
+            self._make_message(relay.address, "ping_request", number, member.address)
+            for relay in picked
         ]
 
-    def _end_suspicions(self, now: float) -> None:
+    def _expire_suspicions(self, now: float) -> None:
         config = self._config
-        suspicion = config.suspicion_timeout_seconds * max(
+        timeout = config.suspicion_timeout_seconds * max(
             1.0, self.table.log2_size / config.reference_log2_size
         )
         for member in list(self.table):
             if member.liveness is not Liveness.SUSPECT:
                 continue
-            if now - self.table.changed_at[member.address] >= suspicion:
+            if now - self.table.changed_at[member.address] >= timeout:
                 self.table.set_liveness(member, Liveness.GONE, now)
 
-    def _count_updates(self) -> int:
+    def _update_limit(self) -> int:
         config = self._config
         return min(config.max_updates, max(config.min_updates, int(1.7 * self.table.log2_size)))
 
     def _ping(self, address: str) -> Message:
         self._number += 1
-        return self._make(address, "ping", self._number, "")
+        return self._make_message(address, "ping", self._number, "")
 
-    def _make(self, peer: str, kind: str, number: int, subject: str) -> Message:
+    def _make_message(self, peer: str, kind: str, number: int, subject: str) -> Message:
         members = [self.table.own]
         known = self.table.find(peer)
-        # A peer must learn how it is judged to be able to refute it.
+        # A peer can refute a suspicion only if it is told about it.
         if known is not None and known.liveness is not Liveness.ALIVE:
             members.append(known)
         members.extend(
             member
-            for member in self.table.pick_updates(self._count_updates())
+            for member in self.table.pick_updates(self._update_limit())
             if member.address != self.table.own.address
         )
         return Message(peer, kind, number, subject, tuple(members))
--- a/marblefold/register_store/call_kinds.py
+++ b/marblefold/register_store/call_kinds.py
@@ -1,7 +1,7 @@
-"""What a registry may ask of a store, and what comes of it: the one home of both.
+"""The kinds of calls that a registry makes to a store, and their outcomes.
 
-Each member is the very text that stands in `RegisterCall.kind` and
-`RegisterAnswer.outcome`, so that messages of earlier versions stay readable.
+Each value is the text sent in `RegisterCall.kind` or `RegisterAnswer.outcome`
+and must not change, so that messages of earlier versions stay readable.
 """
 
 import enum
@@ -10,17 +10,18 @@
 
 
 class RegisterCallKind(enum.StrEnum):
-    """What is asked of a register."""
+    """The operation that a call requests on a register."""
 
     # Reads through a majority and changes nothing.
     DESCRIBE = "describe"
-    # Receives all that is chosen, from now on.
+    # Subscribes to all chosen contents and their changes.
     WATCH = "watch"
-    # Whether the store has a vote now, and in which view; costs no write.
+    # Asks whether the store may vote now, and in which view; needs no write.
     HEARTBEAT = "heartbeat"
-    # The highest number holds, with the content that came first under it.
+    # The highest number wins, with the content that was chosen first under it.
     CONFIGURATION = "configuration"
-    # The rest changes the register only at the number that the caller read.
+    # The remaining kinds change the register only if its number is still the one
+    # that the caller read.
     EVACUATION = "evacuation"
     MAINTENANCE = "maintenance"
     DUTY = "duty"
@@ -29,20 +30,20 @@
 
 
 class Outcome(enum.StrEnum):
-    """What came of an order, as far as a majority of the stores knows."""
+    """The result of an order, as far as a majority of the stores knows."""
 
-    # It was taken: it holds, or it did until a later order replaced it.
+    # It took effect: it holds now, or did until a later order replaced it.
     APPLIED = "held"
-    # Something newer holds, and this order changes nothing, now or later.
+    # Something newer holds; this order has no effect, now or later.
     SUPERSEDED = "overtaken"
-    # Another content holds under the same number; this one was never confirmed.
+    # Another content holds under the same number; this one was never acknowledged.
     CONFLICT = "conflict"
-    # No majority answered in time: it may or may not be taken.
+    # No majority answered in time: it may or may not take effect.
     UNKNOWN = "unknown"
 
     @classmethod
     def read(cls, text: str) -> "Outcome":
-        """The outcome in an answer; what is none of ours is not clear."""
+        """Decodes the outcome in an answer; an unrecognized text counts as UNKNOWN."""
         try:
             return cls(text)
         except ValueError:
--- a/marblefold/register_store/changes.py
+++ b/marblefold/register_store/changes.py
@@ -1,4 +1,4 @@
-"""What orders do to a register: pure functions of what it holds."""
+"""Changes that orders make to a register, as pure functions of its content."""
 
 import enum
 from collections.abc import Callable
@@ -20,104 +20,106 @@
     "replace_if_number",
 ]
 
-# An order is asked about again only for as long as its registry tries, and no
-# more than eight orders are under way at once.
-_ORDERS_KEPT = 8
+# A registry repeats an order only until its own timeout, and at most eight
+# orders are in progress at once.
+_MAX_RECENT_ORDERS = 8
 
 
 class EvacuationState(enum.Enum):
-    """What the register of a zone's evacuation holds, once it was ever set."""
+    """The values of the register of a zone's evacuation."""
 
     ON = b"on"
     OFF = b"off"
-    # Evacuated for a maintenance window, by no order of an operator.
+    # Evacuated for a maintenance window, not by an order of an operator.
     WINDOW = b"window"
 
     @classmethod
     def read(cls, value: bytes) -> "EvacuationState":
-        """The state in a register's value; nothing means that it was never set."""
+        """Decodes a register's value; an empty value means never set, which counts as OFF."""
         return cls(value) if value else cls.OFF
 
 
 class RegisterContent(NamedTuple):
-    """What a register holds: its number, its value, and who made it so."""
+    """A register's number and value, and the orders that changed it last."""
 
     number: int
     value: bytes
-    # The ids of the last orders that changed it, oldest first.
+    # Ids of the last orders that changed the register, oldest first.
     orders: tuple[bytes, ...] = ()
 
 
-# A change gives the very value it was given where it changes nothing.
+# Returns its argument if it changes nothing.
 Change = Callable[[RegisterContent], RegisterContent]
 
 
-def leave_unchanged(held: RegisterContent) -> RegisterContent:
-    """Changes nothing; it finds out what a majority holds."""
-    return held
+def leave_unchanged(content: RegisterContent) -> RegisterContent:
+    """Changes nothing; used to read what a majority holds."""
+    return content
 
 
 def set_configuration(number: int, body: bytes) -> Change:
-    """The highest number holds, with the content that was chosen first under it."""
-    return lambda held: (
-        RegisterContent(number, body) if not held.value or number > held.number else held
+    """Sets a configuration; the highest number wins, with the content chosen first under it."""
+    return lambda content: (
+        RegisterContent(number, body) if not content.value or number > content.number else content
     )
 
 
 def set_evacuation(value: bytes) -> Change:
-    """Starts or stops an evacuation, under a new number even where it holds already.
+    """Starts or stops an evacuation; raises the number even if the value stays the same.
 
-    Otherwise an earlier order that is still under way would not be fenced off by
-    this one.  On its own not idempotent: orders come through `fence`.
+    Otherwise this order would not fence off an earlier one that is still in
+    progress.  Not idempotent by itself: orders apply it through `fence`.
     """
-    return lambda held: RegisterContent(held.number + 1, value)
+    return lambda content: RegisterContent(content.number + 1, value)
 
 
-def evacuate_for_window(held: RegisterContent) -> RegisterContent:
-    """Evacuates a zone for a maintenance window, unless an operator did."""
-    if EvacuationState.read(held.value) is not EvacuationState.OFF:
-        return held
-    return RegisterContent(held.number + 1, EvacuationState.WINDOW.value)
+def evacuate_for_window(content: RegisterContent) -> RegisterContent:
+    """Evacuates a zone for a maintenance window, unless it is already evacuated."""
+    if EvacuationState.read(content.value) is not EvacuationState.OFF:
+        return content
+    return RegisterContent(content.number + 1, EvacuationState.WINDOW.value)
 
 
-def release_from_window(held: RegisterContent) -> RegisterContent:
-    """Takes back what a window evacuated, never what an operator did."""
-    if EvacuationState.read(held.value) is not EvacuationState.WINDOW:
-        return held
-    return RegisterContent(held.number + 1, EvacuationState.OFF.value)
+def release_from_window(content: RegisterContent) -> RegisterContent:
+    """Ends the evacuation of a maintenance window, but not one that an operator started."""
+    if EvacuationState.read(content.value) is not EvacuationState.WINDOW:
+        return content
+    return RegisterContent(content.number + 1, EvacuationState.OFF.value)
 
 
 def replace_if_number(number: int, value: bytes) -> Change:
-    """Replaces the value if nobody else did since it was read."""
-    return lambda held: RegisterContent(number + 1, value) if held.number == number else held
+    """Replaces the value if the register still has the number at which it was read."""
+    return lambda content: (
+        RegisterContent(number + 1, value) if content.number == number else content
+    )
 
 
 def fence(base: int, order: bytes, change: Change) -> Change:
-    """The change, at most once: only at the number that its caller had read.
+    """Applies the change at most once: only at the number that the caller had read.
 
-    Numbers only rise, and every change raises the number; so once the order, or
-    any other one, has changed the register, no later try of it does anything,
-    at whatever store.  The id left behind shows its own later tries that it
-    was taken.
+    Numbers only rise, and every change raises the number.  Once this order, or
+    any other one, has changed the register, no later attempt of it has an
+    effect, at any store.  The stored id shows later attempts of the same order
+    that it took effect.
     """
 
-    def fenced(held: RegisterContent) -> RegisterContent:
-        if held.number != base or (order and order in held.orders):
-            return held
-        after = change(held)
-        if after == held:
-            return held
-        orders = (*held.orders, order) if order else held.orders
-        return after._replace(orders=orders[-_ORDERS_KEPT:])
+    def fenced(content: RegisterContent) -> RegisterContent:
+        if content.number != base or (order and order in content.orders):
+            return content
+        after = change(content)
+        if after == content:
+            return content
+        orders = (*content.orders, order) if order else content.orders
+        return after._replace(orders=orders[-_MAX_RECENT_ORDERS:])
 
     return fenced
 
 
 def change_view(base: View, following: View) -> Change:
-    """Swaps a member if the view is still the one that the swap was made for."""
+    """Replaces the view if it is still the one that the replacement was made for."""
 
-    def change(held: RegisterContent) -> RegisterContent:
-        now = read_view(held.value) if held.value else base
-        return RegisterContent(following.number, following.pack()) if now == base else held
+    def change(content: RegisterContent) -> RegisterContent:
+        current = read_view(content.value) if content.value else base
+        return RegisterContent(following.number, following.pack()) if current == base else content
 
     return change
--- a/marblefold/register_store/chosen_registers.py
+++ b/marblefold/register_store/chosen_registers.py
@@ -1,6 +1,6 @@
-"""What is known to be chosen, and which connections watch it."""
+"""Contents of registers that are known to be chosen, and the connections that watch them."""
 
-# The accelerator itself: hashlib would load OpenSSL, 4 MB in every process.
+# The C module itself: importing hashlib loads OpenSSL, which costs 4 MB in every process.
 from _blake2 import blake2b
 
 from marblefold.inner_protocol.frames import FrameKind
@@ -10,13 +10,13 @@
 
 __all__ = ["ChosenRegisters"]
 
-# One answer to a store that is behind: it must get through a slow link within
-# the time that a call has.  A single record is sent whole, whatever its size.
-_MOST_BYTES = 32 * 1024
+# Limit of one answer to a store that is behind, so that it gets through a slow
+# link within the timeout of a call.  A single larger record is still sent whole.
+_MAX_ANSWER_BYTES = 32 * 1024
 
 
 class ChosenRegisters:
-    """The newest chosen holding of every register, and its watchers."""
+    """The newest chosen state of every register, and the connections to notify of changes."""
 
     def __init__(self) -> None:
         self.holdings: dict[str, Holding] = {}
@@ -24,9 +24,9 @@
         self._digest = b""
 
     def put(self, register: str, holding: Holding) -> bool:
-        """Takes in a chosen holding; returns whether it was newer than the one held."""
-        held = self.holdings.get(register)
-        if not holding.value or (held is not None and holding.ballot <= held.ballot):
+        """Stores a chosen state; returns whether it was newer than the known one."""
+        known = self.holdings.get(register)
+        if not holding.value or (known is not None and holding.ballot <= known.ballot):
             return False
         self.holdings[register] = holding
         self._digest = b""
@@ -36,40 +36,40 @@
         return True
 
     def watch(self, connection: PeerConnection) -> None:
-        """Sends the connection all that is chosen, now and from now on."""
+        """Sends all chosen states to the connection, and every later change."""
         self._watchers.add(connection)
         for register, holding in self.holdings.items():
             connection.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
 
     def remove_watcher(self, connection: PeerConnection) -> None:
-        """A watcher is gone."""
+        """Stops sending changes to the connection."""
         self._watchers.discard(connection)
 
     def digest(self) -> bytes:
-        """16 bytes over registers and ballots, equal where two stores know the same."""
+        """A 16-byte hash over registers and ballots; equal if two stores know the same states."""
         if not self._digest:
-            marks = sorted((name, *holding.ballot) for name, holding in self.holdings.items())
-            self._digest = blake2b(repr(marks).encode(), digest_size=16).digest()
+            versions = sorted((name, *holding.ballot) for name, holding in self.holdings.items())
+            self._digest = blake2b(repr(versions).encode(), digest_size=16).digest()
         return self._digest
 
     def ballots(self) -> list[kinds.Accepted]:
-        """The ballots of all that is chosen, for peers to compare."""
+        """The ballot of every chosen state, for peers to compare with theirs."""
         return [
             kinds.Accepted(register=register, ballot=holding.ballot.pack())
             for register, holding in self.holdings.items()
         ]
 
     def newer_than(self, ballots: list[kinds.Accepted]) -> list[kinds.Accepted]:
-        """What is newer here than at a peer: as much of it as one answer may hold."""
-        theirs = {message.register: Ballot.read(message.ballot) for message in ballots}
+        """States that are newer here than at a peer, up to the size limit of one answer."""
+        peer_ballots = {message.register: Ballot.read(message.ballot) for message in ballots}
         newer: list[kinds.Accepted] = []
         size = 0
         for register, holding in self.holdings.items():
-            if register in theirs and holding.ballot <= theirs[register]:
+            if register in peer_ballots and holding.ballot <= peer_ballots[register]:
                 continue
             message = pack_holding(register, holding)
             size += message.ByteSize()
-            if newer and size > _MOST_BYTES:
+            if newer and size > _MAX_ANSWER_BYTES:
                 break
             newer.append(message)
         return newer
--- a/marblefold/register_store/orders.py
+++ b/marblefold/register_store/orders.py
@@ -1,4 +1,4 @@
-"""Reads the calls of registries as orders: what each does, and what came of it."""
+"""Translates calls of registries into orders: a change and how to determine its outcome."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -21,20 +21,20 @@
 
 
 class Order(NamedTuple):
-    """A change, and the judgement on what a majority holds after it."""
+    """A change, and the function that derives its outcome from what a majority holds after it."""
 
     change: Change
     outcome_of: Callable[[RegisterContent], Outcome]
 
 
 def read_order(call: kinds.RegisterCall) -> Order | None:
-    """The order in a call; None if it is none."""
+    """Returns the order that a call contains, or None for a call of another kind."""
     try:
         kind = RegisterCallKind(call.kind)
     except ValueError:
         return None
     if kind is RegisterCallKind.DESCRIBE:
-        return Order(leave_unchanged, lambda _held: Outcome.APPLIED)
+        return Order(leave_unchanged, lambda _content: Outcome.APPLIED)
     if kind is RegisterCallKind.CONFIGURATION:
         return _order_configuration(call.number, call.value)
     if kind in (RegisterCallKind.MAINTENANCE, RegisterCallKind.DUTY):
@@ -49,23 +49,23 @@
 
 
 def _order_configuration(number: int, body: bytes) -> Order:
-    """Contents are compared as they were sent, byte for byte."""
+    """Sets a configuration; contents are compared as they were sent, byte for byte."""
 
-    def outcome_of(held: RegisterContent) -> Outcome:
-        if held.number != number:
+    def outcome_of(content: RegisterContent) -> Outcome:
+        if content.number != number:
             return Outcome.SUPERSEDED
-        return Outcome.APPLIED if held.value == body else Outcome.CONFLICT
+        return Outcome.APPLIED if content.value == body else Outcome.CONFLICT
 
     return Order(set_configuration(number, body), outcome_of)
 
 
 def _order_replacement(call: kinds.RegisterCall) -> Order:
-    """A document goes on from the number at which its writer read it."""
+    """Replaces a document, provided that it still has the number at which the writer read it."""
 
-    def outcome_of(held: RegisterContent) -> Outcome:
-        is_known = bool(call.order) and call.order in held.orders
-        is_ours = (held.number, held.value) == (call.number + 1, call.value)
-        return Outcome.APPLIED if is_known or is_ours else Outcome.SUPERSEDED
+    def outcome_of(content: RegisterContent) -> Outcome:
+        was_applied = bool(call.order) and call.order in content.orders
+        is_current = (content.number, content.value) == (call.number + 1, call.value)
+        return Outcome.APPLIED if was_applied or is_current else Outcome.SUPERSEDED
 
     return Order(
         fence(call.number, call.order, replace_if_number(call.number, call.value)), outcome_of
@@ -73,23 +73,24 @@
 
 
 def _order_evacuation(call: kinds.RegisterCall) -> Order:
-    """An evacuation is answered by what holds now, as that of a window is."""
+    """Sets an evacuation; as with a window, the outcome depends on the current state."""
 
-    def outcome_of(held: RegisterContent) -> Outcome:
-        is_behind = held.number > call.number
-        return Outcome.APPLIED if is_behind and held.value == call.value else Outcome.SUPERSEDED
+    def outcome_of(content: RegisterContent) -> Outcome:
+        is_later = content.number > call.number
+        return Outcome.APPLIED if is_later and content.value == call.value else Outcome.SUPERSEDED
 
     return Order(fence(call.number, call.order, set_evacuation(call.value)), outcome_of)
 
 
 def _order_state(call: kinds.RegisterCall, change: Change) -> Order:
-    """An evacuation is answered by what holds now.
+    """Changes an evacuation; the outcome depends on the current state.
 
-    One that was taken and then taken back by another order is not acknowledged
-    any more: whoever counted from that answer on would count wrongly.
+    An order that took effect and was then reverted by another one is no longer
+    acknowledged: a client that measures time from the acknowledgement would
+    start from a state that does not hold.
     """
 
-    def outcome_of(held: RegisterContent) -> Outcome:
-        return Outcome.APPLIED if change(held) == held else Outcome.SUPERSEDED
+    def outcome_of(content: RegisterContent) -> Outcome:
+        return Outcome.APPLIED if change(content) == content else Outcome.SUPERSEDED
 
     return Order(fence(call.number, call.order, change), outcome_of)
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -1,4 +1,4 @@
-"""The store: keeps the operator's records on disk with the other stores."""
+"""The store process: replicates the operator's records on disk with the other stores."""
 
 import asyncio
 import os
@@ -29,14 +29,14 @@
 
 __all__ = ["StoreProgram", "open_acceptor"]
 
-_CHANGE_SECONDS = 1.3
-_DISK_PAUSE_SECONDS = 0.3
-# Well within the grace period, with what is being proposed after it.
-_HAND_OVER_SECONDS = 4.0
+_CHANGE_TIMEOUT_SECONDS = 1.3
+_DISK_RETRY_INTERVAL_SECONDS = 0.3
+# Leaves time within the termination grace period for proposals in progress to end.
+_HANDOVER_TIMEOUT_SECONDS = 4.0
 
 
 class StoreProgram:
-    """Puts the parts of a store together and runs them."""
+    """Creates the components of a store and runs them."""
 
     def __init__(self, watch: ConfigWatch) -> None:
         config = watch.config
@@ -61,11 +61,11 @@
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Serves until a SIGTERM."""
+        """Serves until SIGTERM is received."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
-        host, _sign, port = self._address.rpartition(":")
+        host, _separator, port = self._address.rpartition(":")
         await loop.create_server(lambda: PeerConnection(self), host, int(port), backlog=128)
         log.info(
             "serving",
@@ -75,15 +75,15 @@
         )
         tasks = [loop.create_task(self._watch.run()), loop.create_task(self._upkeep.run())]
         await self._stop.wait()
-        await self._upkeep.hand_over(_HAND_OVER_SECONDS)
-        # What is being proposed comes to its end: a record is worth the wait.
+        await self._upkeep.hand_over(_HANDOVER_TIMEOUT_SECONDS)
+        # Waits for proposals in progress, so that clients learn their outcome.
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=1.5)
         for task in tasks:
             task.cancel()
 
     def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
-        """A store or a registry calls."""
+        """Answers a call of a store or a registry."""
         message = unpack_message(payload)
         if isinstance(message, kinds.StoreCall):
             answer = self._upkeep.answer(message)
@@ -96,26 +96,26 @@
             task.add_done_callback(self._tasks.discard)
 
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
-        """A store sends what was just chosen."""
+        """Takes in a newly chosen record that another store sent."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Accepted):
             self._upkeep.take_chosen(message.register, read_holding(message))
 
     def on_lost(self, connection: PeerConnection) -> None:
-        """A connection is gone; if a registry was behind it, it watches no more."""
+        """Removes the watch of a registry whose connection was lost."""
         self._chosen.remove_watcher(connection)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
-        """Nobody sends hops to a store."""
+        """Closes the exchange: stores serve no hops."""
         exchange.close()
 
     async def _answer_registry(
         self, connection: PeerConnection, number: int, call: kinds.RegisterCall
     ) -> None:
-        answer = await self._make_answer(connection, call)
+        answer = await self._execute_call(connection, call)
         connection.send(FrameKind.REPLY, number, pack_message(answer))
 
-    async def _make_answer(
+    async def _execute_call(
         self, connection: PeerConnection, call: kinds.RegisterCall
     ) -> kinds.RegisterAnswer:
         if call.kind == RegisterCallKind.WATCH:
@@ -128,15 +128,17 @@
         if order is None:
             return kinds.RegisterAnswer(outcome=Outcome.UNKNOWN, reason="no such call")
         try:
-            holding = await self._proposer.change(call.register, order.change, _CHANGE_SECONDS)
+            holding = await self._proposer.change(
+                call.register, order.change, _CHANGE_TIMEOUT_SECONDS
+            )
         except MeshError as error:
             return kinds.RegisterAnswer(outcome=Outcome.UNKNOWN, reason=str(error))
-        self._spread(call.register, holding)
+        self._publish_chosen(call.register, holding)
         outcome = order.outcome_of(RegisterContent(holding.number, holding.value, holding.orders))
         return kinds.RegisterAnswer(outcome=outcome, number=holding.number, value=holding.value)
 
     def _send_view(self, connection: PeerConnection) -> None:
-        """The first view was never proposed: no register holds it."""
+        """Sends the current view; the first one was never proposed, so no register holds it."""
         view = self._acceptor.view
         if view is not None:
             connection.send(
@@ -147,7 +149,7 @@
                 ),
             )
 
-    def _spread(self, register: str, holding: Holding) -> None:
+    def _publish_chosen(self, register: str, holding: Holding) -> None:
         self._upkeep.take_chosen(register, holding)
         view = self._acceptor.view
         for peer in view.members if view else ():
@@ -161,10 +163,15 @@
     is_first: bool,
     sleep: Callable[[float], None] = time.sleep,
 ) -> Acceptor:
-    """The acceptor of the records in the folder; waits, in silence, for a disk in trouble."""
+    """Opens the acceptor on the records in the folder.
+
+    Retries until the disk can be read; the store answers nothing until then.
+    """
     while True:
         try:
             return Acceptor(address, RegisterFiles(folder, META_RECORD), seeds, is_first)
         except DiskError as error:
-            log.warning("records not read", step=error.step, reason=error.reason)
-        sleep(_DISK_PAUSE_SECONDS)
+            log.warning(
+                "records could not be loaded; retrying", step=error.step, reason=error.reason
+            )
+        sleep(_DISK_RETRY_INTERVAL_SECONDS)
--- a/marblefold/register_store/records.py
+++ b/marblefold/register_store/records.py
@@ -1,14 +1,14 @@
-"""Where a store's records last, and which of them a failed write left in doubt."""
+"""Durable storage of a store's records, and tracking of writes with an uncertain result."""
 
 from typing import Protocol
 
 from marblefold.errors import DiskError
 
-__all__ = ["UncertainRecords", "Records"]
+__all__ = ["Records", "UncertainRecords"]
 
 
 class Records(Protocol):
-    """Where records last; both methods raise DiskError when the disk fails."""
+    """Durable storage of records by name; both methods raise DiskError when the disk fails."""
 
     def load(self) -> dict[str, bytes]: ...
 
@@ -16,10 +16,10 @@
 
 
 class UncertainRecords:
-    """Records, and the names of those whose last write failed.
+    """Writes records, and tracks the names of those whose last write failed.
 
-    After a failed write the disk may hold the record as it was before or as it
-    should have become, and nobody knows which before the machine starts again.
+    After a failed write the disk may hold either the old or the new content;
+    which one is only known after the machine has restarted.
     """
 
     def __init__(self, records: Records) -> None:
@@ -27,7 +27,7 @@
         self._records = records
 
     def write(self, name: str, data: bytes) -> None:
-        """Returns once the record lasts; DiskError leaves it in doubt."""
+        """Returns once the record is durable; a DiskError leaves its content uncertain."""
         try:
             self._records.write(name, data)
         except DiskError:
--- a/marblefold/register_store/register_client.py
+++ b/marblefold/register_store/register_client.py
@@ -1,4 +1,4 @@
-"""How the parts of a registry reach the registers of the stores."""
+"""The interface through which the parts of a registry access the registers of the stores."""
 
 from typing import Protocol
 
@@ -13,11 +13,11 @@
     async def ask(
         self, kind: str, register: str, number: int = 0, value: bytes = b""
     ) -> kinds.RegisterAnswer:
-        """What a majority of the stores holds after the call.
+        """Calls a store and returns what a majority of the stores holds afterwards.
 
         kind: a RegisterCallKind.
         number: the register's number that the change is fenced by.
-        Raises a MeshError if no store answers in time; it is then unclear whether
-        a change took or will take effect.
+        Raises a MeshError if no store answers in time; the change may then have
+        taken effect, or may still do so.
         """
         ...
--- a/marblefold/register_store/register_files.py
+++ b/marblefold/register_store/register_files.py
@@ -1,9 +1,9 @@
-"""Keeps records on disk, each as a fresh, numbered pair of dbm.dumb files.
+"""Stores each record on disk as a numbered pair of dbm.dumb files.
 
 A record is never overwritten: the new pair is written and synced, the folder
-is synced, and only then is the older pair removed.  Loading takes the highest
-pair whose checksum holds and removes every other one: torn pairs, pairs that a
-full disk cut short, and pairs that a newer one superseded.
+is synced, and only then is the older pair removed.  Loading takes the pair with
+the highest number whose checksum matches and removes every other one: torn
+pairs, pairs truncated by a full disk, and pairs that a newer one superseded.
 """
 
 import contextlib
@@ -19,197 +19,202 @@
 
 __all__ = ["RegisterFiles"]
 
-_NAME = re.compile(r"^(?P<key>(?:[0-9a-f]{2})+)\.(?P<number>\d+)\.(?:dat|dir|bak)$")
-_ENDINGS = (".dat", ".dir", ".bak")
-# File names end at 255 bytes on the file systems in use.
-_LONGEST_KEY = 220
+_FILE_NAME = re.compile(r"^(?P<key>(?:[0-9a-f]{2})+)\.(?P<number>\d+)\.(?:dat|dir|bak)$")
+_FILE_SUFFIXES = (".dat", ".dir", ".bak")
+# The file systems in use limit names to 255 bytes; number and suffix need the rest.
+_MAX_KEY_LENGTH = 220
 
 
 @dataclasses.dataclass
 class _Pairs:
-    """The pairs of one record."""
+    """The numbers of the pairs of one record."""
 
-    # The pair that serves: whole and synced.
-    newest: int | None = None
-    # Pairs that no longer serve, or never did, and are still to be removed.
-    leftover: set[int] = dataclasses.field(default_factory=set)
+    # The pair in use: complete and synced.
+    current: int | None = None
+    # Superseded or incomplete pairs that are still to be removed.
+    obsolete: set[int] = dataclasses.field(default_factory=set)
 
     @property
     def highest(self) -> int:
         """The highest number on disk."""
-        return max(self.leftover | {self.newest or 0})
+        return max(self.obsolete | {self.current or 0})
 
     @property
     def is_damaged(self) -> bool:
-        """Whether the disk lost what was synced; a first pair alone may be torn."""
-        return self.newest is None and self.highest > 1
+        """Whether the disk lost synced data; a torn first pair may never have been synced."""
+        return self.current is None and self.highest > 1
 
 
 class RegisterFiles:
-    """The records of one store, in one folder that nothing else writes records to.
+    """Durable records in a folder that no other process writes records to.
 
     Every method raises DiskError when the operating system reports an error.
-    After a write that failed the record may last as it was before or as it
-    should have become: the caller writes it again before it relies on either.
+    After a failed write the disk may hold either the old or the new content:
+    the caller must repeat the write before it relies on one of them.
     """
 
-    def __init__(self, folder: str, voided_on_damage: str = "") -> None:
-        """Opens the folder; the record so named becomes empty once another is damaged."""
+    def __init__(self, folder: str, cleared_on_damage: str = "") -> None:
+        """Opens the folder and creates it if needed.
+
+        cleared_on_damage: name of a record that `load` makes empty if the disk
+        lost another record.
+        """
         self._folder = folder
-        self._voided_on_damage = voided_on_damage
+        self._cleared_on_damage = cleared_on_damage
         self._pairs: dict[str, _Pairs] = {}
         with _disk_errors("open", folder):
             _make_folder(folder)
 
     def load(self) -> dict[str, bytes]:
-        """All records by name, each as the newest pair that is whole holds it.
+        """Returns all records by name, each from its newest complete pair.
 
-        What is returned is on disk for good, and nothing else of it is left.  A
-        record is damaged if no pair of it is whole, though one was: then the
-        record that `voided_on_damage` names is empty, in the answer and on disk.
+        Everything returned is durable, and all other pairs are removed.  A record
+        is damaged if it has no complete pair but once had one: then the record
+        named by `cleared_on_damage` is empty, in the result and on disk.
         """
         with _disk_errors("load", self._folder):
             self._pairs = self._find_pairs()
             records = {
-                _name_of(key): data
+                _record_name(key): data
                 for key, pairs in self._pairs.items()
-                if (data := self._choose(key, pairs)) is not None
+                if (data := self._select_pair(key, pairs)) is not None
             }
-            self._sync_chosen()
-        if self._voided_on_damage and any(pairs.is_damaged for pairs in self._pairs.values()):
-            # On disk before the last trace of the damage is removed.
-            self.write(self._voided_on_damage, b"")
-            records[self._voided_on_damage] = b""
-        self._clean()
+            self._sync_current()
+        if self._cleared_on_damage and any(pairs.is_damaged for pairs in self._pairs.values()):
+            # Must be on disk before the damaged pairs, the only sign of the damage, are removed.
+            self.write(self._cleared_on_damage, b"")
+            records[self._cleared_on_damage] = b""
+        self._remove_all_obsolete()
         return records
 
     def write(self, name: str, data: bytes) -> None:
-        """Returns once the record would survive a loss of power."""
+        """Returns once the record would survive a power loss."""
         key = name.encode().hex()
-        if len(key) > _LONGEST_KEY:
+        if len(key) > _MAX_KEY_LENGTH:
             raise MeshError("write", f"the name of {len(name)} letters is too long")
         pairs = self._pairs.setdefault(key, _Pairs())
         number = pairs.highest + 1
-        # Until it is known to be whole it is one to be removed.
-        pairs.leftover.add(number)
+        # To be removed unless it is known to be complete.
+        pairs.obsolete.add(number)
         try:
             with _disk_errors("write", name):
                 self._create(key, number, data)
         except DiskError:
-            # A full disk needs the space back.
-            self._remove_leftover(key, pairs)
+            # Frees the space, as the disk may be full.
+            self._remove_obsolete(key, pairs)
             raise
-        pairs.leftover.discard(number)
-        if pairs.newest is not None:
-            pairs.leftover.add(pairs.newest)
-        pairs.newest = number
-        # Only now is the older pair no longer needed.
-        self._remove_leftover(key, pairs)
+        pairs.obsolete.discard(number)
+        if pairs.current is not None:
+            pairs.obsolete.add(pairs.current)
+        pairs.current = number
+        # The older pair is needed until the new one is synced.
+        self._remove_obsolete(key, pairs)
 
     def _find_pairs(self) -> dict[str, _Pairs]:
         found: dict[str, _Pairs] = {}
         for name in os.listdir(self._folder):
-            match = _NAME.match(name)
+            match = _FILE_NAME.match(name)
             if match:
                 pairs = found.setdefault(match["key"], _Pairs())
-                pairs.leftover.add(int(match["number"]))
+                pairs.obsolete.add(int(match["number"]))
         return found
 
-    def _choose(self, key: str, pairs: _Pairs) -> bytes | None:
-        for number in sorted(pairs.leftover, reverse=True):
+    def _select_pair(self, key: str, pairs: _Pairs) -> bytes | None:
+        for number in sorted(pairs.obsolete, reverse=True):
             data = self._read(key, number)
             if data is not None:
-                pairs.newest = number
-                pairs.leftover.discard(number)
+                pairs.current = number
+                pairs.obsolete.discard(number)
                 return data
         return None
 
-    def _sync_chosen(self) -> None:
-        """Syncs what was chosen: a process that was killed may not have come to it.
+    def _sync_current(self) -> None:
+        """Syncs the selected pairs, as a killed process may have written them without a sync.
 
-        The folder's sync also ends what was removed before: its numbers are free.
+        Syncing the folder also makes earlier removals durable, so that their
+        numbers can be used again.
         """
         for key, pairs in self._pairs.items():
-            if pairs.newest is not None:
-                self._sync_pair(key, pairs.newest)
+            if pairs.current is not None:
+                self._sync_pair(key, pairs.current)
         _sync(self._folder)
 
-    def _clean(self) -> None:
-        cleaned = [(key, pairs) for key, pairs in self._pairs.items() if pairs.leftover]
-        for key, pairs in cleaned:
-            self._remove_leftover(key, pairs)
-        if cleaned:
-            # Its numbers are used again: nothing of it may come back by then.
+    def _remove_all_obsolete(self) -> None:
+        with_obsolete = [(key, pairs) for key, pairs in self._pairs.items() if pairs.obsolete]
+        for key, pairs in with_obsolete:
+            self._remove_obsolete(key, pairs)
+        if with_obsolete:
+            # The numbers are used again: a removed pair must not reappear after a power loss.
             with _disk_errors("load", self._folder):
                 _sync(self._folder)
 
     def _create(self, key: str, number: int, data: bytes) -> None:
-        with contextlib.closing(dbm.dumb.open(self._base(key, number), "n")) as pair:
+        with contextlib.closing(dbm.dumb.open(self._path_prefix(key, number), "n")) as pair:
             pair[b"data"] = data
             pair[b"sum"] = b"%d" % zlib.crc32(data)
         self._sync_pair(key, number)
         _sync(self._folder)
 
     def _sync_pair(self, key: str, number: int) -> None:
-        for ending in (".dat", ".dir"):
-            _sync(self._base(key, number) + ending)
+        for suffix in (".dat", ".dir"):
+            _sync(self._path_prefix(key, number) + suffix)
 
     def _read(self, key: str, number: int) -> bytes | None:
-        """The record in a pair; None if the pair is torn, OSError if the disk fails."""
+        """Returns the record in a pair, or None if the pair is torn; OSError if the disk fails."""
         try:
-            with contextlib.closing(dbm.dumb.open(self._base(key, number), "r")) as pair:
+            with contextlib.closing(dbm.dumb.open(self._path_prefix(key, number), "r")) as pair:
                 data = pair[b"data"]
                 return data if pair[b"sum"] == b"%d" % zlib.crc32(data) else None
         except FileNotFoundError:
             return None
         except OSError as error:
-            # A torn directory points to where no file can be read.
+            # A torn .dir file may contain an invalid offset into the data file.
             if error.errno == errno.EINVAL:
                 return None
             raise
         except Exception:
-            # A torn pair may break the reader at any point.
+            # dbm.dumb may raise any exception on a torn pair.
             return None
 
-    def _remove_leftover(self, key: str, pairs: _Pairs) -> None:
-        """Removes what no longer serves; what the disk refuses is tried again later."""
-        for number in list(pairs.leftover):
+    def _remove_obsolete(self, key: str, pairs: _Pairs) -> None:
+        """Removes the obsolete pairs; a removal that fails is retried later."""
+        for number in list(pairs.obsolete):
             with contextlib.suppress(OSError):
-                for ending in _ENDINGS:
+                for suffix in _FILE_SUFFIXES:
                     with contextlib.suppress(FileNotFoundError):
-                        os.remove(self._base(key, number) + ending)
-                pairs.leftover.discard(number)
+                        os.remove(self._path_prefix(key, number) + suffix)
+                pairs.obsolete.discard(number)
 
-    def _base(self, key: str, number: int) -> str:
+    def _path_prefix(self, key: str, number: int) -> str:
         return os.path.join(self._folder, f"{key}.{number}")
 
 
-def _name_of(key: str) -> str:
+def _record_name(key: str) -> str:
     return bytes.fromhex(key).decode()
 
 
 def _make_folder(folder: str) -> None:
-    """Makes the folder and those above it, each kept for good in the one above."""
+    """Creates the folder and its parents, and syncs each new entry in its parent."""
     if os.path.isdir(folder):
         return
-    above = os.path.dirname(os.path.abspath(folder))
-    _make_folder(above)
+    parent = os.path.dirname(os.path.abspath(folder))
+    _make_folder(parent)
     with contextlib.suppress(FileExistsError):
         os.mkdir(folder)
-    _sync(above)
+    _sync(parent)
 
 
 @contextlib.contextmanager
-def _disk_errors(step: str, what: str) -> Iterator[None]:
+def _disk_errors(step: str, subject: str) -> Iterator[None]:
     try:
         yield
     except OSError as error:
-        raise DiskError(step, f"{what}: {error}") from error
+        raise DiskError(step, f"{subject}: {error}") from error
 
 
 def _sync(path: str) -> None:
-    handle = os.open(path, os.O_RDONLY)
+    descriptor = os.open(path, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
--- a/marblefold/register_store/store_records.py
+++ b/marblefold/register_store/store_records.py
@@ -1,4 +1,4 @@
-"""Where a store keeps its records, and what it writes of itself."""
+"""The record in which a store keeps its own state."""
 
 import enum
 import json
@@ -12,13 +12,17 @@
 class VotingStatus(enum.Enum):
     """Whether this store may vote."""
 
-    # Its disk may miss what it once promised or accepted.
+    # Must read from the other stores first: its disk may lack what it promised or accepted.
     READING = "reading"
     VOTING = "voting"
 
 
 class StoreMeta(NamedTuple):
-    """The record of a store's life, standing and view."""
+    """A store's generation, voting status and view, and the generations of its peers.
+
+    `unproven` names the registers whose content was copied from peers although
+    a higher ballot was promised.
+    """
 
     life: str
     standing: VotingStatus
@@ -27,7 +31,7 @@
     view: View | None
 
     def pack(self) -> bytes:
-        """The record as bytes."""
+        """Encodes the record as JSON."""
         return json.dumps(
             {
                 "life": self.life,
@@ -40,7 +44,7 @@
 
     @classmethod
     def read(cls, data: bytes) -> "StoreMeta":
-        """The record in the bytes."""
+        """Decodes a record from JSON."""
         fields = json.loads(data)
         view = fields["view"]
         return cls(
--- a/marblefold/register_store/store_timing.py
+++ b/marblefold/register_store/store_timing.py
@@ -1,4 +1,4 @@
-"""The clock, the sleep and the chance of a store, so that tests can give their own."""
+"""The clock, sleep and random numbers of a store; tests replace them."""
 
 import asyncio
 import random
@@ -10,7 +10,7 @@
 
 
 class StoreTiming(NamedTuple):
-    """Where a store has its time and chance from; seconds throughout."""
+    """The sources of time and randomness of a store; all times in seconds."""
 
     clock: Callable[[], float] = time.monotonic
     sleep: Callable[[float], Awaitable[None]] = asyncio.sleep
