--- a/marblefold/membership/members.py
+++ b/marblefold/membership/members.py
@@ -63,7 +63,7 @@
 
     @property
     def log2_size(self) -> float:
-        """Binary logarithm of the number of nodes: the rounds that an update takes to spread."""
+        """Logarithm to base 2 of the number of nodes: the rounds an update takes to spread."""
         return math.log2(len(self._members) + 2)
 
     def find(self, address: str) -> Member | None:
--- a/tests/many_changes.py
+++ b/tests/many_changes.py
@@ -1,4 +1,4 @@
-"""Many changes of many registers, and a registry that hears of them."""
+"""Many changes of many registers, and a registry that is notified of them."""
 
 import json
 import random
@@ -14,8 +14,8 @@
 CHANGES, REGISTERS = 1000, 200
 
 
-def document_of(number):
-    """A valid configuration of some kilobytes."""
+def configuration_document(number):
+    """Returns a valid configuration of some kilobytes."""
     routes = [
         {
             "name": f"look-{index}",
@@ -35,31 +35,36 @@
     ).encode()
 
 
-def register_of(index):
+def register_name(index):
     return "configuration" if index == 0 else f"evacuation/zone-{index:03d}"
 
 
-def put(index, number):
-    """The change of a number: a configuration, or an evacuation that goes on or off."""
+def change_of(index, number):
+    """Returns the change with this number: a configuration, or an evacuation on or off."""
     if index == 0:
-        return set_configuration(number, document_of(number))
-    # Long enough that not all of them fit into one answer.
+        return set_configuration(number, configuration_document(number))
+    # Padded, so that all registers together do not fit into one answer.
     value = (b"on" if number % 2 else b"off").ljust(600)
-    return lambda held: RegisterContent(held.number + 1, value)
+    return lambda content: RegisterContent(content.number + 1, value)
 
 
-async def change_all(core, by, changes=CHANGES, registers=REGISTERS, seed=7):
-    """Changes every register at least once, and some of them often."""
-    chance = random.Random(seed)
+async def change_all(core, proposer_of, changes=CHANGES, registers=REGISTERS, seed=7):
+    """Changes every register at least once, and some of them often.
+
+    Returns the expected number and value of each register.
+    """
+    rng = random.Random(seed)
     expected = {}
     for number in range(1, changes + 1):
-        index = number - 1 if number <= registers else chance.randrange(registers)
-        holding = await core.change(by(number), register_of(index), put(index, number))
-        expected[register_of(index)] = (holding.number, holding.value)
+        index = number - 1 if number <= registers else rng.randrange(registers)
+        holding = await core.change(
+            proposer_of(number), register_name(index), change_of(index, number)
+        )
+        expected[register_name(index)] = (holding.number, holding.value)
     return expected
 
 
-def held_by(member):
+def accepted_at(member):
     return {
         register: (holding.number, holding.value)
         for register, holding in member.acceptor.holdings.items()
@@ -81,11 +86,11 @@
 
 
 class Registry:
-    """The real way of a record into a registry's catalogue, from one store's watch."""
+    """The real path of a record from the watch of one store into a registry's catalogue."""
 
     def __init__(self):
         self.catalogue = Catalogue(1)
-        self.told = 0
+        self.notification_count = 0
         history = SimpleNamespace(take=lambda number, body: None)
         program = SimpleNamespace(catalogue=self.catalogue, _history=history)
         self.client = StoreClient(
@@ -98,9 +103,9 @@
     def watch(self, member):
         member.chosen.watch(self)
 
-    # In the place of the connection from the store to the registry.
+    # Takes the place of the connection from the store to the registry.
     def send(self, _kind, _number, payload):
-        self.told += 1
+        self.notification_count += 1
         self.client.on_tell(None, payload)
 
     def numbers(self):
--- a/tests/simulated_disk.py
+++ b/tests/simulated_disk.py
@@ -1,9 +1,9 @@
-"""A simulated disk under the real RegisterFiles and the real dbm.dumb.
+"""A simulated disk for the real RegisterFiles and the real dbm.dumb.
 
-Files are inodes, the folder is a table of names.  A change of either lasts
-through a loss of power for certain only once it is synced; until then each
-link and unlink is kept or lost by itself, and the bytes of a file may be
-missing, cut short, zero or whole.
+Files are inodes, the folder is a table of names.  A change of either is durable
+only once it is synced.  A power loss keeps or loses each unsynced link and
+unlink independently, and leaves the bytes of an unsynced file missing,
+truncated, zeroed or complete.
 """
 
 import dbm.dumb
@@ -18,44 +18,46 @@
 
 
 class PowerLost(BaseException):
-    """The machine is off: no code of the program handles this."""
+    """Simulates a power loss; a BaseException, so that the program cannot handle it."""
 
 
 class Inode:
-    """The bytes of one file, as written and as last synced."""
+    """The content of one file, as written and as last synced."""
 
     def __init__(self, data=b"", synced=None):
         self.data = data
         self.synced = synced
 
     def after_power_loss(self):
-        """What may be found of it."""
+        """The possible contents of the file after a power loss."""
         if self.synced == self.data:
             return [self.data]
-        cut = self.data[: len(self.data) // 2]
-        return list(dict.fromkeys([self.synced or b"", cut, bytes(len(self.data)), self.data]))
+        truncated = self.data[: len(self.data) // 2]
+        return list(
+            dict.fromkeys([self.synced or b"", truncated, bytes(len(self.data)), self.data])
+        )
 
 
 class SimulatedDisk:
-    """One folder; counts the operations, and fails or ends at a chosen one."""
+    """One folder; counts operations, and can fail or lose power at a given one."""
 
     def __init__(self, files=()):
         self.names = {name: Inode(data, data) for name, data in dict(files).items()}
         self.durable = dict(self.names)
         self.pending = []
         self.operations = 0
-        self.power_ends_at = None
+        self.power_loss_at = None
         self.is_full = False
-        self.failing = set()
+        self.failing_operations = set()
         self.syncs = 0
 
-    def step(self, kind):
-        """One operation of the program."""
+    def count_operation(self, operation):
+        """Counts one operation of the program, and raises the configured failure."""
         self.operations += 1
-        if self.power_ends_at is not None and self.operations >= self.power_ends_at:
+        if self.power_loss_at is not None and self.operations >= self.power_loss_at:
             raise PowerLost
-        if kind in self.failing:
-            raise OSError(errno.EIO, f"{kind} failed")
+        if operation in self.failing_operations:
+            raise OSError(errno.EIO, f"{operation} failed")
 
     def link(self, name, inode):
         self.names[name] = inode
@@ -66,45 +68,43 @@
         self.pending.append(("unlink", name, inode))
         return inode
 
-    def store(self, inode, data):
-        self.step("write")
+    def write_data(self, inode, data):
+        self.count_operation("write")
         if self.is_full and len(data) > len(inode.data):
-            # Some of it still found room.
+            # Part of the data still fits.
             inode.data = data[: (len(inode.data) + len(data)) // 2]
             raise OSError(errno.ENOSPC, "No space left on device")
         inode.data = data
 
     def states_after_power_loss(self):
-        """Every folder that may be found, as tuples of names and bytes."""
+        """Every possible state of the folder, as tuples of names and contents."""
         for kept in itertools.product((True, False), repeat=len(self.pending)):
             yield from self.states_with(kept)
 
     def states_with(self, kept):
-        """Those in which just these changes of the folder were kept."""
+        """The states in which exactly these changes of the folder were kept."""
         names = self.names_with(kept)
         contents = [inode.after_power_loss() for inode in names.values()]
         for data in itertools.product(*contents):
             yield tuple(sorted(zip(names, data, strict=True)))
 
-    def random_state(self, chance):
-        """One of the states, drawn at random."""
-        names = self.names_with([chance.random() < 0.5 for _change in self.pending])
-        return tuple(
-            (name, chance.choice(inode.after_power_loss())) for name, inode in names.items()
-        )
+    def random_state(self, rng):
+        """One of the possible states, selected at random."""
+        names = self.names_with([rng.random() < 0.5 for _operation in self.pending])
+        return tuple((name, rng.choice(inode.after_power_loss())) for name, inode in names.items())
 
     def names_with(self, kept):
         names = dict(self.durable)
-        for is_kept, (kind, name, inode) in zip(kept, self.pending, strict=True):
-            if is_kept and kind == "link":
+        for is_kept, (operation, name, inode) in zip(kept, self.pending, strict=True):
+            if is_kept and operation == "link":
                 names[name] = inode
             elif is_kept and names.get(name) is inode:
                 del names[name]
         return names
 
     def install(self, monkeypatch):
-        """Puts the disk under the library and under RegisterFiles."""
-        system = _System(self)
+        """Replaces the os and io modules of dbm.dumb and RegisterFiles with this disk."""
+        system = _SimulatedSystem(self)
         monkeypatch.setattr(register_files, "os", system)
         monkeypatch.setattr(dbm.dumb, "_os", system)
         monkeypatch.setattr(dbm.dumb, "_io", system)
@@ -112,8 +112,8 @@
         monkeypatch.setattr(dbm.dumb._Database, "_io", system)
 
 
-class _System:
-    """The calls of os and io that the library and RegisterFiles make."""
+class _SimulatedSystem:
+    """The functions of os and io that dbm.dumb and RegisterFiles call."""
 
     path = os.path
     fsencode = staticmethod(os.fsencode)
@@ -125,11 +125,11 @@
         self.path = _Paths()
 
     def listdir(self, _folder):
-        self.disk.step("list")
+        self.disk.count_operation("list")
         return [os.path.basename(name) for name in self.disk.names]
 
     def remove(self, path):
-        self.disk.step("remove")
+        self.disk.count_operation("remove")
         name = os.fsdecode(path)
         if name not in self.disk.names:
             raise FileNotFoundError(name)
@@ -138,7 +138,7 @@
     unlink = remove
 
     def rename(self, old, new):
-        self.disk.step("rename")
+        self.disk.count_operation("rename")
         old, new = os.fsdecode(old), os.fsdecode(new)
         if old not in self.disk.names:
             raise FileNotFoundError(old)
@@ -147,7 +147,8 @@
     def chmod(self, path, mode):
         pass
 
-    # A handle of os.open is the name itself; an open of io has a mode.
+    # Serves both os.open, whose mode is a number and whose descriptor is the name,
+    # and io.open.
     def open(self, path, mode, encoding=None):
         name = os.fsdecode(path)
         if isinstance(mode, int):
@@ -156,22 +157,22 @@
             return name
         return self._open_file(name, mode, encoding)
 
-    def close(self, handle):
+    def close(self, descriptor):
         pass
 
-    def fsync(self, handle):
+    def fsync(self, descriptor):
         disk = self.disk
-        disk.step("sync")
+        disk.count_operation("sync")
         disk.syncs += 1
-        if handle == FOLDER:
+        if descriptor == FOLDER:
             disk.durable, disk.pending = dict(disk.names), []
         else:
-            inode = disk.names[handle]
+            inode = disk.names[descriptor]
             inode.synced = inode.data
 
     def _open_file(self, name, mode, encoding):
         disk = self.disk
-        disk.step("open")
+        disk.count_operation("open")
         inode = disk.names.get(name)
         if inode is None:
             if mode[0] == "r":
@@ -196,7 +197,7 @@
 
 
 class _File(io.BytesIO):
-    """An open file; what was written reaches the disk's cache when it is closed."""
+    """An open file; its data reaches the disk's cache when it is closed."""
 
     def __init__(self, disk, inode, is_written):
         super().__init__(inode.data)
@@ -207,6 +208,6 @@
             self._is_written = False
             data = self.getvalue()
             super().close()
-            self._disk.store(self._inode, data)
+            self._disk.write_data(self._inode, data)
         else:
             super().close()
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -1,4 +1,4 @@
-"""Orders of registries at simulated stores, on a network that the test drives."""
+"""Orders of registries at simulated stores, on a network that the test controls."""
 
 import asyncio
 import os
@@ -14,12 +14,12 @@
 from marblefold.registry.order_gate import check_order
 from tests.simulated_stores import SEEDS, Network, Store
 
-_TRYING_SECONDS = 5.0
-_MOST_DELIVERIES = 400
+_CHANGE_TIMEOUT_SECONDS = 5.0
+_MAX_DELIVERIES = 400
 
 
 class OrderedStore(Store):
-    """A store whose messages are marked, and whose proposer has the test's clock."""
+    """A store whose messages carry their sender, and whose proposer uses the test's clock."""
 
     def restart_proposer(self):
         self.starts += 1
@@ -41,16 +41,16 @@
         def deliver():
             return answer_call(store.acceptor, copy)
 
-        def come_back():
+        def deliver_answer():
             return answer
 
-        deliver.caller = come_back.caller = self.address
+        deliver.caller = deliver_answer.caller = self.address
         answer = await self.system.network.send(deliver)
-        return await self.system.network.send(come_back)
+        return await self.system.network.send(deliver_answer)
 
 
 class OrderedStores:
-    """Three stores in one view; nothing is delivered but by the test."""
+    """Three stores in one view; only the test delivers messages."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -58,38 +58,38 @@
         self.network = Network()
         self.stores = {address: OrderedStore(self, address, True) for address in SEEDS}
 
-    def turn(self):
+    def run_tasks(self):
         for _ in range(8):
             self.loop.run_until_complete(asyncio.sleep(0))
 
     def start(self, coroutine):
         return self.loop.create_task(coroutine)
 
-    async def settle(self, address, call):
-        """What a store answers to an order, and what it found held."""
+    async def execute(self, address, call):
+        """Returns the outcome of an order at a store, and the content of its register."""
         order = read_order(call)
         holding = await self.stores[address].proposer.change(
-            call.register, order.change, _TRYING_SECONDS
+            call.register, order.change, _CHANGE_TIMEOUT_SECONDS
         )
-        held = RegisterContent(holding.number, holding.value, holding.orders)
-        return order.outcome_of(held), held
+        content = RegisterContent(holding.number, holding.value, holding.orders)
+        return order.outcome_of(content), content
 
     async def _judge(self, address, call):
-        return (await self.settle(address, call))[0]
+        return (await self.execute(address, call))[0]
 
     def propose(self, address, call):
         task = self.start(self._judge(address, call))
-        self.turn()
+        self.run_tasks()
         return task
 
-    def do(self, address, call, but=""):
+    def execute_order(self, address, call, except_from=""):
         task = self.propose(address, call)
-        self.deliver_all(but, self.turn)
+        self.deliver_all(except_from, self.run_tasks)
         return task.result()
 
     def read(self, address, register):
         task = self.start(self.stores[address].proposer.change(register, leave_unchanged, 5.0))
-        self.deliver_all("", self.turn)
+        self.deliver_all("", self.run_tasks)
         return RegisterContent(task.result().number, task.result().value, task.result().orders)
 
     def deliver(self, index):
@@ -98,24 +98,26 @@
             if not future.done():
                 future.set_result(deliver())
 
-    def deliver_all(self, but, turn):
-        """Delivers what is under way and what follows, but for one store's calls."""
-        turn()
-        for _ in range(_MOST_DELIVERIES):
-            ready = [one for one in self.network.waiting if one[0].caller != but]
+    def deliver_all(self, except_from, run_tasks):
+        """Delivers pending messages and those that follow, except the calls of one store."""
+        run_tasks()
+        for _ in range(_MAX_DELIVERIES):
+            ready = [
+                message for message in self.network.waiting if message[0].caller != except_from
+            ]
             if not ready:
                 return
             self.deliver(self.network.waiting.index(ready[0]))
-            turn()
+            run_tasks()
 
-    def deliver_until(self, is_so):
-        """Delivers one message after the other until something is so."""
-        for _ in range(_MOST_DELIVERIES):
-            if is_so():
+    def deliver_until(self, condition):
+        """Delivers one message after the other until the condition holds."""
+        for _ in range(_MAX_DELIVERIES):
+            if condition():
                 return
             self.deliver(0)
-            self.turn()
-        raise AssertionError("it never came about")
+            self.run_tasks()
+        raise AssertionError("the condition never held")
 
     def lose(self, index):
         if self.network.waiting:
@@ -124,50 +126,51 @@
                 future.set_exception(MeshError("network", "lost"))
 
     def lose_all(self):
-        """Loses what is under way now; what is sent afterwards waits."""
+        """Loses all pending messages; later ones wait for delivery."""
         for _ in range(len(self.network.waiting)):
             self.lose(0)
-        self.turn()
+        self.run_tasks()
 
     def close(self):
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
         for _ in range(20):
-            self.turn()
+            self.run_tasks()
         self.network.waiting.clear()
         self.loop.close()
 
 
 class StoreClient:
-    """A registry's client: one order, to one store or to two at once."""
+    """A registry's client, which sends an order to one store or to two at once."""
 
     def __init__(self, stores, addresses):
         self._stores = stores
         self._addresses = addresses
 
     async def ask(self, kind, register, number=0, value=b""):
-        # As the registries' own client does.
+        # The client of the registries makes the same check.
         if kind != RegisterCallKind.DESCRIBE:
             check_order()
         call = kinds.RegisterCall(
             kind=kind, register=register, number=number, value=value, order=os.urandom(12)
         )
-        tries = [
-            asyncio.ensure_future(self._stores.settle(address, call)) for address in self._addresses
+        attempts = [
+            asyncio.ensure_future(self._stores.execute(address, call))
+            for address in self._addresses
         ]
         try:
-            done, _pending = await asyncio.wait(tries, return_when=asyncio.FIRST_COMPLETED)
+            done, _pending = await asyncio.wait(attempts, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            # Whoever is not waited for any more goes on all the same.
-            for one in tries:
-                one.add_done_callback(lambda task: task.cancelled() or task.exception())
-        outcome, held = done.pop().result()
-        return kinds.RegisterAnswer(outcome=outcome, number=held.number, value=held.value)
+            # Attempts that nothing waits for any more still continue.
+            for attempt in attempts:
+                attempt.add_done_callback(lambda task: task.cancelled() or task.exception())
+        outcome, content = done.pop().result()
+        return kinds.RegisterAnswer(outcome=outcome, number=content.number, value=content.value)
 
 
-def held_of(stores, address, register):
-    """What one store accepted, chosen or not."""
+def accepted_content(stores, address, register):
+    """Returns what one store accepted, whether chosen or not."""
     return stores.stores[address].acceptor.holdings.get(register, NOTHING)
 
 
-__all__ = ["Outcome", "OrderedStores", "StoreClient", "held_of"]
+__all__ = ["Outcome", "OrderedStores", "StoreClient", "accepted_content"]
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -1,4 +1,7 @@
-"""A store whose disk is full or fails refuses or is silent, and never lies."""
+"""A store whose disk is full or failing refuses calls or does not answer.
+
+It never gives an answer that a power loss could contradict.
+"""
 
 import asyncio
 import contextlib
@@ -15,7 +18,7 @@
 from marblefold.register_store.program import open_acceptor
 from marblefold.register_store.register_files import RegisterFiles
 from marblefold.register_store.view import View
-from tests.many_changes import put, register_of
+from tests.many_changes import change_of, register_name
 from tests.simulated_disk import FOLDER, PowerLost, SimulatedDisk
 from tests.simulated_replicas import Core
 from tests.simulated_stores import MemoryRecords
@@ -25,21 +28,21 @@
 
 
 class Machine:
-    """One acceptor on a disk in trouble, and all that it ever said."""
+    """One acceptor on a failing disk, and everything that its answers promised."""
 
-    def __init__(self, monkeypatch, chance):
-        self.monkeypatch, self.chance = monkeypatch, chance
+    def __init__(self, monkeypatch, rng):
+        self.monkeypatch, self.rng = monkeypatch, rng
         self.disk = SimulatedDisk()
         self.disk.install(monkeypatch)
         self.acceptor = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, True)
         self.counter = 0
-        # By register, the highest ballots it promised and accepted by its word.
+        # By register, the highest ballots that its answers promised and accepted.
         self.promised, self.accepted = {}, {}
         self.lives = {}
 
     def call(self, kind):
         self.counter += 1
-        register = self.chance.choice(REGISTERS)
+        register = self.rng.choice(REGISTERS)
         call = kinds.StoreCall(
             kind=kind,
             view=self.acceptor.pack_view(),
@@ -63,46 +66,47 @@
             self.accepted[register] = ballot
         return answer
 
-    def trouble(self):
-        self.disk.is_full = self.chance.random() < 0.5
-        # Where even scraps can't be removed a start may read anew, as if wiped.
-        self.disk.failing = {self.chance.choice(["sync", "open", "write"])}
+    def start_disk_errors(self):
+        self.disk.is_full = self.rng.random() < 0.5
+        # Removals never fail: with incomplete pairs left behind, a start may have to read
+        # from the other stores again, as after a lost disk.
+        self.disk.failing_operations = {self.rng.choice(["sync", "open", "write"])}
 
-    def calm(self):
-        self.disk.is_full, self.disk.failing = False, set()
+    def stop_disk_errors(self):
+        self.disk.is_full, self.disk.failing_operations = False, set()
 
-    def end(self):
-        """Ends in the midst of an answer: the process, or the machine."""
-        self.disk.power_ends_at = self.disk.operations + self.chance.randint(1, 30)
+    def crash(self):
+        """Kills the process or cuts the power while a call is being answered."""
+        self.disk.power_loss_at = self.disk.operations + self.rng.randint(1, 30)
         with contextlib.suppress(PowerLost):
-            self.call(self.chance.choice(["prepare", "accept", "read"]))
-        if self.chance.random() < 0.7:
-            self.disk = SimulatedDisk(self.disk.random_state(self.chance))
+            self.call(self.rng.choice(["prepare", "accept", "read"]))
+        if self.rng.random() < 0.7:
+            self.disk = SimulatedDisk(self.disk.random_state(self.rng))
             self.disk.install(self.monkeypatch)
-        self.disk.power_ends_at = None
-        self.calm()
+        self.disk.power_loss_at = None
+        self.stop_disk_errors()
         self.acceptor = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, False)
 
     def check(self):
-        """What it said still holds, and it votes on."""
+        """Asserts that all earlier answers still hold, and that the acceptor votes."""
         assert self.acceptor.standing is VotingStatus.VOTING
         for register, ballot in self.promised.items():
             assert self.acceptor.holdings[register].promised >= ballot
         for register, ballot in self.accepted.items():
             assert self.acceptor.holdings[register].ballot >= ballot
-        for reader, life in self.lives.items():
-            # That life, or a later one that was noted though not answered.
-            assert not is_past(self.acceptor.lives.get(reader, NO_LIFE), life)
+        for reader, generation in self.lives.items():
+            # That generation, or a later one that was recorded without an answer.
+            assert not is_past(self.acceptor.lives.get(reader, NO_LIFE), generation)
 
 
-def test_whatever_an_acceptor_said_lasts_through_trouble_and_losses_of_power(monkeypatch):
+def test_all_answers_of_an_acceptor_survive_disk_errors_and_power_losses(monkeypatch):
     for seed in range(400):
         machine = Machine(monkeypatch, random.Random(seed))
         for _ in range(8):
-            for _ in range(machine.chance.randint(1, 4)):
-                machine.call(machine.chance.choice(["prepare", "accept", "read"]))
-                machine.chance.choice([machine.trouble, machine.calm])()
-            machine.end()
+            for _ in range(machine.rng.randint(1, 4)):
+                machine.call(machine.rng.choice(["prepare", "accept", "read"]))
+                machine.rng.choice([machine.start_disk_errors, machine.stop_disk_errors])()
+            machine.crash()
             machine.check()
         assert machine.call("prepare").agreed and machine.call("read").agreed
 
@@ -115,29 +119,29 @@
         kind="read", view=acceptor.pack_view(), sender="b:1", sender_life="2-second"
     )
     disk.is_full = True
-    # Asked again it knows the life in memory, which is not enough.
+    # On a repeated call it knows the generation in memory, which is not sufficient.
     for _ in range(3):
         answer = answer_call(acceptor, read)
         assert not answer.agreed and answer.reason.startswith("disk")
     disk.is_full = False
     assert answer_call(acceptor, read).agreed
-    lasting = SimulatedDisk({name: inode.synced for name, inode in disk.durable.items()})
-    lasting.install(monkeypatch)
-    again = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, False)
-    assert again.lives == {"b:1": "2-second"}
+    durable_disk = SimulatedDisk({name: inode.synced for name, inode in disk.durable.items()})
+    durable_disk.install(monkeypatch)
+    restarted = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, False)
+    assert restarted.lives == {"b:1": "2-second"}
 
 
-def test_a_start_on_a_disk_in_trouble_waits_in_silence_and_then_votes(monkeypatch):
+def test_a_start_on_a_failing_disk_waits_without_answering_and_then_votes(monkeypatch):
     disk = SimulatedDisk()
     disk.install(monkeypatch)
     first = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, True)
-    disk.failing = {"open"}
+    disk.failing_operations = {"open"}
     pauses = []
 
     def sleep(seconds):
         pauses.append(seconds)
         if len(pauses) == 3:
-            disk.failing = set()
+            disk.failing_operations = set()
 
     acceptor = open_acceptor(OWN, FOLDER, PEERS, False, sleep)
     assert len(pauses) == 3
@@ -161,7 +165,7 @@
 
 
 class FailingRecords(MemoryRecords):
-    """A disk that is full for as long as the test says so."""
+    """Records whose writes fail while the test sets `is_full`."""
 
     is_full = False
 
@@ -171,21 +175,21 @@
         super().write(name, data)
 
 
-def test_a_full_disk_stops_neither_the_changes_nor_what_registries_hear():
+def test_a_full_disk_stops_neither_the_changes_nor_the_notifications_of_registries():
     async def test():
         core = Core(3, FailingRecords)
         full = core.members[core.addresses[2]]
         full.records.is_full = True
-        # By the others, and by the store itself, whose own vote is then missing.
-        for number, by in enumerate(core.addresses, 1):
-            await core.change(by, register_of(1), put(1, number))
+        # Proposed by the others, and by the store itself, which then lacks its own vote.
+        for number, proposing in enumerate(core.addresses, 1):
+            await core.change(proposing, register_name(1), change_of(1, number))
         await core.run_round()
-        assert full.chosen.holdings[register_of(1)].number == 3
-        assert register_of(1) not in full.acceptor.holdings
-        # Room again: the copy that is owed is kept with the next round.
+        assert full.chosen.holdings[register_name(1)].number == 3
+        assert register_name(1) not in full.acceptor.holdings
+        # Once there is space again, the next round writes the missing copy.
         full.records.is_full = False
         await core.run_round()
-        assert full.acceptor.holdings[register_of(1)].number == 3
+        assert full.acceptor.holdings[register_name(1)].number == 3
 
     asyncio.run(test())
 
@@ -193,17 +197,19 @@
 def test_two_full_disks_of_three_make_changes_unknown_and_lose_nothing():
     async def test():
         core = Core(3, FailingRecords)
-        await core.change(core.addresses[0], register_of(1), put(1, 1))
+        await core.change(core.addresses[0], register_name(1), change_of(1, 1))
         for address in core.addresses[1:]:
             core.members[address].records.is_full = True
         with pytest.raises(MeshError, match="no majority"):
-            await core.members[core.addresses[0]].proposer.change(register_of(1), put(1, 2), 0.0)
+            await core.members[core.addresses[0]].proposer.change(
+                register_name(1), change_of(1, 2), 0.0
+            )
         for member in core.members.values():
             member.records.is_full = False
         for address in core.addresses:
             core.restart(address)
         await core.run_round()
-        holding = await core.change(core.addresses[1], register_of(1), put(1, 3))
+        holding = await core.change(core.addresses[1], register_name(1), change_of(1, 3))
         assert holding.number in (2, 3)
 
     asyncio.run(test())
@@ -224,11 +230,11 @@
     assert not answer_call(acceptor, prepare).agreed
     disk.is_full = False
     assert answer_call(acceptor, prepare).agreed
-    again = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, False)
-    assert again.view == following
+    restarted = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, False)
+    assert restarted.view == following
 
 
-def test_a_register_whose_name_no_file_can_bear_is_refused_and_stops_no_other(tmp_path):
+def test_a_register_whose_name_is_too_long_for_a_file_is_refused_and_affects_no_other(tmp_path):
     acceptor = Acceptor(OWN, RegisterFiles(str(tmp_path), META_RECORD), PEERS, True)
     for register, is_agreed in (("evacuation/" + "z" * 250, False), ("evacuation/z", True)):
         ballot = kinds.Ballot(counter=1, proposer="b:1")
--- a/tests/test_one_number_one_content.py
+++ b/tests/test_one_number_one_content.py
@@ -13,7 +13,7 @@
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import RegisterContent
 from marblefold.register_store.orders import read_order
-from tests.simulated_orders import OrderedStores, held_of
+from tests.simulated_orders import OrderedStores, accepted_content
 from tests.simulated_stores import ALL, SEEDS
 from tests.test_store_safety import StoreMachine
 
@@ -83,14 +83,16 @@
 def test_a_content_left_at_a_minority_gives_way_and_is_told_so():
     stores = OrderedStores(lambda: 0.0)
     first = stores.propose("a:1", make_call(4, CONTENTS[0]))
-    stores.deliver_until(lambda: held_of(stores, "a:1", REGISTER).value == CONTENTS[0])
+    stores.deliver_until(lambda: accepted_content(stores, "a:1", REGISTER).value == CONTENTS[0])
     stores.lose_all()
     # Nothing but a's own disk holds it: b and c choose the other content.
-    assert stores.do("b:1", make_call(4, CONTENTS[1]), but="a:1") is Outcome.APPLIED
-    stores.deliver_all("", stores.turn)
+    assert (
+        stores.execute_order("b:1", make_call(4, CONTENTS[1]), except_from="a:1") is Outcome.APPLIED
+    )
+    stores.deliver_all("", stores.run_tasks)
     assert first.result() is Outcome.CONFLICT
-    assert stores.do("c:1", make_call(4, CONTENTS[0])) is Outcome.CONFLICT
-    assert stores.do("c:1", make_call(4, CONTENTS[1])) is Outcome.APPLIED
+    assert stores.execute_order("c:1", make_call(4, CONTENTS[0])) is Outcome.CONFLICT
+    assert stores.execute_order("c:1", make_call(4, CONTENTS[1])) is Outcome.APPLIED
     stores.close()
 
 
@@ -98,18 +100,21 @@
     stores = OrderedStores(lambda: 0.0)
     first = stores.propose("a:1", make_call(4, CONTENTS[0]))
     stores.deliver_until(
-        lambda: held_of(stores, "a:1", REGISTER).value and held_of(stores, "b:1", REGISTER).value
+        lambda: (
+            accepted_content(stores, "a:1", REGISTER).value
+            and accepted_content(stores, "b:1", REGISTER).value
+        )
     )
     first.cancel()
     stores.lose_all()
     for address in SEEDS:
         stores.stores[address].lose_power()
-    assert stores.do("c:1", make_call(4, CONTENTS[2])) is Outcome.CONFLICT
+    assert stores.execute_order("c:1", make_call(4, CONTENTS[2])) is Outcome.CONFLICT
     for address in SEEDS:
-        assert stores.do(address, make_call(4, CONTENTS[0])) is Outcome.APPLIED
-    assert stores.do("b:1", make_call(9, CONTENTS[1])) is Outcome.APPLIED
+        assert stores.execute_order(address, make_call(4, CONTENTS[0])) is Outcome.APPLIED
+    assert stores.execute_order("b:1", make_call(9, CONTENTS[1])) is Outcome.APPLIED
     # Overtaken by now, but taken: acknowledged, and nothing goes back.
     for content in CONTENTS:
-        assert stores.do("a:1", make_call(4, content)) is Outcome.SUPERSEDED
+        assert stores.execute_order("a:1", make_call(4, content)) is Outcome.SUPERSEDED
     assert stores.read("a:1", REGISTER)[:2] == (9, CONTENTS[1])
     stores.close()
--- a/tests/test_peer_connections.py
+++ b/tests/test_peer_connections.py
@@ -1,4 +1,4 @@
-"""Connections between peers: what idle ones cost, and what a lost peer leaves."""
+"""Connections between peers: keep-alive, idle connections to lost peers, and due times."""
 
 import asyncio
 import socket
@@ -11,7 +11,7 @@
 
 
 class Owner(SimpleNamespace):
-    """Takes what comes and counts the connections that were lost."""
+    """Records received hops and counts lost connections."""
 
     def __init__(self):
         super().__init__(lost=0, hops=[])
@@ -25,16 +25,16 @@
 
 def test_a_lost_peer_leaves_no_idle_connection_to_send_into():
     async def test():
-        loop, far, near = asyncio.get_running_loop(), Owner(), Owner()
-        server = await loop.create_server(lambda: PeerConnection(far), "127.0.0.1", 0)
+        loop, server_owner, client_owner = asyncio.get_running_loop(), Owner(), Owner()
+        server = await loop.create_server(lambda: PeerConnection(server_owner), "127.0.0.1", 0)
         peer = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        book = PeerBook(near, keep_alive=PEER_KEEP_ALIVE)
+        book = PeerBook(client_owner, keep_alive=PEER_KEEP_ALIVE)
         connection = await book.reach(peer)
-        handle = connection._transport.get_extra_info("socket")
-        assert handle.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE) == PEER_KEEP_ALIVE
+        peer_socket = connection._transport.get_extra_info("socket")
+        assert peer_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE) == PEER_KEEP_ALIVE
         exchange = connection.open_exchange()
         book.drop_idle(peer)
-        # A hop under way is not cut off by a suspicion.
+        # A suspicion does not interrupt a hop in progress.
         assert book.find(peer) is connection
         exchange.close()
         book.drop_idle(peer)
@@ -46,7 +46,7 @@
     asyncio.run(test())
 
 
-def test_a_prober_says_when_it_has_something_to_do():
+def test_a_prober_reports_when_it_must_be_called_next():
     config = ProberConfig()
     prober = Prober(
         Member("a", "a", "proxy", "hall", 1, 0, Liveness.ALIVE), list, config=config, seed=1
@@ -57,8 +57,8 @@
         prober.tick(now)
         due = prober.next_due(now)
         assert now <= due <= now + config.probe_interval_seconds
-        # Before what is due there is nothing to send.
+        # Nothing is sent before the due time.
         assert prober.tick(max(now, due - 0.01)) == []
         now = due + 0.001
-    # The silent one was probed, asked for again, and suspected.
+    # The member that does not answer was probed directly and indirectly, and suspected.
     assert prober.table.find("b").liveness is not Liveness.ALIVE
--- a/tests/test_register_files.py
+++ b/tests/test_register_files.py
@@ -1,4 +1,4 @@
-"""Records on disk through losses of power at every step of a write."""
+"""Records on disk: removal of older pairs, torn pairs, and the order of syncs."""
 
 import os
 import shutil
@@ -19,7 +19,7 @@
 
 @pytest.mark.parametrize("ending", [".dat", ".dir"])
 @pytest.mark.parametrize("damage", ["cut", "empty", "missing", "spoilt"])
-def test_a_torn_pair_is_passed_over_for_the_older_one(tmp_path, ending, damage):
+def test_a_torn_pair_is_ignored_in_favour_of_the_older_one(tmp_path, ending, damage):
     files = RegisterFiles(str(tmp_path))
     files.write("configuration", b"old" * 100)
     kept = tmp_path / "kept"
@@ -28,7 +28,7 @@
         if name != "kept":
             shutil.copy(tmp_path / name, kept / name)
     files.write("configuration", b"new" * 100)
-    # Power went before the older pair was removed, and the newer one is torn.
+    # As after a power loss before the older pair was removed, with a torn newer one.
     for name in os.listdir(kept):
         shutil.copy(kept / name, tmp_path / name)
     shutil.rmtree(kept)
@@ -41,26 +41,28 @@
         path.write_bytes(torn[damage])
     files = RegisterFiles(str(tmp_path))
     assert files.load() == {"configuration": b"old" * 100}
-    # The next write goes above the torn number, never into it.
+    # The next write uses a number above the torn one and never overwrites it.
     files.write("configuration", b"next")
     assert RegisterFiles(str(tmp_path)).load() == {"configuration": b"next"}
 
 
-def test_the_pair_is_synced_before_the_older_one_goes(tmp_path, monkeypatch):
-    done = []
+def test_the_pair_is_synced_before_the_older_one_is_removed(tmp_path, monkeypatch):
+    operations = []
     real_fsync, real_remove = os.fsync, os.remove
-    monkeypatch.setattr(os, "fsync", lambda handle: (done.append("sync"), real_fsync(handle)))
-    older = b"configuration".hex() + ".1."
+    monkeypatch.setattr(
+        os, "fsync", lambda descriptor: (operations.append("sync"), real_fsync(descriptor))
+    )
+    older_prefix = b"configuration".hex() + ".1."
 
     def remove(path):
-        # The library clears the names of a new pair; only the older counts.
-        if older in os.fsdecode(path) and os.path.exists(path):
-            done.append("remove")
+        # dbm.dumb removes files with the names of a new pair; only the older pair matters.
+        if older_prefix in os.fsdecode(path) and os.path.exists(path):
+            operations.append("remove")
         real_remove(path)
 
     monkeypatch.setattr(os, "remove", remove)
     files = RegisterFiles(str(tmp_path))
     files.write("configuration", b"1")
     files.write("configuration", b"2")
-    # Both files and the folder of each pair, before anything of it is removed.
-    assert done.index("remove") == 6 and done[:6] == ["sync"] * 6
+    # Both files and the folder are synced for each pair before the older one is removed.
+    assert operations.index("remove") == 6 and operations[:6] == ["sync"] * 6
--- a/tests/test_register_files_crashes.py
+++ b/tests/test_register_files_crashes.py
@@ -1,7 +1,8 @@
-"""Records on disk through losses of power, kills, full and failing disks.
+"""Records on disk survive power losses, killed processes, and full and failing disks.
 
-Every unsynced create, rename and removal is kept or lost by itself, with the
-bytes of unsynced files missing, cut short, zero or whole.
+A power loss keeps or loses every unsynced create, rename and removal
+independently, and leaves the bytes of unsynced files missing, truncated, zeroed
+or complete.
 """
 
 import contextlib
@@ -15,20 +16,21 @@
 from tests.simulated_disk import FOLDER, PowerLost, SimulatedDisk
 
 NAME = "register/configuration"
-# As long as each other, so that the parts of two pairs would fit together.
+# Of equal length, so that the files of two pairs could be combined.
 VALUES = [b"%03d" % number * 40 for number in range(400)]
 
 
 @pytest.fixture(autouse=True)
 def no_files_of_earlier_tests():
-    """A file that another test left open is written when it is collected.
+    """Collects files that an earlier test left open.
 
-    It would be written to the disk that is simulated by then.
+    Such a file is written when it is collected, and would otherwise be written
+    to the simulated disk of the current test.
     """
     gc.collect()
 
 
-def opened(disk, monkeypatch):
+def open_files(disk, monkeypatch):
     disk.install(monkeypatch)
     return RegisterFiles(FOLDER)
 
@@ -38,21 +40,21 @@
 
 
 def crash_states(monkeypatch, written):
-    """After whole writes, every state that a crash in the last one may leave."""
-    point = 0
+    """After complete writes, yields every state that a crash during one more may leave."""
+    crash_point = 0
     while True:
-        point += 1
+        crash_point += 1
         disk = SimulatedDisk()
-        files = opened(disk, monkeypatch)
+        files = open_files(disk, monkeypatch)
         for data in VALUES[:written]:
             files.write(NAME, data)
-        disk.power_ends_at = disk.operations + point
+        disk.power_loss_at = disk.operations + crash_point
         try:
             files.write(NAME, VALUES[written])
             is_finished = True
         except PowerLost:
             is_finished = False
-        # What the ended process left open ends with it, on its own disk.
+        # Closes the files that the ended process left open while its disk is in use.
         gc.collect()
         yield is_finished, set(disk.states_after_power_loss())
         if is_finished:
@@ -66,7 +68,7 @@
         allowed = {VALUES[written]} if is_finished else {VALUES[written - 1], VALUES[written]}
         for state in states if is_finished else states - seen:
             disk = SimulatedDisk(state)
-            records = opened(disk, monkeypatch).load()
+            records = open_files(disk, monkeypatch).load()
             assert records.get(NAME) in allowed, sorted(name for name, _data in state)
             assert len(pairs_on(disk)) == 1
         seen |= states
@@ -75,96 +77,99 @@
 
 def test_the_parts_of_two_writes_under_one_number_never_make_a_pair(monkeypatch):
     disk = SimulatedDisk()
-    files = opened(disk, monkeypatch)
+    files = open_files(disk, monkeypatch)
     files.write(NAME, VALUES[0])
-    found = {name: inode.data for name, inode in disk.names.items()}
+    initial = {name: inode.data for name, inode in disk.names.items()}
     files.write(NAME, VALUES[1])
-    # The second write came as far as its data: a start removes it, and uses its number.
-    found |= {name: inode.data for name, inode in disk.names.items() if name.endswith(".2.dat")}
-    point, is_finished = 0, False
+    # The second write got as far as its data file: a start removes it and uses its
+    # number again.
+    initial |= {name: inode.data for name, inode in disk.names.items() if name.endswith(".2.dat")}
+    crash_point, is_finished = 0, False
     while not is_finished:
-        point += 1
-        disk = SimulatedDisk(found)
-        files = opened(disk, monkeypatch)
+        crash_point += 1
+        disk = SimulatedDisk(initial)
+        files = open_files(disk, monkeypatch)
         assert files.load() == {NAME: VALUES[0]}
-        disk.power_ends_at = disk.operations + point
+        disk.power_loss_at = disk.operations + crash_point
         with contextlib.suppress(PowerLost):
             files.write(NAME, VALUES[2])
             is_finished = True
         for state in set(disk.states_after_power_loss()):
-            records = opened(SimulatedDisk(state), monkeypatch).load()
+            records = open_files(SimulatedDisk(state), monkeypatch).load()
             assert records[NAME] in ({VALUES[2]} if is_finished else {VALUES[0], VALUES[2]})
 
 
-class Life:
-    """One disk through a chain of writes, kills, losses of power and full times."""
+class CrashRun:
+    """A chain of writes, kills, power losses and disk errors on one disk."""
 
-    def __init__(self, monkeypatch, chance):
-        self.monkeypatch, self.chance = monkeypatch, chance
+    def __init__(self, monkeypatch, rng):
+        self.monkeypatch, self.rng = monkeypatch, rng
         self.disk = SimulatedDisk()
-        self.files = opened(self.disk, monkeypatch)
-        self.attempt = 0
-        # What must last at least, and what was tried since.
-        self.floor, self.tried = None, []
+        self.files = open_files(self.disk, monkeypatch)
+        self.write_count = 0
+        # The last content known to be durable, and the writes attempted since.
+        self.durable, self.attempted = None, []
 
     def write(self):
-        data = VALUES[self.attempt]
-        self.attempt += 1
-        self.tried.append(data)
+        data = VALUES[self.write_count]
+        self.write_count += 1
+        self.attempted.append(data)
         self.files.write(NAME, data)
-        self.floor, self.tried = data, []
+        self.durable, self.attempted = data, []
 
-    def write_on_a_disk_in_trouble(self):
-        if self.chance.random() < 0.5:
+    def write_on_a_failing_disk(self):
+        if self.rng.random() < 0.5:
             self.disk.is_full = True
         else:
-            self.disk.failing = {self.chance.choice(["sync", "remove", "open", "write"])}
+            self.disk.failing_operations = {self.rng.choice(["sync", "remove", "open", "write"])}
         try:
             self.write()
         except DiskError:
             pass
         finally:
-            self.disk.is_full, self.disk.failing = False, set()
+            self.disk.is_full, self.disk.failing_operations = False, set()
 
-    def end(self, act):
-        """The process ends by a kill, or the power goes, in the midst of an act."""
-        self.disk.power_ends_at = self.disk.operations + self.chance.randint(1, 40)
+    def crash_during(self, action):
+        """Kills the process or cuts the power in the middle of an action."""
+        self.disk.power_loss_at = self.disk.operations + self.rng.randint(1, 40)
         with contextlib.suppress(PowerLost):
-            act()
-        if self.chance.random() < 0.5:
-            self.disk = SimulatedDisk(self.disk.random_state(self.chance))
+            action()
+        if self.rng.random() < 0.5:
+            self.disk = SimulatedDisk(self.disk.random_state(self.rng))
             self.disk.install(self.monkeypatch)
-        self.disk.power_ends_at = None
+        self.disk.power_loss_at = None
 
     def load(self):
         files = RegisterFiles(FOLDER)
         data = files.load().get(NAME)
-        assert data == self.floor or data in self.tried
-        self.files, self.floor, self.tried = files, data, []
+        assert data == self.durable or data in self.attempted
+        self.files, self.durable, self.attempted = files, data, []
         assert len(pairs_on(self.disk)) == (data is not None)
 
     def run(self):
-        acts = [self.write, self.write, self.write_on_a_disk_in_trouble]
+        actions = [self.write, self.write, self.write_on_a_failing_disk]
         for _ in range(6):
-            for _ in range(self.chance.randint(0, 2)):
-                self.chance.choice(acts)()
-            self.end(self.chance.choice([self.write, self.load, self.write_on_a_disk_in_trouble]))
-            if self.chance.random() < 0.5:
-                self.end(self.load)
+            for _ in range(self.rng.randint(0, 2)):
+                self.rng.choice(actions)()
+            self.crash_during(
+                self.rng.choice([self.write, self.load, self.write_on_a_failing_disk])
+            )
+            if self.rng.random() < 0.5:
+                self.crash_during(self.load)
             self.load()
         self.write()
-        assert RegisterFiles(FOLDER).load() == {NAME: self.floor}
+        assert RegisterFiles(FOLDER).load() == {NAME: self.durable}
         assert len(pairs_on(self.disk)) == 1
 
 
-def test_chains_of_crashes_and_trouble_never_bring_back_an_older_record(monkeypatch):
+def test_chains_of_crashes_and_disk_errors_never_bring_back_an_older_record(monkeypatch):
     for seed in range(1500):
-        Life(monkeypatch, random.Random(seed)).run()
+        CrashRun(monkeypatch, random.Random(seed)).run()
 
 
-def test_a_full_disk_keeps_the_record_and_no_scraps(monkeypatch):
+def test_a_full_disk_keeps_the_record_and_no_incomplete_pairs(monkeypatch):
     disk = SimulatedDisk()
-    files = opened(disk, monkeypatch)
+    files = open_files(disk, monkeypatch)
     files.write(NAME, VALUES[0])
     disk.is_full = True
     for _ in range(50):
@@ -177,20 +182,20 @@
     assert len(pairs_on(disk)) == 1 and RegisterFiles(FOLDER).load() == {NAME: VALUES[2]}
 
 
-def test_a_pair_that_cannot_be_read_is_neither_passed_over_nor_removed(monkeypatch):
+def test_a_pair_that_cannot_be_read_is_neither_skipped_nor_removed(monkeypatch):
     disk = SimulatedDisk()
-    files = opened(disk, monkeypatch)
+    files = open_files(disk, monkeypatch)
     files.write(NAME, VALUES[0])
-    disk.failing = {"open"}
+    disk.failing_operations = {"open"}
     with pytest.raises(DiskError):
         RegisterFiles(FOLDER).load()
-    disk.failing = set()
+    disk.failing_operations = set()
     assert RegisterFiles(FOLDER).load() == {NAME: VALUES[0]}
 
 
-def test_a_record_that_the_disk_lost_voids_the_named_one_for_good(monkeypatch):
+def test_a_record_that_the_disk_lost_clears_the_named_one_durably(monkeypatch):
     disk = SimulatedDisk()
-    files = opened(disk, monkeypatch)
+    files = open_files(disk, monkeypatch)
     files.write("meta", b"votes")
     for data in VALUES[:3]:
         files.write(NAME, data)
@@ -199,11 +204,11 @@
             inode.data = inode.synced = bytes(len(inode.data))
     lost = {name: inode.data for name, inode in disk.names.items()}
     assert RegisterFiles(FOLDER, "meta").load() == {"meta": b""}
-    # Also after a loss of power in the midst of finding it, and a start after it.
-    for point in range(1, 60):
+    # The same holds after a power loss during that load and another start.
+    for crash_point in range(1, 60):
         disk = SimulatedDisk(lost)
         disk.install(monkeypatch)
-        disk.power_ends_at = point
+        disk.power_loss_at = crash_point
         with contextlib.suppress(PowerLost):
             RegisterFiles(FOLDER, "meta").load()
         for state in set(disk.states_after_power_loss()):
--- a/tests/test_thousand_changes.py
+++ b/tests/test_thousand_changes.py
@@ -1,7 +1,7 @@
-"""A store's bounds after 1,000 changes of 200 registers: nothing grows with the changes.
+"""Resource bounds of a store: after 1,000 changes of 200 registers nothing grows with them.
 
-And a member that was away for all of them: how many rounds until it holds
-everything, and that what it tells a registry is never older than before.
+Also, a member that missed all changes catches up within a bounded number of
+rounds, and never notifies a registry of a record older than an earlier one.
 """
 
 import asyncio
@@ -18,20 +18,20 @@
     CHANGES,
     REGISTERS,
     Registry,
+    accepted_at,
     bytes_chosen_at,
     change_all,
+    change_of,
     chosen_at,
-    held_by,
     numbers_of,
-    put,
-    register_of,
+    register_name,
 )
 from tests.simulated_disk import FOLDER, SimulatedDisk
 from tests.simulated_replicas import Core
 from tests.simulated_stores import MemoryRecords
 
-# The whole of one answer between stores, with room for what is around it.
-PIECE = 40 * 1024
+# Size limit of one answer between stores, with room for its envelope.
+MAX_ANSWER_BYTES = 40 * 1024
 
 
 def test_disk_files_and_start_do_not_grow_with_the_changes(monkeypatch):
@@ -44,10 +44,8 @@
         core = Core(1, lambda: files)
         start = await change_all(core, lambda _number: core.addresses[0], REGISTERS)
         sizes["few"] = measure(disk)
-        for round_of in range(4):
-            start |= await change_all(
-                core, lambda _number: core.addresses[0], REGISTERS, seed=round_of
-            )
+        for seed in range(4):
+            start |= await change_all(core, lambda _number: core.addresses[0], REGISTERS, seed=seed)
         sizes["many"] = measure(disk)
         return start
 
@@ -64,10 +62,10 @@
     assert {name: (held.number, held.value) for name, held in acceptor.holdings.items()} == expected
     count, bytes_held, operations, syncs = sizes["many"]
     print("files, bytes, operations and syncs of a start:", sizes)
-    # Three files a record, one record a register and one for the store itself.
+    # Three files per record; one record per register, and one for the store itself.
     assert count == 3 * (REGISTERS + 1) == sizes["few"][0]
     assert bytes_held < 1.1 * sizes["few"][1] and bytes_held < 600_000
-    # Four opens and two syncs a record, one listing, one sync of the folder.
+    # Four opens and two syncs per record, one listing and one sync of the folder.
     assert operations == 6 * (REGISTERS + 1) + 2 == sizes["few"][2]
     assert syncs == 2 * (REGISTERS + 1) + 1
 
@@ -97,16 +95,16 @@
 
 
 @pytest.mark.parametrize("is_wiped", [False, True])
-@pytest.mark.parametrize("began_with", [0, 1])
+@pytest.mark.parametrize("starts_outdated", [0, 1])
 def test_a_member_away_for_all_changes_catches_up_in_a_bounded_number_of_rounds(
-    is_wiped, began_with
+    is_wiped, starts_outdated
 ):
     async def test():
         core = Core(5)
         away = core.addresses[4]
         others = core.addresses[:4]
-        if began_with:
-            # It holds an older content of every register.
+        if starts_outdated:
+            # The member holds an older content of every register.
             await change_all(core, lambda _number: others[0], REGISTERS)
         core.away.add(away)
         expected = await change_all(core, lambda number: others[number % 4])
@@ -116,31 +114,31 @@
         registry.watch(member)
         core.reset_counts()
         rounds = 0
-        while chosen_at(member) != expected or held_by(member) != expected:
+        while chosen_at(member) != expected or accepted_at(member) != expected:
             rounds += 1
             assert rounds < 20
             seen = registry.numbers()
             await core.run_round(away)
-            # What it tells is chosen, and never older than what it told before.
+            # Notifications contain only chosen records, and never older ones than before.
             for register, number in registry.numbers().items():
                 assert number == expected[register][0] >= seen.get(register, 0)
         whole = bytes_chosen_at(member)
         print("rounds", rounds, "calls", dict(core.calls), "bytes", core.bytes, "held", whole)
-        # A wiped one learns the members in one more round.
+        # A member with a lost disk needs one more round to learn the members.
         assert rounds <= 1 + is_wiped
         assert member.acceptor.standing is VotingStatus.VOTING
         assert registry.numbers() == numbers_of(expected)
-        # It took what others know: it proposed nothing.
+        # It copied what the others know and proposed nothing.
         assert core.calls["prepare"] == core.calls["accept"] == 0
-        # And its vote counts: with two others away it makes a majority.
+        # Its vote counts: it completes the majority while two others are away.
         core.away.update(others[:2])
-        holding = await core.change(others[2], register_of(1), put(1, 1))
-        assert held_by(member)[register_of(1)] == (holding.number, holding.value)
+        holding = await core.change(others[2], register_name(1), change_of(1, 1))
+        assert accepted_at(member)[register_name(1)] == (holding.number, holding.value)
 
     asyncio.run(test())
 
 
-def test_comparing_costs_the_same_for_any_number_of_registers_and_changes():
+def test_reconciliation_costs_the_same_for_any_number_of_registers_and_changes():
     async def test():
         costs = {}
         for registers, changes in ((2, 2), (REGISTERS, REGISTERS), (REGISTERS, CHANGES)):
@@ -168,10 +166,10 @@
         member = core.restart(core.addresses[4])
         await core.run_round(core.addresses[4])
         assert len(member.chosen.holdings) == REGISTERS
-        assert core.largest <= PIECE
-        # Every member says whether it differs, one gives what is new, in pieces.
+        assert core.largest <= MAX_ANSWER_BYTES
+        # Every member answers whether it differs; one of them sends the new records in parts.
         whole = bytes_chosen_at(member)
-        assert 4 + whole // PIECE < core.calls["compare"] <= 4 + whole // (30 * 1024) + 2
+        assert 4 + whole // MAX_ANSWER_BYTES < core.calls["compare"] <= 4 + whole // (30 * 1024) + 2
 
     asyncio.run(test())
 
@@ -192,57 +190,59 @@
         for address, registry in registries.items():
             assert chosen_at(core.members[address]) == expected
             assert registry.numbers() == numbers_of(expected)
-        # Four peers for each register, not four for each register and member.
+        # Four calls for each register, not four for each register and member.
         assert core.calls["prepare"] < 2 * 4 * REGISTERS
 
     asyncio.run(test())
 
 
-def test_a_store_alone_and_behind_tells_a_registry_nothing():
+def test_an_isolated_outdated_store_notifies_no_registry():
     async def test():
         core = Core(3)
         await change_all(core, lambda _number: core.addresses[0], REGISTERS)
         core.away.add(core.addresses[2])
         await change_all(core, lambda _number: core.addresses[0])
-        # Started anew without the others: what it holds may be old, or never chosen.
+        # Restarted without the others: its records may be outdated, or never chosen.
         core.away = set(core.addresses[:2])
         member = core.restart(core.addresses[2])
         registry = Registry()
         registry.watch(member)
         for _ in range(3):
             await core.run_round(core.addresses[2])
-            # The round tells its failures to the log; what it found out is nothing.
+            # run_round suppresses the error; the same step called directly raises it.
             with pytest.raises(MeshError, match="no majority"):
                 await member.upkeep._act()
-        assert held_by(member) and not member.chosen.holdings and registry.told == 0
+        assert (
+            accepted_at(member) and not member.chosen.holdings and registry.notification_count == 0
+        )
 
     asyncio.run(test())
 
 
-def test_older_records_told_late_change_nothing_in_a_registry():
+def test_older_records_that_arrive_late_change_nothing_in_a_registry():
     async def test():
         core = Core(3)
-        told = []
+        payloads = []
 
         class Recorder:
             def send(self, _kind, _number, payload):
-                told.append(payload)
+                payloads.append(payload)
 
         core.members[core.addresses[0]].chosen.watch(Recorder())
         expected = await change_all(core, lambda _number: core.addresses[0], 300, 20)
         registry = Registry()
-        place, newest = 0, {}
-        chance = random.Random(3)
-        # Each record from three stores, in any order, older ones after newer ones.
-        late = told * 3
-        chance.shuffle(late)
-        for payload in late:
+        position, newest = 0, {}
+        rng = random.Random(3)
+        # Each record from three stores, in random order, older ones after newer ones.
+        deliveries = payloads * 3
+        rng.shuffle(deliveries)
+        for payload in deliveries:
             registry.send(None, 0, payload)
             numbers = registry.numbers()
             assert all(numbers[register] >= number for register, number in newest.items())
-            place, newest = registry.catalogue.place, numbers
-        assert newest == numbers_of(expected) and place <= len(told)
-        # A record of a lower ballot does not come into the chosen ones either.
+            position, newest = registry.catalogue.place, numbers
+        assert newest == numbers_of(expected) and position <= len(payloads)
+        # A record with a lower ballot does not replace a chosen one either.
         chosen = core.members[core.addresses[1]].chosen
         before = dict(chosen.holdings)
         for register, holding in before.items():
