--- a/marblefold/register_store/changes.py
+++ b/marblefold/register_store/changes.py
@@ -13,11 +13,11 @@
     "change_view",
     "evacuate_for_window",
     "fence",
-    "set_configuration",
-    "set_evacuation",
     "leave_unchanged",
     "release_from_window",
     "replace_if_number",
+    "set_configuration",
+    "set_evacuation",
 ]
 
 # A registry repeats an order only until its own timeout, and at most eight
@@ -48,7 +48,7 @@
     orders: tuple[bytes, ...] = ()
 
 
-# Returns its argument if it changes nothing.
+# A change returns its argument if it changes nothing.
 Change = Callable[[RegisterContent], RegisterContent]
 
 
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -74,11 +74,11 @@
         content = RegisterContent(holding.number, holding.value, holding.orders)
         return order.outcome_of(content), content
 
-    async def _judge(self, address, call):
+    async def _execute_for_outcome(self, address, call):
         return (await self.execute(address, call))[0]
 
     def propose(self, address, call):
-        task = self.start(self._judge(address, call))
+        task = self.start(self._execute_for_outcome(address, call))
         self.run_tasks()
         return task
 
