--- a/marblefold/register_store/store_records.py
+++ b/marblefold/register_store/store_records.py
@@ -6,7 +6,7 @@
 
 from marblefold.register_store.view import View, read_view
 
-__all__ = ["VotingStatus", "StoreMeta"]
+__all__ = ["StoreMeta", "VotingStatus"]
 
 
 class VotingStatus(enum.Enum):
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -173,4 +173,4 @@
     return stores.stores[address].acceptor.holdings.get(register, NOTHING)
 
 
-__all__ = ["Outcome", "OrderedStores", "StoreClient", "accepted_content"]
+__all__ = ["OrderedStores", "Outcome", "StoreClient", "accepted_content"]
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -38,7 +38,7 @@
         self.counter = 0
         # By register, the highest ballots that its answers promised and accepted.
         self.promised, self.accepted = {}, {}
-        self.lives = {}
+        self.generations = {}
 
     def call(self, kind):
         self.counter += 1
@@ -59,7 +59,7 @@
             return answer
         ballot = Ballot.read(call.ballot)
         if kind == "read":
-            self.lives[call.sender] = call.sender_life
+            self.generations[call.sender] = call.sender_life
         else:
             self.promised[register] = ballot
         if kind == "accept":
@@ -94,7 +94,7 @@
             assert self.acceptor.holdings[register].promised >= ballot
         for register, ballot in self.accepted.items():
             assert self.acceptor.holdings[register].ballot >= ballot
-        for reader, generation in self.lives.items():
+        for reader, generation in self.generations.items():
             # That generation, or a later one that was recorded without an answer.
             assert not is_past(self.acceptor.lives.get(reader, NO_LIFE), generation)
 
@@ -111,7 +111,7 @@
         assert machine.call("prepare").agreed and machine.call("read").agreed
 
 
-def test_a_reader_is_not_answered_before_its_life_is_on_disk(monkeypatch):
+def test_a_reader_is_not_answered_before_its_generation_is_on_disk(monkeypatch):
     disk = SimulatedDisk()
     disk.install(monkeypatch)
     acceptor = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, True)
