--- a/marblefold/register_store/orders.py
+++ b/marblefold/register_store/orders.py
@@ -1,4 +1,4 @@
-"""Reads the calls of registries as orders: what each does, and what came of it."""
+"""Translates calls of registries into orders: a change and how to determine its outcome."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -7,34 +7,34 @@
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import (
     Change,
-    Held,
-    empty_for_window,
+    RegisterContent,
+    evacuate_for_window,
     fence,
-    hold_configuration,
-    hold_evacuation,
-    keep,
+    leave_unchanged,
     release_from_window,
-    replace_at,
+    replace_if_number,
+    set_configuration,
+    set_evacuation,
 )
 
 __all__ = ["Order", "read_order"]
 
 
 class Order(NamedTuple):
-    """A change, and the judgement on what a majority holds after it."""
+    """A change, and the function that derives its outcome from what a majority holds after it."""
 
     change: Change
-    judge: Callable[[Held], Outcome]
+    outcome_of: Callable[[RegisterContent], Outcome]
 
 
 def read_order(call: kinds.RegisterCall) -> Order | None:
-    """The order in a call; None if it is none."""
+    """Returns the order that a call contains, or None for a call of another kind."""
     try:
         kind = RegisterCallKind(call.kind)
     except ValueError:
         return None
     if kind is RegisterCallKind.DESCRIBE:
-        return Order(keep, lambda _held: Outcome.HELD)
+        return Order(leave_unchanged, lambda _content: Outcome.APPLIED)
     if kind is RegisterCallKind.CONFIGURATION:
         return _order_configuration(call.number, call.value)
     if kind in (RegisterCallKind.MAINTENANCE, RegisterCallKind.DUTY):
@@ -42,52 +42,55 @@
     if kind is RegisterCallKind.EVACUATION:
         return _order_evacuation(call)
     if kind is RegisterCallKind.WINDOW_EMPTY:
-        return _order_state(call, empty_for_window)
+        return _order_state(call, evacuate_for_window)
     if kind is RegisterCallKind.WINDOW_RELEASE:
         return _order_state(call, release_from_window)
     return None
 
 
 def _order_configuration(number: int, body: bytes) -> Order:
-    """Contents are compared as they were sent, byte for byte."""
+    """Sets a configuration; contents are compared as they were sent, byte for byte."""
 
-    def judge(held: Held) -> Outcome:
-        if held.number != number:
-            return Outcome.OVERTAKEN
-        return Outcome.HELD if held.value == body else Outcome.CONFLICT
+    def outcome_of(content: RegisterContent) -> Outcome:
+        if content.number != number:
+            return Outcome.SUPERSEDED
+        return Outcome.APPLIED if content.value == body else Outcome.CONFLICT
 
-    return Order(hold_configuration(number, body), judge)
+    return Order(set_configuration(number, body), outcome_of)
 
 
 def _order_replacement(call: kinds.RegisterCall) -> Order:
-    """A document goes on from the number at which its writer read it."""
+    """Replaces a document, provided that it still has the number at which the writer read it."""
 
-    def judge(held: Held) -> Outcome:
-        is_known = bool(call.order) and call.order in held.orders
-        is_ours = (held.number, held.value) == (call.number + 1, call.value)
-        return Outcome.HELD if is_known or is_ours else Outcome.OVERTAKEN
+    def outcome_of(content: RegisterContent) -> Outcome:
+        was_applied = bool(call.order) and call.order in content.orders
+        is_current = (content.number, content.value) == (call.number + 1, call.value)
+        return Outcome.APPLIED if was_applied or is_current else Outcome.SUPERSEDED
 
-    return Order(fence(call.number, call.order, replace_at(call.number, call.value)), judge)
+    return Order(
+        fence(call.number, call.order, replace_if_number(call.number, call.value)), outcome_of
+    )
 
 
 def _order_evacuation(call: kinds.RegisterCall) -> Order:
-    """An evacuation is answered by what holds now, as that of a window is."""
+    """Sets an evacuation; as with a window, the outcome depends on the current state."""
 
-    def judge(held: Held) -> Outcome:
-        is_behind = held.number > call.number
-        return Outcome.HELD if is_behind and held.value == call.value else Outcome.OVERTAKEN
+    def outcome_of(content: RegisterContent) -> Outcome:
+        is_later = content.number > call.number
+        return Outcome.APPLIED if is_later and content.value == call.value else Outcome.SUPERSEDED
 
-    return Order(fence(call.number, call.order, hold_evacuation(call.value)), judge)
+    return Order(fence(call.number, call.order, set_evacuation(call.value)), outcome_of)
 
 
 def _order_state(call: kinds.RegisterCall, change: Change) -> Order:
-    """An evacuation is answered by what holds now.
+    """Changes an evacuation; the outcome depends on the current state.
 
-    One that was taken and then taken back by another order is not acknowledged
-    any more: whoever counted from that answer on would count wrongly.
+    An order that took effect and was then reverted by another one is no longer
+    acknowledged: a client that measures time from the acknowledgement would
+    start from a state that does not hold.
     """
 
-    def judge(held: Held) -> Outcome:
-        return Outcome.HELD if change(held) == held else Outcome.OVERTAKEN
+    def outcome_of(content: RegisterContent) -> Outcome:
+        return Outcome.APPLIED if change(content) == content else Outcome.SUPERSEDED
 
-    return Order(fence(call.number, call.order, change), judge)
+    return Order(fence(call.number, call.order, change), outcome_of)
--- a/marblefold/register_store/records.py
+++ b/marblefold/register_store/records.py
@@ -1,36 +1,36 @@
-"""Where a store's records last, and which of them a failed write left in doubt."""
+"""Durable storage of a store's records, and tracking of writes with an uncertain result."""
 
 from typing import Protocol
 
 from marblefold.errors import DiskError
 
-__all__ = ["DoubtfulRecords", "Records"]
+__all__ = ["Records", "UncertainRecords"]
 
 
 class Records(Protocol):
-    """Where records last; both methods raise DiskError when the disk fails."""
+    """Durable storage of records by name; both methods raise DiskError when the disk fails."""
 
     def load(self) -> dict[str, bytes]: ...
 
     def write(self, name: str, data: bytes) -> None: ...
 
 
-class DoubtfulRecords:
-    """Records, and the names of those whose last write failed.
+class UncertainRecords:
+    """Writes records, and tracks the names of those whose last write failed.
 
-    After a failed write the disk may hold the record as it was before or as it
-    should have become, and nobody knows which before the machine starts again.
+    After a failed write the disk may hold either the old or the new content;
+    which one is only known after the machine has restarted.
     """
 
     def __init__(self, records: Records) -> None:
-        self.in_doubt: set[str] = set()
+        self.uncertain_names: set[str] = set()
         self._records = records
 
     def write(self, name: str, data: bytes) -> None:
-        """Returns once the record lasts; DiskError leaves it in doubt."""
+        """Returns once the record is durable; a DiskError leaves its content uncertain."""
         try:
             self._records.write(name, data)
         except DiskError:
-            self.in_doubt.add(name)
+            self.uncertain_names.add(name)
             raise
-        self.in_doubt.discard(name)
+        self.uncertain_names.discard(name)
--- a/tests/test_lost_promises.py
+++ b/tests/test_lost_promises.py
@@ -4,9 +4,9 @@
 
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
-from marblefold.register_store.acceptor import Acceptor, Standing
+from marblefold.register_store.acceptor import Acceptor, VotingStatus
 from marblefold.register_store.calls import CallKind, Refusal
-from marblefold.register_store.changes import hold_configuration, keep
+from marblefold.register_store.changes import leave_unchanged, set_configuration
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.reading import is_enough
@@ -85,15 +85,15 @@
         late = make_proposer(five, "late", ["u:1", "x:1", "y:1"], 10)
         gate = asyncio.get_running_loop().create_future()
         late._peers.gates = {(CallKind.PREPARE, "u:1"): gate, (CallKind.PREPARE, "y:1"): gate}
-        task = asyncio.create_task(late.change(SPEC, hold_configuration(1, b"late"), 0.0))
+        task = asyncio.create_task(late.change(SPEC, set_configuration(1, b"late"), 0.0))
         await settle_loop()
         read_anew(five, "x:1", ["w:1", "y:1", "z:1"])
         first = make_proposer(five, "first", ["w:1", "x:1", "z:1"], 0)
-        chosen = await first.change(SPEC, hold_configuration(1, b"first"), 0.0)
+        chosen = await first.change(SPEC, set_configuration(1, b"first"), 0.0)
         gate.set_result(None)
         await asyncio.gather(task, return_exceptions=True)
         reader = make_proposer(five, "reader", ["u:1", "x:1", "y:1"], 50)
-        return chosen, await reader.change(SPEC, keep, 0.0)
+        return chosen, await reader.change(SPEC, leave_unchanged, 0.0)
 
     chosen, read = asyncio.run(play())
     assert read.value == chosen.value, "the register forked"
@@ -108,7 +108,7 @@
         late = make_proposer(five, "late", ["u:1", "x:1", "y:1"], 10)
         gate = asyncio.get_running_loop().create_future()
         late._peers.gates = {(CallKind.ACCEPT, peer): gate for peer in ("u:1", "x:1", "y:1")}
-        task = asyncio.create_task(late.change(SPEC, hold_configuration(1, b"late"), 0.0))
+        task = asyncio.create_task(late.change(SPEC, set_configuration(1, b"late"), 0.0))
         await settle_loop()
         early = make_proposer(five, "early", ["w:1", "z:1"], 0)
         call = kinds.StoreCall(
@@ -124,11 +124,11 @@
         read_anew(five, "x:1", ["w:1", "y:1", "z:1"])
         early = make_proposer(five, "settler", ["w:1", "x:1", "z:1"], 20)
         early._peers.gates = {}
-        settled = await early.change(SPEC, keep, 0.0)
+        settled = await early.change(SPEC, leave_unchanged, 0.0)
         gate.set_result(None)
         await asyncio.gather(task, return_exceptions=True)
         reader = make_proposer(five, "reader", ["u:1", "x:1", "y:1"], 50)
-        return settled, await reader.change(SPEC, keep, 0.0)
+        return settled, await reader.change(SPEC, leave_unchanged, 0.0)
 
     settled, read = asyncio.run(play())
     assert read.value == settled.value, "the register forked"
@@ -141,9 +141,9 @@
         five = begin()
         read_anew(five, "x:1", ["w:1", "y:1", "z:1"])
         read_anew(five, "x:1", ["u:1", "w:1", "y:1"])
-        assert five["x:1"].standing is Standing.VOTING
+        assert five["x:1"].standing is VotingStatus.VOTING
         proposer = make_proposer(five, "p", ["w:1", "x:1", "z:1"], 0)
-        return await proposer.change(SPEC, hold_configuration(1, b"one"), 0.0)
+        return await proposer.change(SPEC, set_configuration(1, b"one"), 0.0)
 
     assert asyncio.run(play()).value == b"one"
 
@@ -159,7 +159,7 @@
         sender_life=five["x:1"].life,
     )
     read_anew(five, "x:1", ["w:1", "y:1", "z:1"])
-    assert five["x:1"].standing is Standing.VOTING
+    assert five["x:1"].standing is VotingStatus.VOTING
     later = five["x:1"].life
     answer = answer_call(five["z:1"], past)
     assert not answer.agreed and answer.reason == Refusal.READER_OF_PAST_LIFE
@@ -191,7 +191,7 @@
     acceptor = Acceptor("w:1", MemoryRecords(), FIVE, True)
     second = acceptor.view.swap("z:1", "n:1", "second")
     acceptor.take_view(second.swap("y:1", "o:1", "third"))
-    assert acceptor.is_member and acceptor.standing is Standing.READING
+    assert acceptor.is_member and acceptor.standing is VotingStatus.READING
 
 
 def test_a_member_votes_only_after_it_has_met_every_majority():
--- a/tests/test_maintenance_duty.py
+++ b/tests/test_maintenance_duty.py
@@ -14,13 +14,13 @@
 from marblefold.maintenance.model import Document, Window, WindowState
 from marblefold.maintenance.planning import LiveSlots, change_state
 from marblefold.register_store.changes import (
-    Held,
-    empty_for_window,
+    RegisterContent,
+    evacuate_for_window,
     fence,
-    hold_evacuation,
-    keep,
+    leave_unchanged,
     release_from_window,
-    replace_at,
+    replace_if_number,
+    set_evacuation,
 )
 
 NIGHT = datetime(2026, 3, 1, 22, 0, tzinfo=UTC)
@@ -36,7 +36,7 @@
         self.grants = []
 
     def find(self, register):
-        return self.held.get(register, Held(0, b""))
+        return self.held.get(register, RegisterContent(0, b""))
 
     def change(self, register, change):
         self.held[register] = change(self.find(register))
@@ -46,9 +46,9 @@
         if not self.is_reachable:
             raise MeshError(kind, "no majority")
         change = {
-            "describe": keep,
-            REGISTER: replace_at(number, value),
-            "window-empty": fence(number, b"", empty_for_window),
+            "describe": leave_unchanged,
+            REGISTER: replace_if_number(number, value),
+            "window-empty": fence(number, b"", evacuate_for_window),
             "window-release": fence(number, b"", release_from_window),
         }[kind]
         held = self.change(register, change)
@@ -104,7 +104,7 @@
     registers = Registers()
     world = World(registers)
     document = Document({"quotes": FLOOR}, {one.name: one for one in windows})
-    registers.held[REGISTER] = Held(1, document.pack())
+    registers.held[REGISTER] = RegisterContent(1, document.pack())
     duties = [MaintenanceDuty(registers, world) for _ in range(2)]
     for duty in duties:
         duty.take(1, document.pack())
@@ -131,7 +131,7 @@
 def test_a_holder_that_died_after_the_grant_is_followed_by_one_that_empties():
     registers, world, duties = make(window("one", "a"))
     granted = change_state(window("one", "a"), WindowState.RUNNING, start=NIGHT)
-    registers.held[REGISTER] = Held(2, Document({}, {"one": granted}).pack())
+    registers.held[REGISTER] = RegisterContent(2, Document({}, {"one": granted}).pack())
     duties[1].take(2, registers.find(REGISTER).value)
     run(duties[1].step())
     assert world.evacuation("a") == b"window"
@@ -143,9 +143,9 @@
     document = held_document(registers)
     withdrawn = document.with_window(change_state(document.windows["one"], WindowState.WITHDRAWN))
     number = registers.find(REGISTER).number
-    registers.held[REGISTER] = Held(number + 1, withdrawn.pack())
+    registers.held[REGISTER] = RegisterContent(number + 1, withdrawn.pack())
     duties[0].take(number + 1, withdrawn.pack())
-    registers.change("evacuation/b", hold_evacuation(b"on"))
+    registers.change("evacuation/b", set_evacuation(b"on"))
     run(duties[0].step())
     assert world.evacuation("a") == b"off" and world.evacuation("b") == b"on"
 
@@ -153,7 +153,7 @@
 def test_an_operator_who_takes_a_zone_back_ends_its_window():
     registers, world, duties = make(window("one", "a"))
     run(duties[0].step())
-    registers.change("evacuation/a", hold_evacuation(b"off"))
+    registers.change("evacuation/a", set_evacuation(b"off"))
     run(duties[0].step())
     run(duties[0].step())
     ended = held_document(registers).windows["one"]
@@ -215,11 +215,11 @@
 
     @rule(zone=st.sampled_from("abc"), value=st.sampled_from([b"on", b"off"]))
     def operator(self, zone, value):
-        self.registers.change("evacuation/" + zone, hold_evacuation(value))
+        self.registers.change("evacuation/" + zone, set_evacuation(value))
 
     @rule(zone=st.sampled_from("abc"))
     def late_act_of_an_older_holder(self, zone):
-        self.registers.change("evacuation/" + zone, empty_for_window)
+        self.registers.change("evacuation/" + zone, evacuate_for_window)
 
     @invariant()
     def no_zone_is_emptied_for_nobody(self):
--- a/tests/test_membership_liveness.py
+++ b/tests/test_membership_liveness.py
@@ -4,9 +4,9 @@
 
 import pytest
 
-from marblefold.register_store.acceptor import Standing
+from marblefold.register_store.acceptor import VotingStatus
 from marblefold.register_store.calls import CallKind
-from marblefold.register_store.changes import hold_configuration, keep
+from marblefold.register_store.changes import leave_unchanged, set_configuration
 from tests.core_troubles import ANSWER_BOUND, VOTE_BOUND
 from tests.simulated_core import Core
 
@@ -52,7 +52,7 @@
         assert await wait_until(
             core, lambda: "o:1" in core.view().members and all_vote(core), VOTE_BOUND
         )
-        holding = await core.machines["m0:1"].change(REGISTER, hold_configuration(1, b"one"))
+        holding = await core.machines["m0:1"].change(REGISTER, set_configuration(1, b"one"))
         assert holding.value == b"one"
 
     core.run(play())
@@ -92,7 +92,7 @@
             or (sender == "n:1" and kind == CallKind.READ)
             or (kind == CallKind.ACCEPT and peer == "m2:1")
         )
-        await core.machines["m0:1"].proposer.change(REGISTER, hold_configuration(1, b"one"), 1.0)
+        await core.machines["m0:1"].proposer.change(REGISTER, set_configuration(1, b"one"), 1.0)
         assert not core.machines["m2:1"].acceptor.holdings[REGISTER].value
         core.is_blocked = lambda sender, peer, kind: (
             kind == CallKind.COMPARE
@@ -106,7 +106,7 @@
         core.machines["m1:1"].wipe()
         core.is_blocked = lambda _sender, _peer, _kind: False
         await leaving
-        holding = await core.machines["m2:1"].change(REGISTER, keep, ANSWER_BOUND)
+        holding = await core.machines["m2:1"].change(REGISTER, leave_unchanged, ANSWER_BOUND)
         assert holding.value == b"one", "an acknowledged record left with a member"
 
     core.run(play())
@@ -156,13 +156,13 @@
         )
         back = core.machines["m2:1"]
         back.start()
-        assert back.acceptor.standing is Standing.VOTING and back.acceptor.view.number == 1
+        assert back.acceptor.standing is VotingStatus.VOTING and back.acceptor.view.number == 1
         # In its own old view it finds no majority; a call of any other tells it.
         assert await wait_until(
-            core, lambda: back.acceptor.standing is Standing.READING, ANSWER_BOUND
+            core, lambda: back.acceptor.standing is VotingStatus.READING, ANSWER_BOUND
         )
         await asyncio.sleep(VOTE_BOUND)
-        assert back.acceptor.standing is Standing.READING
+        assert back.acceptor.standing is VotingStatus.READING
         assert "m2:1" not in core.view().members
 
     core.run(play())
@@ -173,7 +173,7 @@
 
     async def play():
         away = core.machines["m2:1"]
-        await core.machines["m0:1"].change(REGISTER, hold_configuration(1, b"one"))
+        await core.machines["m0:1"].change(REGISTER, set_configuration(1, b"one"))
         await asyncio.sleep(1.0)
         away.stop()
         for gone, newcomer in (("", "n:1"), ("m0:1", "o:1"), ("m1:1", "p:1")):
@@ -187,6 +187,6 @@
         away.start()
         found = await wait_until(core, lambda: away.acceptor.view == core.view(), ANSWER_BOUND)
         assert found, (away.acceptor.view, core.view(), away.tasks)
-        assert away.acceptor.standing is Standing.READING
+        assert away.acceptor.standing is VotingStatus.READING
 
     core.run(play())
