--- a/marblefold/maintenance/duty.py
+++ b/marblefold/maintenance/duty.py
@@ -26,7 +26,7 @@
 class Surroundings(Protocol):
     """What the duty needs to know of the mesh."""
 
-    def is_duty_holder(self) -> bool: ...
+    def is_maintenance_leader(self) -> bool: ...
 
     def live_slots(self) -> LiveSlots: ...
 
@@ -57,7 +57,7 @@
         """One step a second, for ever; without windows it does nothing."""
         while True:
             await asyncio.sleep(_ROUND_SECONDS)
-            if not self.document.windows or not self._surroundings.is_duty_holder():
+            if not self.document.windows or not self._surroundings.is_maintenance_leader():
                 continue
             try:
                 await self.step()
--- a/marblefold/registry/duty_rank.py
+++ b/marblefold/registry/leader_selection.py
@@ -8,10 +8,10 @@
 from marblefold.membership.members import Liveness
 from marblefold.membership.node import NodeMembership
 
-__all__ = ["DutyRank"]
+__all__ = ["LeaderSelection"]
 
 
-class DutyRank:
+class LeaderSelection:
     """Answers whether a duty's key falls to this registry."""
 
     def __init__(
@@ -27,9 +27,9 @@
         self._is_in_touch = is_in_touch
         self._began = time.monotonic()
 
-    def is_holder(self, key: str, settling: timedelta) -> bool:
-        """Whether the key falls to us; nothing does for the settling time after a start."""
-        if time.monotonic() - self._began < settling.total_seconds() or not self._is_in_touch():
+    def is_leader(self, key: str, startup_delay: timedelta) -> bool:
+        """Whether the key falls to us; nothing does for the startup_delay time after a start."""
+        if time.monotonic() - self._began < startup_delay.total_seconds() or not self._is_in_touch():
             return False
         alive = {
             member.address
--- a/marblefold/registry/list_duty.py
+++ b/marblefold/registry/list_duty.py
@@ -37,7 +37,7 @@
         catalogue: Catalogue,
         store_client: RegisterClient,
         own: str,
-        is_holder: Callable[[], bool],
+        is_leader: Callable[[], bool],
         region_of: Callable[[str], str],
         drain_time: timedelta,
     ) -> None:
@@ -45,7 +45,7 @@
         self._catalogue = catalogue
         self._store_client = store_client
         self._own = own
-        self._is_holder = is_holder
+        self._is_leader = is_leader
         self._region_of = region_of
         self._pause = min(_LONGEST_PAUSE, drain_time / _READS_IN_A_DRAIN)
         # The epoch in which we hold the duty; None while we do not.
@@ -58,7 +58,7 @@
         """Makes rounds for ever, slower while the platform does not answer."""
         back_off = 1.0
         while True:
-            if not self._is_holder():
+            if not self._is_leader():
                 self._epoch = None
                 await asyncio.sleep(_LOOK_EVERY.total_seconds())
                 continue
--- a/marblefold/registry/live_capacity.py
+++ b/marblefold/registry/live_capacity.py
@@ -9,13 +9,13 @@
 from marblefold.membership.members import Liveness
 from marblefold.membership.node import NodeMembership
 from marblefold.registry.catalogue import Catalogue
-from marblefold.registry.duty_rank import DutyRank
+from marblefold.registry.leader_selection import LeaderSelection
 
 __all__ = ["LiveCapacity"]
 
-_DUTY_KEY = "maintenance"
+_LEADER_KEY = "maintenance"
 # Right after its start a registry does not know all targets yet.
-_SETTLING = timedelta(seconds=3)
+_STARTUP_DELAY = timedelta(seconds=3)
 
 
 class LiveCapacity:
@@ -25,18 +25,18 @@
         self,
         catalogue: Catalogue,
         membership: NodeMembership,
-        duties: DutyRank,
+        leader_selection: LeaderSelection,
         has_proxies: bool,
     ) -> None:
         self._catalogue = catalogue
         self._membership = membership
-        self._duties = duties
+        self._leader_selection = leader_selection
         # Without proxies beside them, targets live as the platform says.
         self._has_proxies = has_proxies
 
-    def is_duty_holder(self) -> bool:
+    def is_maintenance_leader(self) -> bool:
         """Whether the duty's key falls to this registry among those that live."""
-        return self._duties.is_holder(_DUTY_KEY, _SETTLING)
+        return self._leader_selection.is_leader(_LEADER_KEY, _STARTUP_DELAY)
 
     def live_slots(self) -> LiveSlots:
         """The live slots: cold, draining, leaving, suspected, lost and evacuated ones left out."""
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -30,7 +30,7 @@
 from marblefold.register_store.view import read_view
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.control_calls import ControlCalls
-from marblefold.registry.duty_rank import DutyRank
+from marblefold.registry.leader_selection import LeaderSelection
 from marblefold.registry.feed import FeedKeeper
 from marblefold.registry.live_capacity import LiveCapacity
 from marblefold.registry.order_gate import OrderGate
@@ -48,7 +48,7 @@
 
 __all__ = ["RegistryProgram"]
 
-_LIST_SETTLING = timedelta(milliseconds=300)
+_LIST_STARTUP_DELAY = timedelta(milliseconds=300)
 
 
 class RegistryProgram:
@@ -74,11 +74,11 @@
         self.feed = FeedKeeper(self.catalogue, lambda: self.contact.is_held, self._count_proxies)
         self._connections: dict[PeerConnection, str] = {}
         self._own = inner_address(config.host, config, REGISTRY)
-        self._duties = DutyRank(
+        self._leader_selection = LeaderSelection(
             self._membership, self._own, lambda: self._registries, lambda: self.contact.is_held
         )
         capacity = LiveCapacity(
-            self.catalogue, self._membership, self._duties, config.cloud is None
+            self.catalogue, self._membership, self._leader_selection, config.cloud is None
         )
         self._extra_runs = (
             self._make_list_duty(config, config.cloud) if config.cloud is not None else []
@@ -89,7 +89,7 @@
             self._own,
             self.catalogue,
             self.store_client,
-            lambda: self._duties.is_holder(PARTNERS_REGISTER, _LIST_SETTLING),
+            lambda: self._leader_selection.is_leader(PARTNERS_REGISTER, _LIST_STARTUP_DELAY),
         )
         self._collector = Collector(read_collected_spans())
         calls = OrderGate(self._guard, self.contact)
@@ -158,7 +158,7 @@
             self.catalogue,
             self.store_client,
             self._own,
-            lambda: self._duties.is_holder(DUTY_REGISTER, _LIST_SETTLING),
+            lambda: self._leader_selection.is_leader(DUTY_REGISTER, _LIST_STARTUP_DELAY),
             lambda zone: self._watch.config.zone_regions.get(zone, ""),
             config.bounds.drain_time,
         )
--- a/marblefold/registry/site_news.py
+++ b/marblefold/registry/site_news.py
@@ -28,7 +28,7 @@
 
 
 class SiteNews:
-    """Owns the duties of partners and owners at this registry."""
+    """Owns the leader_selection of partners and owners at this registry."""
 
     def __init__(
         self,
@@ -36,13 +36,13 @@
         own: str,
         catalogue: Catalogue,
         store_client: RegisterClient,
-        is_holder: Callable[[], bool],
+        is_leader: Callable[[], bool],
     ) -> None:
         self._catalogue = catalogue
         self._listed: dict[str, tuple[str, ...]] = {}
         self._owners_number = 0
         self._clashes: dict[str, list[str]] = {}
-        self.partners = PartnerDuty(store_client, is_holder)
+        self.partners = PartnerDuty(store_client, is_leader)
         self.granter = LeaseGranter(self.partners)
         self.agent: SiteAgent | None = None
         self._calls = (
--- a/tests/test_maintenance_duty.py
+++ b/tests/test_maintenance_duty.py
@@ -63,7 +63,7 @@
         self.moment = NIGHT
         self.slots = {"a": 10, "b": 10, "c": 10}
 
-    def is_duty_holder(self):
+    def is_maintenance_leader(self):
         return True
 
     def live_slots(self):
