--- a/marblefold/registry/control_calls.py
+++ b/marblefold/registry/control_calls.py
@@ -12,7 +12,7 @@
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import EvacuationState
 from marblefold.register_store.register_client import RegisterClient
-from marblefold.registry.fenced_orders import set_fenced
+from marblefold.registry.fenced_writes import write_fenced
 
 __all__ = ["ControlCalls"]
 
@@ -86,7 +86,7 @@
         if zone not in self._zones():
             return json_answer(404, {wire_names.REASON: f"zone: no zone {zone!r}"})
         try:
-            number = await set_fenced(
+            number = await write_fenced(
                 self._store_client,
                 "evacuation/" + zone,
                 state,
--- a/marblefold/registry/fenced_orders.py
+++ b/marblefold/registry/fenced_writes.py
@@ -13,12 +13,12 @@
 from marblefold.register_store.changes import EvacuationState
 from marblefold.register_store.register_client import RegisterClient
 
-__all__ = ["set_fenced"]
+__all__ = ["write_fenced"]
 
 _TRIES = 3
 
 
-async def set_fenced(
+async def write_fenced(
     client: RegisterClient,
     register: str,
     state: EvacuationState,
--- a/marblefold/registry/hedging.py
+++ b/marblefold/registry/hedging.py
@@ -11,12 +11,12 @@
 
 from marblefold.errors import MeshError
 
-__all__ = ["ask_hedged"]
+__all__ = ["call_hedged"]
 
 _Answer = TypeVar("_Answer")
 
 
-async def ask_hedged(
+async def call_hedged(
     peers: Iterable[str],
     ask: Callable[[str, float], Awaitable[_Answer]],
     patience: float,
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -15,7 +15,7 @@
 from marblefold.logs import log
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.view import read_view
-from marblefold.registry.hedging import ask_hedged
+from marblefold.registry.hedging import call_hedged
 from marblefold.registry.order_gate import check_order, seconds_left
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.task_keeper import TaskKeeper
@@ -96,7 +96,7 @@
         # Every change is fenced by a number, so that it may be asked of two stores.
         seconds = _CONFIGURATION_SECONDS if is_large else seconds_left(_CALL_SECONDS)
         try:
-            return await ask_hedged(peers, ask_one, _PATIENCE_SECONDS, seconds)
+            return await call_hedged(peers, ask_one, _PATIENCE_SECONDS, seconds)
         finally:
             # The next ask does not begin with those that this one waited for.
             until = self._clock() + _PASS_OVER_SECONDS
--- a/tests/test_order_gate.py
+++ b/tests/test_order_gate.py
@@ -22,8 +22,8 @@
     release_from_window,
 )
 from marblefold.register_store.view import View
-from marblefold.registry.fenced_orders import set_fenced
-from marblefold.registry.hedging import ask_hedged
+from marblefold.registry.fenced_writes import write_fenced
+from marblefold.registry.hedging import call_hedged
 from marblefold.registry.order_gate import ORDER_SECONDS, OrderGate, check_order
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.registry.stall_guard import STALL_SECONDS, StallGuard
@@ -214,7 +214,7 @@
 def test_an_order_takes_effect_once_and_says_so_or_is_unclear(others, ends):
     registers = Registers(3, b"off", others)
     try:
-        asyncio.run(set_fenced(registers, "evacuation/z", EvacuationState.ON, lambda: 3))
+        asyncio.run(write_fenced(registers, "evacuation/z", EvacuationState.ON, lambda: 3))
     except MeshError:
         assert ends is None
     else:
@@ -251,6 +251,6 @@
             return json.dumps(peer)
         raise MeshError("ask", "no", peer)
 
-    assert asyncio.run(ask_hedged("abcd", ask, 60.0, 60.0)) == '"c"' and asked == ["a", "b", "c"]
+    assert asyncio.run(call_hedged("abcd", ask, 60.0, 60.0)) == '"c"' and asked == ["a", "b", "c"]
     with pytest.raises(MeshError, match="with b"):
-        asyncio.run(ask_hedged("ab", ask, 60.0, 60.0))
+        asyncio.run(call_hedged("ab", ask, 60.0, 60.0))
