--- a/marblefold/registry/order_gate.py
+++ b/marblefold/registry/command_router.py
@@ -6,7 +6,7 @@
 
 - what was read after this process stood still is suspect (`StallGuard`);
 - an order names the number of the register that it changes, and must have
-  learned that number within `ORDER_SECONDS` of being read.  Whatever holds it
+  learned that number within `COMMAND_MAX_AGE_SECONDS` of being read.  Whatever holds it
   up after that, the register has a higher number as soon as a later order was
   acknowledged, and the change at the older number changes nothing.
 
@@ -26,11 +26,11 @@
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.registry.stall_guard import StallGuard
 
-__all__ = ["ORDER_SECONDS", "OrderGate", "check_order", "seconds_left"]
+__all__ = ["COMMAND_MAX_AGE_SECONDS", "CommandRouter", "check_command", "remaining_seconds"]
 
 # An order read so long ago has a caller that is about to go on: together with
 # a stall too short to be noticed this stays below the second of its patience.
-ORDER_SECONDS = 0.5
+COMMAND_MAX_AGE_SECONDS = 0.5
 # Answers leave within a second of the reading.
 _ANSWER_SECONDS = 0.9
 _RETRY_SECONDS = 0.2
@@ -52,10 +52,10 @@
 _current: ContextVar[_Order | None] = ContextVar("current order", default=None)
 
 
-def check_order(may_be_old: bool = False) -> None:
+def check_command(is_age_exempt: bool = False) -> None:
     """A MeshError if the order being served must not act any more.
 
-    may_be_old: it is fenced by a number of its own, as a configuration is, and may
+    is_age_exempt: it is fenced by a number of its own, as a configuration is, and may
     take long to check.  What serves no call, like a duty, is not looked at here.
     """
     order = _current.get()
@@ -63,11 +63,11 @@
         return
     if order.is_suspect:
         raise MeshError("order", "read after this process stood still")
-    if not may_be_old and order.clock() - order.read_at > ORDER_SECONDS:
+    if not is_age_exempt and order.clock() - order.read_at > COMMAND_MAX_AGE_SECONDS:
         raise MeshError("order", "too old to act")
 
 
-def seconds_left(most: float) -> float:
+def remaining_seconds(most: float) -> float:
     """For how long the call being served may still be worked on, up to most."""
     order = _current.get()
     if order is None:
@@ -75,7 +75,7 @@
     return min(most, order.read_at + _ANSWER_SECONDS - order.clock())
 
 
-class OrderGate(CallRouter):
+class CommandRouter(CallRouter):
     """A router that serves its calls within the bounds."""
 
     def __init__(
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -33,7 +33,7 @@
 from marblefold.registry.leader_selection import LeaderSelection
 from marblefold.registry.feed import FeedKeeper
 from marblefold.registry.live_capacity import LiveCapacity
-from marblefold.registry.order_gate import OrderGate
+from marblefold.registry.command_router import CommandRouter
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.registry.site_news import PARTNERS_REGISTER, SiteNews
 from marblefold.registry.snapshot_parts import describe_parts
@@ -92,7 +92,7 @@
             lambda: self._leader_selection.is_leader(PARTNERS_REGISTER, _LIST_STARTUP_DELAY),
         )
         self._collector = Collector(read_collected_spans())
-        calls = OrderGate(self._guard, self.contact)
+        calls = CommandRouter(self._guard, self.contact)
         TraceCalls(self._collector, time.time).add_to(calls)
         self._traffic = TrafficBook()
         self._history = HistoryKeeper(config.data_directory if is_history_on() else "")
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -16,7 +16,7 @@
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.view import read_view
 from marblefold.registry.hedging import call_hedged
-from marblefold.registry.order_gate import check_order, seconds_left
+from marblefold.registry.command_router import check_command, remaining_seconds
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.task_keeper import TaskKeeper
 
@@ -75,7 +75,7 @@
         """
         is_large = kind == RegisterCallKind.CONFIGURATION
         if kind != RegisterCallKind.DESCRIBE:
-            check_order(may_be_old=is_large)
+            check_command(is_age_exempt=is_large)
         call = pack_message(
             kinds.RegisterCall(
                 kind=kind, register=register, number=number, value=value, order=os.urandom(12)
@@ -94,7 +94,7 @@
 
         peers = self._in_order()
         # Every change is fenced by a number, so that it may be asked of two stores.
-        seconds = _CONFIGURATION_SECONDS if is_large else seconds_left(_CALL_SECONDS)
+        seconds = _CONFIGURATION_SECONDS if is_large else remaining_seconds(_CALL_SECONDS)
         try:
             return await call_hedged(peers, ask_one, _PATIENCE_SECONDS, seconds)
         finally:
--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -19,7 +19,7 @@
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.control_calls import ControlCalls
 from marblefold.registry.feed import FeedKeeper
-from marblefold.registry.order_gate import OrderGate
+from marblefold.registry.command_router import CommandRouter
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.registry.stall_guard import StallGuard
 from marblefold.registry.store_client import StoreClient
@@ -122,7 +122,7 @@
             lambda: 1,
             soon=lambda _wait, push: self.loop.call_soon(push),
         )
-        self.router = OrderGate(self.guard, self.contact, self.world.clock)
+        self.router = CommandRouter(self.guard, self.contact, self.world.clock)
         ControlCalls(self.client, lambda: {"z"}, dict, self.find_evacuation_number).add_to(
             self.router
         )
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -11,7 +11,7 @@
 from marblefold.register_store.orders import read_order
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
-from marblefold.registry.order_gate import check_order
+from marblefold.registry.command_router import check_command
 from tests.simulated_stores import SEEDS, Network, Store
 
 _TRYING_SECONDS = 5.0
@@ -148,7 +148,7 @@
     async def ask(self, kind, register, number=0, value=b""):
         # As the registries' own client does.
         if kind != RegisterCallKind.DESCRIBE:
-            check_order()
+            check_command()
         call = kinds.RegisterCall(
             kind=kind, register=register, number=number, value=value, order=os.urandom(12)
         )
--- a/tests/test_order_gate.py
+++ b/tests/test_command_router.py
@@ -24,7 +24,7 @@
 from marblefold.register_store.view import View
 from marblefold.registry.fenced_writes import write_fenced
 from marblefold.registry.hedging import call_hedged
-from marblefold.registry.order_gate import ORDER_SECONDS, OrderGate, check_order
+from marblefold.registry.command_router import COMMAND_MAX_AGE_SECONDS, CommandRouter, check_command
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.registry.stall_guard import STALL_SECONDS, StallGuard
 
@@ -88,11 +88,11 @@
     """Real sockets: the order is sent while the loop stands still."""
     clock, ran = Clock(), []
     guard = StallGuard(clock)
-    router = OrderGate(guard, QuorumContact(clock), clock)
+    router = CommandRouter(guard, QuorumContact(clock), clock)
 
     async def execute(call):
         try:
-            check_order()
+            check_command()
         except MeshError as error:
             return json_answer(503, {"reason": str(error)})
         ran.append(call.subject)
@@ -134,16 +134,16 @@
 
 
 @pytest.mark.parametrize("took", [0.4, 0.6])
-@pytest.mark.parametrize("may_be_old", [False, True])
-def test_only_what_has_a_number_of_its_own_may_take_long_to_check(took, may_be_old):
+@pytest.mark.parametrize("is_age_exempt", [False, True])
+def test_only_what_has_a_number_of_its_own_may_take_long_to_check(took, is_age_exempt):
     clock, ended = Clock(), []
-    router = OrderGate(StallGuard(clock), QuorumContact(clock), clock)
+    router = CommandRouter(StallGuard(clock), QuorumContact(clock), clock)
 
     async def execute(_call):
         # Reading a large configuration keeps the processor busy.
         clock.now += took
         try:
-            check_order(may_be_old)
+            check_command(is_age_exempt)
         except MeshError:
             ended.append("refused")
         else:
@@ -152,7 +152,7 @@
 
     router.add("PUT", "/x", execute)
     assert ask(router, "PUT", "/x") == 200
-    is_refused = took > ORDER_SECONDS and not may_be_old
+    is_refused = took > COMMAND_MAX_AGE_SECONDS and not is_age_exempt
     assert ended == ["refused" if is_refused else "executed"]
 
 
@@ -160,7 +160,7 @@
 def test_out_of_contact_nothing_is_refused_for_good(status):
     clock = Clock()
     contact = QuorumContact(clock)
-    router = OrderGate(StallGuard(clock), contact, clock)
+    router = CommandRouter(StallGuard(clock), contact, clock)
 
     async def answer(_call):
         return json_answer(status, {})
--- a/tests/test_orders_take_effect_once.py
+++ b/tests/test_orders_take_effect_once.py
@@ -21,7 +21,7 @@
 from marblefold.register_store.changes import Held, keep
 from marblefold.register_store.orders import read_order
 from marblefold.registry.control_calls import ControlCalls
-from marblefold.registry.order_gate import OrderGate
+from marblefold.registry.command_router import CommandRouter
 from tests.simulated_orders import OrderedStores, StoreClient, held_of
 from tests.simulated_stores import SEEDS
 
@@ -57,7 +57,7 @@
 
     def send(self, addresses):
         client = StoreClient(self.stores, addresses)
-        gate = OrderGate(NEVER_STALLED, IN_CONTACT, lambda: self.now)
+        gate = CommandRouter(NEVER_STALLED, IN_CONTACT, lambda: self.now)
         ControlCalls(client, lambda: {ZONE}, dict).add_to(gate)
         methods, _subject = gate._find(wire_names.EVACUATION_PATH.format(ZONE))
         serve = methods[METHODS[self.wanted]].serve
