--- a/marblefold/registry/command_router.py
+++ b/marblefold/registry/command_router.py
@@ -4,7 +4,7 @@
 this registry comes to late may have been overtaken by a later one that was
 acknowledged elsewhere, and must not act.  Two bounds keep that:
 
-- what was read after this process stood still is suspect (`StallGuard`);
+- what was read after this process stood still is suspect (`StallDetector`);
 - an order names the number of the register that it changes, and must have
   learned that number within `COMMAND_MAX_AGE_SECONDS` of being read.  Whatever holds it
   up after that, the register has a higher number as soon as a later order was
@@ -24,7 +24,7 @@
 from marblefold.http_connections.answer import Answer
 from marblefold.http_connections.call_router import Call, CallRouter, Serve, json_answer
 from marblefold.registry.quorum_contact import QuorumContact
-from marblefold.registry.stall_guard import StallGuard
+from marblefold.registry.stall_detector import StallDetector
 
 __all__ = ["COMMAND_MAX_AGE_SECONDS", "CommandRouter", "check_command", "remaining_seconds"]
 
@@ -45,7 +45,7 @@
     """A call that is being served: when it was read, and whether that is sure."""
 
     read_at: float
-    is_suspect: bool
+    may_be_stale: bool
     clock: Callable[[], float]
 
 
@@ -61,7 +61,7 @@
     order = _current.get()
     if order is None:
         return
-    if order.is_suspect:
+    if order.may_be_stale:
         raise MeshError("order", "read after this process stood still")
     if not is_age_exempt and order.clock() - order.read_at > COMMAND_MAX_AGE_SECONDS:
         raise MeshError("order", "too old to act")
@@ -80,12 +80,12 @@
 
     def __init__(
         self,
-        guard: StallGuard,
+        stall_detector: StallDetector,
         contact: QuorumContact,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         super().__init__()
-        self._guard = guard
+        self._stall_detector = stall_detector
         self._contact = contact
         self._clock = clock
 
@@ -100,7 +100,7 @@
     def _gate(self, serve: Serve) -> Serve:
         async def gated(call: Call) -> Answer:
             # Here the body is whole: what a slow link took is no delay of ours.
-            token = _current.set(_Order(self._clock(), self._guard.is_suspect(), self._clock))
+            token = _current.set(_Order(self._clock(), self._stall_detector.may_be_stale(), self._clock))
             try:
                 return self._soften(await serve(call))
             finally:
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -37,7 +37,7 @@
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.registry.site_news import PARTNERS_REGISTER, SiteNews
 from marblefold.registry.snapshot_parts import describe_parts
-from marblefold.registry.stall_guard import StallGuard
+from marblefold.registry.stall_detector import StallDetector
 from marblefold.registry.state import describe_state
 from marblefold.registry.store_client import ChosenRecord, StoreClient
 from marblefold.registry.traffic_book import TrafficBook
@@ -70,7 +70,7 @@
         self._membership = NodeMembership(watch, "registry", REGISTRY)
         self._registries: set[str] = set()
         self._view_number = 0
-        self._guard = StallGuard()
+        self._stall_detector = StallDetector()
         self.feed = FeedKeeper(self.catalogue, lambda: self.contact.is_held, self._count_proxies)
         self._connections: dict[PeerConnection, str] = {}
         self._own = inner_address(config.host, config, REGISTRY)
@@ -92,7 +92,7 @@
             lambda: self._leader_selection.is_leader(PARTNERS_REGISTER, _LIST_STARTUP_DELAY),
         )
         self._collector = Collector(read_collected_spans())
-        calls = CommandRouter(self._guard, self.contact)
+        calls = CommandRouter(self._stall_detector, self.contact)
         TraceCalls(self._collector, time.time).add_to(calls)
         self._traffic = TrafficBook()
         self._history = HistoryKeeper(config.data_directory if is_history_on() else "")
@@ -125,7 +125,7 @@
             self._watch.run(),
             self.store_client.run(),
             self.feed.run(),
-            self._guard.run(),
+            self._stall_detector.run(),
             self._control.run(),
             self._membership.run(),
             self.maintenance.run(),
--- a/marblefold/registry/stall_guard.py
+++ b/marblefold/registry/stall_detector.py
@@ -11,57 +11,57 @@
 import time
 from collections.abc import Callable
 
-__all__ = ["MARK_EVERY", "STALL_SECONDS", "StallGuard"]
+__all__ = ["CHECK_INTERVAL_SECONDS", "STALL_THRESHOLD_SECONDS", "StallDetector"]
 
-# A mark at least so often; a gap of more than STALL_SECONDS is a stall.
-MARK_EVERY = 0.1
-STALL_SECONDS = 0.35
+# A record_progress at least so often; a gap of more than STALL_THRESHOLD_SECONDS is a stall.
+CHECK_INTERVAL_SECONDS = 0.1
+STALL_THRESHOLD_SECONDS = 0.35
 # To accept a connection, to hand it to its protocol, to add its reader and to
 # read it takes the loop four rounds; twice that, and never less than this time.
 _ROUNDS = 8
 _SUSPECT_SECONDS = 0.1
 
 
-class StallGuard:
+class StallDetector:
     """Knows whether what is read now surely came while this process ran."""
 
     def __init__(
         self,
         clock: Callable[[], float] = time.monotonic,
-        soon: Callable[[Callable[[], None]], object] | None = None,
+        schedule: Callable[[Callable[[], None]], object] | None = None,
     ) -> None:
         self._clock = clock
-        self._soon = soon or _call_soon
-        self._marked_at: float | None = None
+        self._schedule = schedule or _call_soon
+        self._last_progress_at: float | None = None
         self._suspect_until = float("-inf")
         self._rounds_left = 0
 
-    def mark(self) -> None:
-        """The loop lives; a gap since the mark before is a stall."""
+    def record_progress(self) -> None:
+        """The loop lives; a gap since the record_progress before is a stall."""
         now = self._clock()
-        before, self._marked_at = self._marked_at, now
-        if before is not None and now - before > STALL_SECONDS:
+        before, self._last_progress_at = self._last_progress_at, now
+        if before is not None and now - before > STALL_THRESHOLD_SECONDS:
             self._suspect_until = now + _SUSPECT_SECONDS
             is_counting = self._rounds_left > 0
             self._rounds_left = _ROUNDS
             if not is_counting:
-                self._soon(self._count_round)
+                self._schedule(self._count_round)
 
-    def is_suspect(self) -> bool:
+    def may_be_stale(self) -> bool:
         """Whether what is read now may have waited through a stall."""
-        self.mark()
+        self.record_progress()
         return self._rounds_left > 0 or self._clock() < self._suspect_until
 
     async def run(self) -> None:
         """Marks for ever."""
         while True:
-            self.mark()
-            await asyncio.sleep(MARK_EVERY)
+            self.record_progress()
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def _count_round(self) -> None:
         self._rounds_left -= 1
         if self._rounds_left > 0:
-            self._soon(self._count_round)
+            self._schedule(self._count_round)
 
 
 def _call_soon(action: Callable[[], None]) -> None:
--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -21,7 +21,7 @@
 from marblefold.registry.feed import FeedKeeper
 from marblefold.registry.command_router import CommandRouter
 from marblefold.registry.quorum_contact import QuorumContact
-from marblefold.registry.stall_guard import StallGuard
+from marblefold.registry.stall_detector import StallDetector
 from marblefold.registry.store_client import StoreClient
 from tests.simulated_links import Loop, Message, Peers
 from tests.simulated_stores import MemoryRecords
@@ -88,7 +88,7 @@
         self.records = MemoryRecords()
         self.make_store(list(names))
         self.make_registry(list(names))
-        for run in (self.upkeep.run(), self.client.run(), self.guard.run()):
+        for run in (self.upkeep.run(), self.client.run(), self.stall_detector.run()):
             self.loop.create_task(run)
 
     def make_store(self, names):
@@ -114,7 +114,7 @@
             self.name, lambda: names, self.on_record, self.contact, peers, self.world.clock
         )
         peers.owner = self.client
-        self.guard = StallGuard(self.world.clock)
+        self.stall_detector = StallDetector(self.world.clock)
         self.catalogue = Catalogue(1)
         self.feed = FeedKeeper(
             self.catalogue,
@@ -122,7 +122,7 @@
             lambda: 1,
             soon=lambda _wait, push: self.loop.call_soon(push),
         )
-        self.router = CommandRouter(self.guard, self.contact, self.world.clock)
+        self.router = CommandRouter(self.stall_detector, self.contact, self.world.clock)
         ControlCalls(self.client, lambda: {"z"}, dict, self.find_evacuation_number).add_to(
             self.router
         )
--- a/tests/test_command_router.py
+++ b/tests/test_command_router.py
@@ -1,4 +1,4 @@
-"""Late orders: the guard against stalls, the gate, fences by number, hedging."""
+"""Late orders: the stall_detector against stalls, the gate, fences by number, hedging."""
 
 import asyncio
 import json
@@ -26,7 +26,7 @@
 from marblefold.registry.hedging import call_hedged
 from marblefold.registry.command_router import COMMAND_MAX_AGE_SECONDS, CommandRouter, check_command
 from marblefold.registry.quorum_contact import QuorumContact
-from marblefold.registry.stall_guard import STALL_SECONDS, StallGuard
+from marblefold.registry.stall_detector import STALL_THRESHOLD_SECONDS, StallDetector
 
 MEMBERS = ("a", "b", "c", "d", "e")
 VIEW = View(1, "first", MEMBERS)
@@ -52,26 +52,26 @@
         return self.now
 
 
-@pytest.mark.parametrize("gap", [STALL_SECONDS * 0.9, 20.0])
+@pytest.mark.parametrize("gap", [STALL_THRESHOLD_SECONDS * 0.9, 20.0])
 def test_after_a_stall_all_is_suspect_for_a_while(gap):
     clock = Clock()
-    guard = StallGuard(clock, lambda _count: None)
-    guard.mark()
+    stall_detector = StallDetector(clock, lambda _count: None)
+    stall_detector.record_progress()
     clock.now += gap
-    assert guard.is_suspect() == (gap > STALL_SECONDS)
+    assert stall_detector.may_be_stale() == (gap > STALL_THRESHOLD_SECONDS)
 
 
 @pytest.mark.parametrize("is_time_first", [False, True])
 def test_a_stall_is_over_when_the_loop_went_round_and_time_went_by(is_time_first):
     clock, rounds = Clock(), []
-    guard = StallGuard(clock, rounds.append)
-    guard.mark()
+    stall_detector = StallDetector(clock, rounds.append)
+    stall_detector.record_progress()
     clock.now += 20.0
-    assert guard.is_suspect()
+    assert stall_detector.may_be_stale()
 
     def go_round():
         while rounds:
-            assert guard.is_suspect()
+            assert stall_detector.may_be_stale()
             rounds.pop()()
 
     def pass_time():
@@ -79,16 +79,16 @@
 
     first, second = (pass_time, go_round) if is_time_first else (go_round, pass_time)
     first()
-    assert guard.is_suspect()
+    assert stall_detector.may_be_stale()
     second()
-    assert not guard.is_suspect()
+    assert not stall_detector.may_be_stale()
 
 
 def test_an_order_that_lay_in_the_kernel_through_a_freeze_is_answered_503_unexecuted():
     """Real sockets: the order is sent while the loop stands still."""
     clock, ran = Clock(), []
-    guard = StallGuard(clock)
-    router = CommandRouter(guard, QuorumContact(clock), clock)
+    stall_detector = StallDetector(clock)
+    router = CommandRouter(stall_detector, QuorumContact(clock), clock)
 
     async def execute(call):
         try:
@@ -117,7 +117,7 @@
 
     async def begin():
         await server.start(Address("127.0.0.1", port))
-        guard.mark()
+        stall_detector.record_progress()
 
     loop.run_until_complete(begin())
     waiting = [send_order(f"late-{number}") for number in range(5)]
@@ -137,7 +137,7 @@
 @pytest.mark.parametrize("is_age_exempt", [False, True])
 def test_only_what_has_a_number_of_its_own_may_take_long_to_check(took, is_age_exempt):
     clock, ended = Clock(), []
-    router = CommandRouter(StallGuard(clock), QuorumContact(clock), clock)
+    router = CommandRouter(StallDetector(clock), QuorumContact(clock), clock)
 
     async def execute(_call):
         # Reading a large configuration keeps the processor busy.
@@ -160,7 +160,7 @@
 def test_out_of_contact_nothing_is_refused_for_good(status):
     clock = Clock()
     contact = QuorumContact(clock)
-    router = CommandRouter(StallGuard(clock), contact, clock)
+    router = CommandRouter(StallDetector(clock), contact, clock)
 
     async def answer(_call):
         return json_answer(status, {})
--- a/tests/test_orders_take_effect_once.py
+++ b/tests/test_orders_take_effect_once.py
@@ -28,7 +28,7 @@
 ZONE = "hall-a"
 REGISTER = "evacuation/" + ZONE
 METHODS = {b"on": "PUT", b"off": "DELETE"}
-NEVER_STALLED = SimpleNamespace(is_suspect=lambda: False)
+NEVER_STALLED = SimpleNamespace(may_be_stale=lambda: False)
 IN_CONTACT = SimpleNamespace(is_held=True)
 
 
