--- a/marblefold/registry/feed.py
+++ b/marblefold/registry/feed.py
@@ -11,7 +11,7 @@
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.registry.catalogue import Catalogue
 
-__all__ = ["FeedKeeper"]
+__all__ = ["FeedPublisher"]
 
 _LARGEST_VALUE = 1024
 _SIGN_OF_LIFE = timedelta(seconds=1)
@@ -24,50 +24,50 @@
 _COMPRESSED_ENTRIES = 8
 
 
-class FeedKeeper:
-    """The followers of this registry and how far each has come."""
+class FeedPublisher:
+    """The follower_count of this registry and how far each has come."""
 
     def __init__(
         self,
         catalogue: Catalogue,
         is_in_touch: Callable[[], bool],
         count_proxies: Callable[[], int],
-        soon: Callable[[float, Callable[[], None]], object] | None = None,
+        schedule: Callable[[float, Callable[[], None]], object] | None = None,
     ) -> None:
         self._catalogue = catalogue
         self._is_in_touch = is_in_touch
         self._count_proxies = count_proxies
-        self._soon = soon or _call_later
-        self._pushed_at = 0.0
-        self._places: dict[PeerConnection, int] = {}
+        self._schedule = schedule or _call_later
+        self._last_push_at = 0.0
+        self._revisions: dict[PeerConnection, int] = {}
         self._is_pending = False
         catalogue.listen(self._on_change)
 
     def follow(self, connection: PeerConnection, follow: kinds.Follow) -> None:
         """Somebody follows from a place on."""
         changes = self._catalogue.changes_since(follow.registry_life, follow.place)
-        self._places[connection] = self._catalogue.place
+        self._revisions[connection] = self._catalogue.place
         connection.send(FrameKind.TELL, 0, self._pack(changes))
 
     @property
-    def followers(self) -> int:
+    def follower_count(self) -> int:
         """How many follow this registry."""
-        return len(self._places)
+        return len(self._revisions)
 
-    def forget(self, connection: PeerConnection) -> None:
+    def remove_follower(self, connection: PeerConnection) -> None:
         """A follower is gone."""
-        self._places.pop(connection, None)
+        self._revisions.pop(connection, None)
 
     async def run(self) -> None:
         """Says regularly that this registry lives and what it reaches."""
         while True:
             await asyncio.sleep(_SIGN_OF_LIFE.total_seconds())
-            self.announce()
+            self.send_keepalive()
 
-    def announce(self) -> None:
+    def send_keepalive(self) -> None:
         """Says that this registry lives, and whether it is in contact."""
         payload = self._pack([])
-        for connection, place in list(self._places.items()):
+        for connection, place in list(self._revisions.items()):
             # Followers that are behind receive it with the push that is due.
             if place == self._catalogue.place:
                 connection.send(FrameKind.TELL, 0, payload)
@@ -76,17 +76,17 @@
         # Changes that come close together travel together.
         if not self._is_pending:
             self._is_pending = True
-            spacing = min(_LONGEST_SPACING, _SPACING_EACH * len(self._places))
-            wait = self._pushed_at + spacing.total_seconds() - time.monotonic()
-            self._soon(max(0.0, wait), self._push)
+            spacing = min(_LONGEST_SPACING, _SPACING_EACH * len(self._revisions))
+            wait = self._last_push_at + spacing.total_seconds() - time.monotonic()
+            self._schedule(max(0.0, wait), self._push)
 
     def _push(self) -> None:
         self._is_pending = False
-        self._pushed_at = time.monotonic()
+        self._last_push_at = time.monotonic()
         catalogue = self._catalogue
-        # Most followers stand at one place: what they are sent is built once.
+        # Most follower_count stand at one place: what they are sent is built once.
         payloads: dict[int, bytes] = {}
-        for connection, place in list(self._places.items()):
+        for connection, place in list(self._revisions.items()):
             if place == catalogue.place:
                 continue
             payload = payloads.get(place)
@@ -94,10 +94,10 @@
                 payload = payloads[place] = self._pack(
                     catalogue.changes_since(catalogue.life, place)
                 )
-            self._places[connection] = catalogue.place
+            self._revisions[connection] = catalogue.place
             connection.send(FrameKind.TELL, 0, payload)
 
-    def give(self, connection: PeerConnection, want: kinds.Want) -> None:
+    def send_entry(self, connection: PeerConnection, want: kinds.Want) -> None:
         """Somebody wants an entry whole."""
         entry = self._catalogue.find(want.kind, want.key)
         if entry is not None:
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -31,7 +31,7 @@
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.control_calls import ControlCalls
 from marblefold.registry.leader_selection import LeaderSelection
-from marblefold.registry.feed import FeedKeeper
+from marblefold.registry.feed import FeedPublisher
 from marblefold.registry.live_capacity import LiveCapacity
 from marblefold.registry.command_router import CommandRouter
 from marblefold.registry.quorum_contact import QuorumContact
@@ -71,7 +71,7 @@
         self._registries: set[str] = set()
         self._view_number = 0
         self._stall_detector = StallDetector()
-        self.feed = FeedKeeper(self.catalogue, lambda: self.contact.is_held, self._count_proxies)
+        self.feed = FeedPublisher(self.catalogue, lambda: self.contact.is_held, self._count_proxies)
         self._connections: dict[PeerConnection, str] = {}
         self._own = inner_address(config.host, config, REGISTRY)
         self._leader_selection = LeaderSelection(
@@ -176,13 +176,13 @@
         elif isinstance(message, kinds.SpanBatch):
             self._collector.take(message)
         elif isinstance(message, kinds.Want):
-            self.feed.give(connection, message)
+            self.feed.send_entry(connection, message)
         elif isinstance(message, kinds.RenewLease):
             connection.send(FrameKind.TELL, 0, pack_message(self._sites.granter.grant(message)))
 
     def on_lost(self, connection: PeerConnection) -> None:
         """A proxy's connection is gone; what it sent holds until others know more."""
-        self.feed.forget(connection)
+        self.feed.remove_follower(connection)
         self._connections.pop(connection, None)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
@@ -277,7 +277,7 @@
         """Announces it to followers at once, not with the next sign of life."""
         stores = len(self.store_client.stores)
         log.info("in contact" if is_held else "out of contact", stores=stores)
-        self.feed.announce()
+        self.feed.send_keepalive()
 
     def _evacuation_number(self, zone: str) -> int | None:
         entry = self.catalogue.find("evacuation", zone)
@@ -288,7 +288,7 @@
             return len(self.catalogue.entries("target"))
         # Each gateway follows a few registries; the others follow us too.
         registries = max(1, len(self._registries))
-        gateways = max(0, self.feed.followers - (registries - 1))
+        gateways = max(0, self.feed.follower_count - (registries - 1))
         return max(1, math.ceil(gateways * registries / min(registries, GATEWAY_FOLLOWS)))
 
     def _seed_stores(self) -> list[str]:
--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -18,7 +18,7 @@
 from marblefold.register_store.upkeep import Upkeep
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.control_calls import ControlCalls
-from marblefold.registry.feed import FeedKeeper
+from marblefold.registry.feed import FeedPublisher
 from marblefold.registry.command_router import CommandRouter
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.registry.stall_detector import StallDetector
@@ -116,11 +116,11 @@
         peers.owner = self.client
         self.stall_detector = StallDetector(self.world.clock)
         self.catalogue = Catalogue(1)
-        self.feed = FeedKeeper(
+        self.feed = FeedPublisher(
             self.catalogue,
             lambda: self.contact.is_held,
             lambda: 1,
-            soon=lambda _wait, push: self.loop.call_soon(push),
+            schedule=lambda _wait, push: self.loop.call_soon(push),
         )
         self.router = CommandRouter(self.stall_detector, self.contact, self.world.clock)
         ControlCalls(self.client, lambda: {"z"}, dict, self.find_evacuation_number).add_to(
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -7,7 +7,7 @@
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.proxy.wants import Wants
 from marblefold.registry.catalogue import Catalogue
-from marblefold.registry.feed import FeedKeeper
+from marblefold.registry.feed import FeedPublisher
 from marblefold.request_path.mesh_view import MeshView
 
 
@@ -54,34 +54,34 @@
 
     def start(life):
         catalogue = Catalogue(life)
-        keeper = FeedKeeper(catalogue, lambda: True, lambda: 3, soon=lambda _wait, _push: None)
-        keeper.follow(wire, kinds.Follow())
-        return catalogue, keeper
+        publisher = FeedPublisher(catalogue, lambda: True, lambda: 3, schedule=lambda _wait, _push: None)
+        publisher.follow(wire, kinds.Follow())
+        return catalogue, publisher
 
-    catalogue, keeper = start(life)
+    catalogue, publisher = start(life)
     for what, zone, number, is_on in events:
         if what == "lose":
             wire.loses = is_on
         elif what == "restart":
             # A new life knows nothing but what it is told again.
             life += 1
-            catalogue, keeper = start(life)
+            catalogue, publisher = start(life)
             for entry in newest.values():
                 catalogue.put(entry)
-            keeper._push()
+            publisher._push()
         else:
             entry = make_entry(zone, number, b"on" if is_on else b"off")
             if number > (newest[zone].number if zone in newest else 0):
                 newest[zone] = entry
             catalogue.put(entry)
-            keeper._push()
+            publisher._push()
         while wire.asked:
-            keeper.follow(wire, wire.asked.pop())
+            publisher.follow(wire, wire.asked.pop())
     wire.loses = False
     catalogue.put(kinds.Entry(kind="evacuation", key="last", number=1, value=b"on"))
-    keeper._push()
+    publisher._push()
     while wire.asked:
-        keeper.follow(wire, wire.asked.pop())
+        publisher.follow(wire, wire.asked.pop())
     assert view.evacuated == {zone for zone, entry in newest.items() if entry.value == b"on"} | {
         "last"
     }
@@ -131,18 +131,18 @@
 
 def test_many_followers_are_sent_one_payload_and_pushes_are_spaced_by_their_number():
     catalogue, waits, pushes, counted = Catalogue(7), [], [], []
-    keeper = FeedKeeper(
+    publisher = FeedPublisher(
         catalogue,
         lambda: True,
         lambda: counted.append(1) or 3,
-        soon=lambda wait, push: (waits.append(wait), pushes.append(push)),
+        schedule=lambda wait, push: (waits.append(wait), pushes.append(push)),
     )
     wires = []
     for _ in range(200):
         wire = type("Wire", (), {})()
         wire.sent = []
         wire.send = lambda _kind, _number, payload, wire=wire: wire.sent.append(payload)
-        keeper.follow(wire, kinds.Follow())
+        publisher.follow(wire, kinds.Follow())
         wires.append(wire)
     counted.clear()
     for number in range(1, 51):
