--- a/marblefold/registry/quorum_contact.py
+++ b/marblefold/registry/quorum_contact.py
@@ -52,7 +52,7 @@
         """Whether a majority answered heartbeats that left within CONTACT_SECONDS."""
         return self._clock() - self._asked_at < CONTACT_SECONDS
 
-    def take_vote(self, store: str, view: View, asked_at: float) -> None:
+    def record_vote(self, store: str, view: View, asked_at: float) -> None:
         """A store answered a heartbeat: it is a voting member of the view."""
         self._answered[store] = max(asked_at, self._answered.get(store, _NEVER))
         held = self._votes.get(store)
@@ -63,9 +63,9 @@
             self._view = view
         # What a majority once said holds for its time, also while the view changes.
         self._asked_at = max(self._asked_at, self._find_quorum_time())
-        self.tell_change()
+        self.notify_change()
 
-    def take_refusal(self, store: str, asked_at: float) -> None:
+    def record_refusal(self, store: str, asked_at: float) -> None:
         """A store answered a heartbeat, but has no vote now."""
         self._answered[store] = max(asked_at, self._answered.get(store, _NEVER))
         held = self._votes.get(store)
@@ -76,7 +76,7 @@
         """Whether the store has left heartbeats of the last CONTACT_SECONDS unanswered."""
         return self._clock() - self._answered.get(store, _NEVER) >= CONTACT_SECONDS
 
-    def tell_change(self) -> None:
+    def notify_change(self) -> None:
         """Reports a contact that was gained or has run out, once."""
         if self.is_held != self._was_held:
             self._was_held = not self._was_held
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -111,7 +111,7 @@
                         self._attended.add(peer)
                         self._tasks.start(self._attend(peer))
                 # Contact that ran out is reported, though no answer comes.
-                self._contact.tell_change()
+                self._contact.notify_change()
                 await asyncio.sleep(self._pause(_LOOK_EVERY))
         finally:
             self._tasks.cancel()
@@ -142,9 +142,9 @@
             # A store that hangs is still watched: its updates come when it goes on.
             return
         if answer.outcome == Outcome.HELD:
-            self._contact.take_vote(peer, read_view(answer.value), asked_at)
+            self._contact.record_vote(peer, read_view(answer.value), asked_at)
         else:
-            self._contact.take_refusal(peer, asked_at)
+            self._contact.record_refusal(peer, asked_at)
 
     def _pause(self, calm: float) -> float:
         return calm if self._contact.is_held else _HURRIED
--- a/tests/test_command_router.py
+++ b/tests/test_command_router.py
@@ -171,7 +171,7 @@
     assert ask(router, "PUT", "/x") == (status if status in (200, 503) else 503)
     assert ask(router, "GET", wire_names.OWNERS_PATH) == 503
     for store in MEMBERS:
-        contact.take_vote(store, VIEW, clock.now)
+        contact.record_vote(store, VIEW, clock.now)
     assert ask(router, "PUT", "/x") == ask(router, "GET", wire_names.OWNERS_PATH) == status
 
 
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -49,10 +49,10 @@
         elif asked:
             store, sent = asked.pop(which % len(asked))
             if what == "answer":
-                contact.take_vote(store, VIEW, sent)
+                contact.record_vote(store, VIEW, sent)
                 votes[store] = max(sent, votes.get(store, sent))
             elif what == "refuse":
-                contact.take_refusal(store, sent)
+                contact.record_refusal(store, sent)
                 if votes.get(store, sent) < sent:
                     del votes[store]
         sent_times = sorted(sent for store, sent in votes.items() if store in MEMBERS)
@@ -68,20 +68,20 @@
     sent = clock.now
     clock.now += 20.0
     for store in MEMBERS:
-        contact.take_vote(store, VIEW, sent)
+        contact.record_vote(store, VIEW, sent)
     assert not contact.is_held
 
 
 def test_votes_in_two_views_make_no_majority_together():
     contact, following = QuorumContact(Clock()), View(2, "x", ("a", "b", "f"))
-    contact.take_vote("c", VIEW, 100.0)
-    contact.take_vote("d", VIEW, 100.0)
-    contact.take_vote("a", following, 100.0)
+    contact.record_vote("c", VIEW, 100.0)
+    contact.record_vote("d", VIEW, 100.0)
+    contact.record_vote("a", following, 100.0)
     assert not contact.is_held
     # A member of the older view alone does not bring it back.
-    contact.take_vote("e", VIEW, 100.0)
+    contact.record_vote("e", VIEW, 100.0)
     assert not contact.is_held
-    contact.take_vote("f", following, 100.0)
+    contact.record_vote("f", following, 100.0)
     assert contact.is_held
 
 
@@ -89,10 +89,10 @@
     clock = Clock()
     contact = QuorumContact(clock)
     for store in MEMBERS:
-        contact.take_vote(store, VIEW, clock.now)
+        contact.record_vote(store, VIEW, clock.now)
     clock.now += 1.0
-    contact.take_vote("a", View(2, "x", MEMBERS), clock.now)
-    contact.take_refusal("b", clock.now)
+    contact.record_vote("a", View(2, "x", MEMBERS), clock.now)
+    contact.record_refusal("b", clock.now)
     assert contact.is_held
     clock.now += CONTACT_SECONDS - 1.0
     assert not contact.is_held
@@ -102,10 +102,10 @@
     clock, told = Clock(), []
     contact = QuorumContact(clock, told.append)
     for store in MEMBERS:
-        contact.take_vote(store, VIEW, clock.now)
+        contact.record_vote(store, VIEW, clock.now)
     clock.now += CONTACT_SECONDS
-    contact.tell_change()
-    contact.tell_change()
+    contact.notify_change()
+    contact.notify_change()
     assert told == [True, False]
 
 
