--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -35,7 +35,7 @@
 from marblefold.registry.live_capacity import LiveCapacity
 from marblefold.registry.command_router import CommandRouter
 from marblefold.registry.quorum_contact import QuorumContact
-from marblefold.registry.site_news import PARTNERS_REGISTER, SiteNews
+from marblefold.registry.site_coordination import PARTNERS_REGISTER, SiteCoordinator
 from marblefold.registry.snapshot_parts import describe_parts
 from marblefold.registry.stall_detector import StallDetector
 from marblefold.registry.state import describe_state
@@ -84,7 +84,7 @@
             self._make_list_duty(config, config.cloud) if config.cloud is not None else []
         )
         self.maintenance = MaintenanceDuty(self.store_client, capacity)
-        self._sites = SiteNews(
+        self._sites = SiteCoordinator(
             config,
             self._own,
             self.catalogue,
@@ -131,7 +131,7 @@
             self.maintenance.run(),
             *self._extra_runs,
             self._history.run(),
-            *self._sites.runs(),
+            *self._sites.background_tasks(),
         ):
             tasks.start(run)
         await self._stop.wait()
@@ -203,7 +203,7 @@
                 value=notice.SerializeToString(),
             )
         )
-        self._sites.note_claims()
+        self._sites.report_claim_conflicts()
 
     def _on_record(self, record: ChosenRecord) -> None:
         """A record holds: brings it to all followers."""
@@ -231,7 +231,7 @@
         elif record.register == "view":
             self._take_view(record)
         else:
-            self._sites.take_record(record.register, record.number, record.value)
+            self._sites.apply_record(record.register, record.number, record.value)
 
     def _take_view(self, record: ChosenRecord) -> None:
         if record.number < self._view_number:
--- a/marblefold/registry/site_news.py
+++ b/marblefold/registry/site_coordination.py
@@ -1,6 +1,6 @@
 """What this registry does about partners and owners, put together.
 
-Without partners and without owners in the stores nothing of it runs.
+Without partners and without owners in the stores nothing of it tasks.
 """
 
 import os
@@ -24,10 +24,10 @@
 from marblefold.register_store.register_files import RegisterFiles
 from marblefold.registry.catalogue import Catalogue
 
-__all__ = ["PARTNERS_REGISTER", "SiteNews"]
+__all__ = ["PARTNERS_REGISTER", "SiteCoordinator"]
 
 
-class SiteNews:
+class SiteCoordinator:
     """Owns the leader_selection of partners and owners at this registry."""
 
     def __init__(
@@ -68,14 +68,14 @@
         for calls in self._calls:
             calls.add_to(router)
 
-    def runs(self) -> list[Coroutine[Any, Any, None]]:
+    def background_tasks(self) -> list[Coroutine[Any, Any, None]]:
         """The coroutines that run as long as the registry does."""
-        runs = [self.partners.run()]
+        tasks = [self.partners.run()]
         if self.agent is not None:
-            runs.append(self.agent.run())
-        return runs
+            tasks.append(self.agent.run())
+        return tasks
 
-    def take_record(self, register: str, number: int, value: bytes) -> None:
+    def apply_record(self, register: str, number: int, value: bytes) -> None:
         """Takes in a record that a majority holds; those of sites go into the feed."""
         if register == PARTNERS_REGISTER:
             self.partners.take(number, value)
@@ -89,11 +89,11 @@
             )
         elif register == OWNERS_REGISTER and number > self._owners_number:
             self._owners_number = number
-            self._take_owners_record(value)
+            self._apply_owners_record(value)
         elif register.startswith(OWNER_PREFIX):
-            self._take_owner(register[len(OWNER_PREFIX) :], number, value)
+            self._apply_owner(register[len(OWNER_PREFIX) :], number, value)
 
-    def note_claims(self) -> None:
+    def report_claim_conflicts(self) -> None:
         """Targets changed: says once where the claims of sites clash."""
         if not self._listed:
             return
@@ -103,7 +103,7 @@
             self._clashes = clashes
             log.warning("sites clash" if clashes else "no clash of sites", clashes=clashes)
 
-    def _take_owners_record(self, value: bytes) -> None:
+    def _apply_owners_record(self, value: bytes) -> None:
         before, self._listed = self._listed, read_owners(value)
         if self.agent is not None:
             self.agent.take_record(value)
@@ -121,9 +121,9 @@
                     removed=True,
                 )
             )
-        self.note_claims()
+        self.report_claim_conflicts()
 
-    def _take_owner(self, upstream: str, number: int, value: bytes) -> None:
+    def _apply_owner(self, upstream: str, number: int, value: bytes) -> None:
         owner = Owner.read(value)
         held = self._catalogue.find("owner", upstream)
         # Renewals change nothing for those that only route by the epoch.
@@ -132,7 +132,7 @@
         self._catalogue.put(
             kinds.Entry(kind="owner", key=upstream, life=owner.epoch, number=number, value=value)
         )
-        self.note_claims()
+        self.report_claim_conflicts()
 
     def _find_claimed(self) -> Claimed:
         claimants: dict[str, set[tuple[str, str]]] = {}
