--- a/marblefold/registry/peer_news.py
+++ b/marblefold/registry/peer_updates.py
@@ -5,27 +5,27 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.registry.catalogue import Catalogue
 
-__all__ = ["PeerNews"]
+__all__ = ["PeerUpdates"]
 
 
-class PeerNews:
-    """Follows the feeds of the others, for entries of a few kinds only."""
+class PeerUpdates:
+    """Follows the feeds of the peers, for entries of a few kinds only."""
 
     def __init__(
         self,
         catalogue: Catalogue,
-        kinds_taken: set[str],
-        others: Callable[[], set[str]],
+        accepted_kinds: set[str],
+        peers: Callable[[], set[str]],
     ) -> None:
         self.proxies = 0
         self._catalogue = catalogue
-        self._kinds = kinds_taken
-        self._others = others
+        self._accepted_kinds = accepted_kinds
+        self._peers = peers
 
     @property
     def registries(self) -> set[str]:
         """Whom to follow."""
-        return self._others()
+        return self._peers()
 
     def is_news(self, entry: kinds.Entry) -> bool:
         """Whether a deferred entry is worth asking for; ours never are large."""
@@ -33,4 +33,4 @@
 
     def take(self, entry: kinds.Entry) -> bool:
         """Takes in an entry of another registry, if it is newer than ours."""
-        return entry.kind in self._kinds and self._catalogue.put(entry)
+        return entry.kind in self._accepted_kinds and self._catalogue.put(entry)
--- a/marblefold/registry/platform_list.py
+++ b/marblefold/registry/platform_list.py
@@ -34,7 +34,7 @@
     zone: str
     slots: int
     state: str
-    cold: timedelta
+    cold_remaining: timedelta
 
 
 class PlatformList:
--- a/marblefold/registry/list_duty.py
+++ b/marblefold/registry/platform_list_sync.py
@@ -18,9 +18,9 @@
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.platform_list import ListedTarget, PlatformList
 
-__all__ = ["DUTY_REGISTER", "ListDuty"]
+__all__ = ["LEADER_REGISTER", "PlatformListSync"]
 
-DUTY_REGISTER = "duty/instances"
+LEADER_REGISTER = "duty/instances"
 _LOOK_EVERY = timedelta(milliseconds=250)
 # The list is read several times within the time that a drain may take.
 _READS_IN_A_DRAIN = 3
@@ -28,7 +28,7 @@
 _MOST_BACK_OFF = 4.0
 
 
-class ListDuty:
+class PlatformListSync:
     """Reads the list while the duty is ours."""
 
     def __init__(
@@ -63,7 +63,7 @@
                 await asyncio.sleep(_LOOK_EVERY.total_seconds())
                 continue
             try:
-                await self.step()
+                await self.sync_once()
                 back_off = 1.0
             except MeshError as error:
                 # What is held serves on; many must not ask all at once.
@@ -71,16 +71,16 @@
                 log.warning("no list", step=error.step, peer=error.peer, reason=error.reason)
             await asyncio.sleep(self._pause.total_seconds() * back_off * random.uniform(0.85, 1.0))
 
-    async def step(self) -> None:
+    async def sync_once(self) -> None:
         """One round: the duty's epoch, the whole list, then what changed in it."""
         if self._epoch is None:
-            await self._take_up()
+            await self._acquire_leadership()
         self._publish(await self._listing.read())
 
-    async def _take_up(self) -> None:
-        held = await self._store_client.ask("describe", DUTY_REGISTER)
+    async def _acquire_leadership(self) -> None:
+        held = await self._store_client.ask("describe", LEADER_REGISTER)
         own = self._own.encode()
-        taken = await self._store_client.ask("duty", DUTY_REGISTER, held.number, own)
+        taken = await self._store_client.ask("duty", LEADER_REGISTER, held.number, own)
         # Another was faster: its epoch is not ours.
         if taken.value != own or taken.number != held.number + 1:
             raise MeshError("duty", "taken by another", taken.value.decode())
@@ -92,7 +92,7 @@
         for instance, target in listed.items():
             held = self._published.get(instance)
             # How long it stays cold runs down by itself and is no change.
-            if held is None or _mark(held) != _mark(target):
+            if held is None or _without_cold_time(held) != _without_cold_time(target):
                 self._put(instance, target)
         self._published = listed | {
             instance: target
@@ -119,7 +119,7 @@
                 upstream=target.upstream,
                 slots=target.slots,
                 state=target.state,
-                cold_left_ms=int(target.cold / timedelta(milliseconds=1)),
+                cold_left_ms=int(target.cold_remaining / timedelta(milliseconds=1)),
             ).SerializeToString()
         else:
             self._published.pop(instance, None)
@@ -135,6 +135,6 @@
         )
 
 
-def _mark(target: ListedTarget) -> tuple[ListedTarget, bool]:
-    is_cold = target.cold > timedelta(0) and target.state == wire_names.READY
-    return target._replace(cold=timedelta(0)), is_cold
+def _without_cold_time(target: ListedTarget) -> tuple[ListedTarget, bool]:
+    is_cold = target.cold_remaining > timedelta(0) and target.state == wire_names.READY
+    return target._replace(cold_remaining=timedelta(0)), is_cold
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -81,7 +81,7 @@
             self.catalogue, self._membership, self._leader_selection, config.cloud is None
         )
         self._extra_runs = (
-            self._make_list_duty(config, config.cloud) if config.cloud is not None else []
+            self._make_list_sync(config, config.cloud) if config.cloud is not None else []
         )
         self.maintenance = MaintenanceDuty(self.store_client, capacity)
         self._sites = SiteCoordinator(
@@ -143,22 +143,22 @@
             await asyncio.sleep(0.02)
         tasks.cancel()
 
-    def _make_list_duty(self, config: NodeConfig, cloud: Cloud) -> list[Coroutine[Any, Any, None]]:
+    def _make_list_sync(self, config: NodeConfig, cloud: Cloud) -> list[Coroutine[Any, Any, None]]:
         """Where the platform keeps the list, one registry reads it for all."""
         # Nothing else needs these, so other deployments do not import them.
         from marblefold.proxy.registry_follower import RegistryFollower
-        from marblefold.registry.list_duty import DUTY_REGISTER, ListDuty
-        from marblefold.registry.peer_news import PeerNews
+        from marblefold.registry.platform_list_sync import LEADER_REGISTER, PlatformListSync
+        from marblefold.registry.peer_updates import PeerUpdates
         from marblefold.registry.platform_list import PlatformList
 
-        news = PeerNews(self.catalogue, {"target"}, lambda: self._registries - {self._own})
+        news = PeerUpdates(self.catalogue, {"target"}, lambda: self._registries - {self._own})
         follower = RegistryFollower(config.node_name, list, news)
-        duty = ListDuty(
+        duty = PlatformListSync(
             PlatformList(cloud.address, cloud.rate_per_second),
             self.catalogue,
             self.store_client,
             self._own,
-            lambda: self._leader_selection.is_leader(DUTY_REGISTER, _LIST_STARTUP_DELAY),
+            lambda: self._leader_selection.is_leader(LEADER_REGISTER, _LIST_STARTUP_DELAY),
             lambda zone: self._watch.config.zone_regions.get(zone, ""),
             config.bounds.drain_time,
         )
