--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -40,7 +40,7 @@
 from marblefold.registry.stall_detector import StallDetector
 from marblefold.registry.state import describe_state
 from marblefold.registry.store_client import ChosenRecord, StoreClient
-from marblefold.registry.traffic_book import TrafficBook
+from marblefold.registry.traffic_rates import TrafficRates
 from marblefold.rehearsal.calls import RehearsalCalls
 from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.calls import TraceCalls
@@ -94,7 +94,7 @@
         self._collector = Collector(read_collected_spans())
         calls = CommandRouter(self._stall_detector, self.contact)
         TraceCalls(self._collector, time.time).add_to(calls)
-        self._traffic = TrafficBook()
+        self._traffic = TrafficRates()
         self._history = HistoryKeeper(config.data_directory if is_history_on() else "")
         self._history.add_to(calls)
         RehearsalCalls(self.store_client, self._describe_parts).add_to(calls)
@@ -172,7 +172,7 @@
         elif isinstance(message, kinds.TargetNotice):
             self._take_notice(connection, message)
         elif isinstance(message, kinds.TrafficNotice):
-            self._traffic.take(message, time.monotonic())
+            self._traffic.record(message, time.monotonic())
         elif isinstance(message, kinds.SpanBatch):
             self._collector.take(message)
         elif isinstance(message, kinds.Want):
--- a/marblefold/registry/snapshot_parts.py
+++ b/marblefold/registry/snapshot_parts.py
@@ -6,7 +6,7 @@
 from marblefold.membership.members import Member
 from marblefold.node_config.model import NodeConfig
 from marblefold.registry.catalogue import Catalogue
-from marblefold.registry.traffic_book import TrafficBook
+from marblefold.registry.traffic_rates import TrafficRates
 from marblefold.wire_names import UPSTREAM, ZONE
 
 __all__ = ["describe_flows", "describe_parts"]
@@ -14,7 +14,7 @@
 
 def describe_parts(
     state: dict[str, Any],
-    traffic: TrafficBook,
+    traffic: TrafficRates,
     config: NodeConfig,
     catalogue: Catalogue,
     own: str,
@@ -54,7 +54,7 @@
     }
 
 
-def describe_flows(traffic: TrafficBook, now: float) -> list[dict[str, Any]]:
+def describe_flows(traffic: TrafficRates, now: float) -> list[dict[str, Any]]:
     """The rows of traffic, as a snapshot has them."""
     return [
         {
--- a/marblefold/registry/traffic_book.py
+++ b/marblefold/registry/traffic_rates.py
@@ -4,7 +4,7 @@
 
 from marblefold.inner_protocol.messages import kinds
 
-__all__ = ["Flow", "TrafficBook"]
+__all__ = ["Flow", "TrafficRates"]
 
 # Counts that a node has not sent again for longer say nothing of now.
 _OLDEST_SECONDS = 60.0
@@ -32,14 +32,14 @@
     at: float
 
 
-class TrafficBook:
+class TrafficRates:
     """The last two notices of every node; nothing else."""
 
     def __init__(self) -> None:
         self._last: dict[str, _Received] = {}
         self._before: dict[str, _Received] = {}
 
-    def take(self, notice: kinds.TrafficNotice, now: float) -> None:
+    def record(self, notice: kinds.TrafficNotice, now: float) -> None:
         """Takes in the counts that a node sent."""
         last = self._last.get(notice.node)
         if last is not None:
--- a/marblefold/rehearsal/playing.py
+++ b/marblefold/rehearsal/playing.py
@@ -15,7 +15,7 @@
 from marblefold.configuration.rows import Route
 from marblefold.leases.held_leases import LEASE_SECONDS
 from marblefold.membership.prober import ProberConfig
-from marblefold.registry.traffic_book import Flow
+from marblefold.registry.traffic_rates import Flow
 from marblefold.rehearsal.flight import Flight
 from marblefold.rehearsal.guards import RehearsedGuard
 from marblefold.rehearsal.origins import make_origins, make_view
--- a/marblefold/rehearsal/snapshot.py
+++ b/marblefold/rehearsal/snapshot.py
@@ -11,7 +11,7 @@
 from marblefold.configuration.reading import InvalidConfiguration
 from marblefold.errors import MeshError
 from marblefold.planner.facts import Facts, read_configuration_rows, read_state
-from marblefold.registry.traffic_book import Flow
+from marblefold.registry.traffic_rates import Flow
 from marblefold.request_path.mesh_view import KnownOwner
 
 __all__ = ["ASSUMED_KILOBYTES", "FORMAT", "RetryBounds", "Snapshot", "VERSION", "read_snapshot"]
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -17,7 +17,7 @@
 from marblefold.node_config.model import Limits
 from marblefold.planner.facts import read_configuration_rows
 from marblefold.registry.snapshot_parts import describe_flows
-from marblefold.registry.traffic_book import TrafficBook
+from marblefold.registry.traffic_rates import TrafficRates
 from marblefold.rehearsal.origins import _make_bounds
 from marblefold.rehearsal.playing import detection_seconds
 from marblefold.rehearsal.snapshot import read_snapshot
@@ -59,7 +59,7 @@
         self.dark, self.lapsed, self.tasks, self.endings = set(), set(), set(), []
         self.rows = read_configuration_rows(json.dumps(document["configuration"]).encode())
         self.targets = {row["node"]: row for row in document["state"]["targets"]}
-        self.book = TrafficBook()
+        self.traffic_rates = TrafficRates()
         self.number = 0
 
     def start(self):
@@ -122,7 +122,7 @@
         self.tell()
         await asyncio.sleep(warm * 8 / 9)
         self.tell()
-        self.document["traffic"] = describe_flows(self.book, time.monotonic())
+        self.document["traffic"] = describe_flows(self.traffic_rates, time.monotonic())
         loss_at = time.monotonic()
         self.darken(lost)
         await asyncio.sleep(after)
@@ -153,7 +153,7 @@
         for name, node in self.nodes.items():
             notice = node.surroundings.traffic.make_notice(name, node.zone, ZONES[node.zone], 0.0)
             if notice is not None:
-                self.book.take(notice, time.monotonic())
+                self.traffic_rates.record(notice, time.monotonic())
 
     def origins_in(self, zone):
         return [node for node in self.nodes.values() if node.zone == zone]
