--- a/marblefold/registry/catalogue.py
+++ b/marblefold/registry/catalogue.py
@@ -14,15 +14,15 @@
 class Catalogue:
     """The newest entry of every key, and the newest changes with their places."""
 
-    def __init__(self, life: int) -> None:
-        self.life = life
-        self.place = 0
+    def __init__(self, generation: int) -> None:
+        self.generation = generation
+        self.revision = 0
         self._entries: dict[tuple[str, str], kinds.Entry] = {}
         self._changes: deque[tuple[int, kinds.Entry]] = deque(maxlen=_KEPT_CHANGES)
         self._listeners: list[Callable[[int, kinds.Entry], None]] = []
 
-    def listen(self, listener: Callable[[int, kinds.Entry], None]) -> None:
-        """Calls the listener with each change and its place."""
+    def add_listener(self, listener: Callable[[int, kinds.Entry], None]) -> None:
+        """Calls the listener with each change and its revision."""
         self._listeners.append(listener)
 
     def find(self, kind: str, key: str) -> kinds.Entry | None:
@@ -42,21 +42,21 @@
         if held is not None and (entry.life, entry.number) <= (held.life, held.number):
             return False
         self._entries[key] = entry
-        self.place += 1
-        self._changes.append((self.place, entry))
+        self.revision += 1
+        self._changes.append((self.revision, entry))
         for listener in self._listeners:
-            listener(self.place, entry)
+            listener(self.revision, entry)
         return True
 
-    def changes_since(self, life: int, place: int) -> list[kinds.Entry] | None:
-        """The changes behind a place, or None where only a frame will do."""
-        if life != self.life or place > self.place:
+    def changes_since(self, generation: int, revision: int) -> list[kinds.Entry] | None:
+        """The changes behind a revision, or None where only a frame will do."""
+        if generation != self.generation or revision > self.revision:
             return None
-        if place == self.place:
+        if revision == self.revision:
             return []
-        if not self._changes or self._changes[0][0] > place + 1:
+        if not self._changes or self._changes[0][0] > revision + 1:
             return None
-        newest = itertools.islice(reversed(self._changes), self.place - place)
+        newest = itertools.islice(reversed(self._changes), self.revision - revision)
         return [entry for _at, entry in newest][::-1]
 
     def snapshot(self) -> list[kinds.Entry]:
--- a/marblefold/registry/feed.py
+++ b/marblefold/registry/feed.py
@@ -41,12 +41,12 @@
         self._last_push_at = 0.0
         self._revisions: dict[PeerConnection, int] = {}
         self._is_pending = False
-        catalogue.listen(self._on_change)
+        catalogue.add_listener(self._on_change)
 
     def follow(self, connection: PeerConnection, follow: kinds.Follow) -> None:
         """Somebody follows from a place on."""
         changes = self._catalogue.changes_since(follow.registry_life, follow.place)
-        self._revisions[connection] = self._catalogue.place
+        self._revisions[connection] = self._catalogue.revision
         connection.send(FrameKind.TELL, 0, self._pack(changes))
 
     @property
@@ -69,7 +69,7 @@
         payload = self._pack([])
         for connection, place in list(self._revisions.items()):
             # Followers that are behind receive it with the push that is due.
-            if place == self._catalogue.place:
+            if place == self._catalogue.revision:
                 connection.send(FrameKind.TELL, 0, payload)
 
     def _on_change(self, _place: int, _entry: kinds.Entry) -> None:
@@ -87,14 +87,14 @@
         # Most follower_count stand at one place: what they are sent is built once.
         payloads: dict[int, bytes] = {}
         for connection, place in list(self._revisions.items()):
-            if place == catalogue.place:
+            if place == catalogue.revision:
                 continue
             payload = payloads.get(place)
             if payload is None:
                 payload = payloads[place] = self._pack(
-                    catalogue.changes_since(catalogue.life, place)
+                    catalogue.changes_since(catalogue.generation, place)
                 )
-            self._revisions[connection] = catalogue.place
+            self._revisions[connection] = catalogue.revision
             connection.send(FrameKind.TELL, 0, payload)
 
     def send_entry(self, connection: PeerConnection, want: kinds.Want) -> None:
@@ -110,8 +110,8 @@
             _defer(entry) for entry in (self._catalogue.snapshot() if changes is None else changes)
         ]
         feed = kinds.Feed(
-            registry_life=self._catalogue.life,
-            place=self._catalogue.place,
+            registry_life=self._catalogue.generation,
+            place=self._catalogue.revision,
             snapshot=is_snapshot,
             in_touch=self._is_in_touch(),
             proxies=self._count_proxies(),
--- a/marblefold/registry/state.py
+++ b/marblefold/registry/state.py
@@ -42,7 +42,7 @@
     return {
         wire_names.CONFIG_VERSION: configuration.number if configuration is not None else None,
         "in-touch": is_in_touch,
-        "place": catalogue.place,
+        "place": catalogue.revision,
         "members": members,
         "evacuated": sorted(
             entry.key for entry in catalogue.entries("evacuation") if entry.value != b"off"
--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -119,7 +119,7 @@
         sorted(view._versions.items()),
         set(view.evacuated),
         [len(target.ran) for target in mesh.targets],
-        mesh.registry.catalogue.place,
+        mesh.registry.catalogue.revision,
     )
 
 
--- a/tests/test_thousand_changes.py
+++ b/tests/test_thousand_changes.py
@@ -240,7 +240,7 @@
             registry.send(None, 0, payload)
             numbers = registry.numbers()
             assert all(numbers[register] >= number for register, number in newest.items())
-            place, newest = registry.catalogue.place, numbers
+            place, newest = registry.catalogue.revision, numbers
         assert newest == numbers_of(expected) and place <= len(told)
         # A record of a lower ballot does not come into the chosen ones either.
         chosen = core.members[core.addresses[1]].chosen
