--- a/marblefold/leases/granting.py
+++ b/marblefold/leases/granting.py
@@ -20,12 +20,12 @@
         # By node, the digest of the partner routes it holds, shown to operators.
         self.digests: dict[str, str] = {}
 
-    def grant(self, asking: kinds.RenewLease) -> kinds.LeaseGrant:
+    def grant(self, request: kinds.RenewLease) -> kinds.LeaseGrant:
         """The answer to a node's call; what is left of each lease is in milliseconds."""
-        self.digests[asking.node] = asking.digest
-        owned = self.owned() if asking.site and asking.site == self.site else ()
+        self.digests[request.node] = request.digest
+        owned = self.owned() if request.site and request.site == self.site else ()
         return kinds.LeaseGrant(
-            number=asking.number,
+            number=request.number,
             partner_left_ms=int(self._partners.left() * 1000),
             partner_digest=self._partners.table.digest,
             owned=[
--- a/marblefold/leases/held_leases.py
+++ b/marblefold/leases/held_leases.py
@@ -1,19 +1,19 @@
 """The leases that a node holds: how long it may go on with what it knows.
 
-Allow late, forbid early.  A lease is asked for, and counted on the node's own
-steady clock from the moment it asked; whoever grants it counts from a moment
+Allow late, forbid early.  A lease is requested_at for, and counted on the node's own
+steady clock from the moment it requested_at; whoever grants it counts from a moment
 no earlier.  So it ends at the node before anybody relies on its end.
 """
 
 from typing import NamedTuple
 
-__all__ = ["DRIFT_MARGIN", "Grant", "HeldLeases", "OwnedLease", "LEASE_SECONDS"]
+__all__ = ["CLOCK_DRIFT_MARGIN", "Grant", "HeldLeases", "OwnedLease", "LEASE_SECONDS"]
 
 LEASE_SECONDS = 3.0
 # Two steady clocks may run so far apart: whoever waits for a lease's end waits
 # this part longer.
-DRIFT_MARGIN = 0.05
-_KEPT_ASKINGS = 16
+CLOCK_DRIFT_MARGIN = 0.05
+_MAX_PENDING_REQUESTS = 16
 
 
 class OwnedLease(NamedTuple):
@@ -27,7 +27,7 @@
 class Grant(NamedTuple):
     """What a registry grants, as an answer to the asking of that number."""
 
-    asking: int
+    request_number: int
     partner_seconds: float
     partner_digest: str
     owned: tuple[OwnedLease, ...]
@@ -40,33 +40,33 @@
     """
 
     def __init__(self) -> None:
-        self._asked: dict[int, float] = {}
-        self._last = 0
+        self._requested_at: dict[int, float] = {}
+        self._last_request_number = 0
         self._partner_until = -1e9
         self._owned: dict[str, tuple[int, float]] = {}
 
-    def ask(self, now: float) -> int:
+    def begin_request(self, now: float) -> int:
         """The number of an asking that leaves now."""
-        self._last += 1
-        self._asked[self._last] = now
-        self._asked.pop(self._last - _KEPT_ASKINGS, None)
-        return self._last
+        self._last_request_number += 1
+        self._requested_at[self._last_request_number] = now
+        self._requested_at.pop(self._last_request_number - _MAX_PENDING_REQUESTS, None)
+        return self._last_request_number
 
-    def take(self, grant: Grant, own_digest: str) -> None:
+    def apply_grant(self, grant: Grant, own_digest: str) -> None:
         """Takes in a grant; one for an asking that nobody remembers is too late."""
-        asked = self._asked.get(grant.asking)
-        if asked is None:
+        requested_at = self._requested_at.get(grant.request_number)
+        if requested_at is None:
             return
         # A lease for other routes than ours says nothing of ours.
         if grant.partner_digest == own_digest:
-            self._partner_until = max(self._partner_until, asked + grant.partner_seconds)
+            self._partner_until = max(self._partner_until, requested_at + grant.partner_seconds)
         for owned in grant.owned:
             epoch, until = self._owned.get(owned.upstream, (0, -1e9))
-            fresh = asked + owned.seconds
+            renewed_until = requested_at + owned.seconds
             if owned.epoch > epoch:
-                self._owned[owned.upstream] = (owned.epoch, fresh)
+                self._owned[owned.upstream] = (owned.epoch, renewed_until)
             elif owned.epoch == epoch:
-                self._owned[owned.upstream] = (epoch, max(until, fresh))
+                self._owned[owned.upstream] = (epoch, max(until, renewed_until))
 
     def may_use_partners(self, now: float) -> bool:
         """Whether the lease on the partner routes lasts at that time."""
--- a/marblefold/ownership/agent.py
+++ b/marblefold/ownership/agent.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple, Protocol
 
 from marblefold.errors import MeshError
-from marblefold.leases.held_leases import DRIFT_MARGIN, LEASE_SECONDS, OwnedLease
+from marblefold.leases.held_leases import CLOCK_DRIFT_MARGIN, LEASE_SECONDS, OwnedLease
 from marblefold.logs import log
 from marblefold.ownership.claims import Claim, Owner, Verdict, read_owners, settle
 from marblefold.register_store.call_kinds import RegisterCallKind
@@ -105,7 +105,7 @@
             # Counted from when it was seen: the renewal came before that.
             seen = self._seen[upstream] = _Seen(held.number, self._clock())
         # Nobody renewed it for longer than any lease granted from it lasts.
-        is_lapsed = began - seen.since > LEASE_SECONDS * (1.0 + DRIFT_MARGIN)
+        is_lapsed = began - seen.since > LEASE_SECONDS * (1.0 + CLOCK_DRIFT_MARGIN)
         epoch, renewals = self._written.get(upstream, (0, 0))
         listed = self._listed.get(upstream, ())
         claimants = self._claimed().get(upstream, set())
--- a/marblefold/partners/duty.py
+++ b/marblefold/partners/duty.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 
 from marblefold.errors import MeshError
-from marblefold.leases.held_leases import DRIFT_MARGIN, LEASE_SECONDS
+from marblefold.leases.held_leases import CLOCK_DRIFT_MARGIN, LEASE_SECONDS
 from marblefold.logs import log
 from marblefold.partners.document import Document, lapse
 from marblefold.partners.merging import PartnerTable, merge
@@ -25,7 +25,7 @@
 # A read is valid for one lease time and is repeated well before that ends.
 _VERIFY_EVERY = timedelta(seconds=0.8)
 # Time from the choice of a change until no node can act without it.
-ENFORCED_AFTER = timedelta(seconds=LEASE_SECONDS * (1.0 + DRIFT_MARGIN))
+ENFORCED_AFTER = timedelta(seconds=LEASE_SECONDS * (1.0 + CLOCK_DRIFT_MARGIN))
 
 
 class PartnerDuty:
--- a/marblefold/proxy/lease_client.py
+++ b/marblefold/proxy/lease_client.py
@@ -32,7 +32,7 @@
         partners = self._view.partners
         return kinds.RenewLease(
             node=self._node,
-            number=self._view.leases.ask(now),
+            number=self._view.leases.begin_request(now),
             digest=partners.digest if partners is not None else "",
             # Only the agent of our own site may grant for it.
             site=self._site if peer == self._agent else "",
@@ -41,7 +41,7 @@
     def take(self, message: kinds.LeaseGrant) -> None:
         """Applies the leases that a registry granted."""
         partners = self._view.partners
-        self._view.leases.take(
+        self._view.leases.apply_grant(
             Grant(
                 message.number,
                 message.partner_left_ms / 1000.0,
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -84,7 +84,7 @@
             self.agent.step("orders").send(None)
 
     def renew_leases(self):
-        asking = self.leases.ask(self.world.now * self.guard_rate)
+        asking = self.leases.begin_request(self.world.now * self.guard_rate)
         return Grant(asking, 0.0, "", self.agent.grants())
 
     def epoch(self):
@@ -144,7 +144,7 @@
     def deliver(self, place):
         if self.grants:
             leases, grant = self.grants.pop(place % len(self.grants))
-            leases.take(grant, "-")
+            leases.apply_grant(grant, "-")
 
     @rule(seconds=st.sampled_from([0.1, 0.7, 1.5, 3.2]))
     def turn(self, seconds):
@@ -189,13 +189,13 @@
     north, south = world.sites[:2]
     world.sites = [north, south]
     north.step()
-    north.leases.take(north.renew_leases(), "-")
+    north.leases.apply_grant(north.renew_leases(), "-")
     assert north.epoch() == 1 and world.serving() == [north]
     south.step()
     world.now += 4.0
     north.is_cut = True
     south.step()
-    south.leases.take(south.renew_leases(), "-")
+    south.leases.apply_grant(south.renew_leases(), "-")
     owner = Owner.read(world.registers[OWNER_PREFIX + "orders"].value)
     assert (owner.site, owner.epoch) == ("south", 2) and south.epoch() == 2
     ran = 0
@@ -236,7 +236,7 @@
         copy.start()
         for site in (north, copy, world.sites[2]):
             site.step()
-            site.leases.take(site.renew_leases(), "-")
+            site.leases.apply_grant(site.renew_leases(), "-")
         assert world.serving() == [north]
         world.now += 0.7
     assert copy.agent.verdicts["orders"] is Verdict.REFUSED
