--- a/marblefold/leases/held_leases.py
+++ b/marblefold/leases/held_leases.py
@@ -1,7 +1,7 @@
 """The leases that a node holds: how long it may go on with what it knows.
 
-Allow late, forbid early.  A lease is requested_at for, and counted on the node's own
-steady clock from the moment it requested_at; whoever grants it counts from a moment
+Allow late, forbid early.  A lease is requested, and counted on the node's own
+steady clock from the moment it was requested; whoever grants it counts from a moment
 no earlier.  So it ends at the node before anybody relies on its end.
 """
 
--- a/marblefold/registry/command_router.py
+++ b/marblefold/registry/command_router.py
@@ -100,7 +100,9 @@
     def _gate(self, serve: Serve) -> Serve:
         async def gated(call: Call) -> Answer:
             # Here the body is whole: what a slow link took is no delay of ours.
-            token = _current.set(_Order(self._clock(), self._stall_detector.may_be_stale(), self._clock))
+            token = _current.set(
+                _Order(self._clock(), self._stall_detector.may_be_stale(), self._clock)
+            )
             try:
                 return self._soften(await serve(call))
             finally:
--- a/marblefold/registry/leader_selection.py
+++ b/marblefold/registry/leader_selection.py
@@ -29,7 +29,10 @@
 
     def is_leader(self, key: str, startup_delay: timedelta) -> bool:
         """Whether the key falls to us; nothing does for the startup_delay time after a start."""
-        if time.monotonic() - self._began < startup_delay.total_seconds() or not self._is_in_touch():
+        if (
+            time.monotonic() - self._began < startup_delay.total_seconds()
+            or not self._is_in_touch()
+        ):
             return False
         alive = {
             member.address
--- a/marblefold/registry/platform_list.py
+++ b/marblefold/registry/platform_list.py
@@ -34,7 +34,7 @@
     zone: str
     slots: int
     state: str
-    cold_remaining: timedelta
+    cold: timedelta
 
 
 class PlatformList:
--- a/marblefold/registry/platform_list_sync.py
+++ b/marblefold/registry/platform_list_sync.py
@@ -119,7 +119,7 @@
                 upstream=target.upstream,
                 slots=target.slots,
                 state=target.state,
-                cold_left_ms=int(target.cold_remaining / timedelta(milliseconds=1)),
+                cold_left_ms=int(target.cold / timedelta(milliseconds=1)),
             ).SerializeToString()
         else:
             self._published.pop(instance, None)
@@ -136,5 +136,5 @@
 
 
 def _without_cold_time(target: ListedTarget) -> tuple[ListedTarget, bool]:
-    is_cold = target.cold_remaining > timedelta(0) and target.state == wire_names.READY
-    return target._replace(cold_remaining=timedelta(0)), is_cold
+    is_cold = target.cold > timedelta(0) and target.state == wire_names.READY
+    return target._replace(cold=timedelta(0)), is_cold
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -29,11 +29,11 @@
 from marblefold.program_flags import is_history_on, read_collected_spans
 from marblefold.register_store.view import read_view
 from marblefold.registry.catalogue import Catalogue
+from marblefold.registry.command_router import CommandRouter
 from marblefold.registry.control_calls import ControlCalls
-from marblefold.registry.leader_selection import LeaderSelection
 from marblefold.registry.feed import FeedPublisher
+from marblefold.registry.leader_selection import LeaderSelection
 from marblefold.registry.live_capacity import LiveCapacity
-from marblefold.registry.command_router import CommandRouter
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.registry.site_coordination import PARTNERS_REGISTER, SiteCoordinator
 from marblefold.registry.snapshot_parts import describe_parts
@@ -147,9 +147,9 @@
         """Where the platform keeps the list, one registry reads it for all."""
         # Nothing else needs these, so other deployments do not import them.
         from marblefold.proxy.registry_follower import RegistryFollower
-        from marblefold.registry.platform_list_sync import LEADER_REGISTER, PlatformListSync
         from marblefold.registry.peer_updates import PeerUpdates
         from marblefold.registry.platform_list import PlatformList
+        from marblefold.registry.platform_list_sync import LEADER_REGISTER, PlatformListSync
 
         news = PeerUpdates(self.catalogue, {"target"}, lambda: self._registries - {self._own})
         follower = RegistryFollower(config.node_name, list, news)
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -15,8 +15,8 @@
 from marblefold.logs import log
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.view import read_view
-from marblefold.registry.hedging import call_hedged
 from marblefold.registry.command_router import check_command, remaining_seconds
+from marblefold.registry.hedging import call_hedged
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.task_keeper import TaskKeeper
 
--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -17,9 +17,9 @@
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.upkeep import Upkeep
 from marblefold.registry.catalogue import Catalogue
+from marblefold.registry.command_router import CommandRouter
 from marblefold.registry.control_calls import ControlCalls
 from marblefold.registry.feed import FeedPublisher
-from marblefold.registry.command_router import CommandRouter
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.registry.stall_detector import StallDetector
 from marblefold.registry.store_client import StoreClient
--- a/tests/test_command_router.py
+++ b/tests/test_command_router.py
@@ -22,9 +22,9 @@
     release_from_window,
 )
 from marblefold.register_store.view import View
+from marblefold.registry.command_router import COMMAND_MAX_AGE_SECONDS, CommandRouter, check_command
 from marblefold.registry.fenced_writes import write_fenced
 from marblefold.registry.hedging import call_hedged
-from marblefold.registry.command_router import COMMAND_MAX_AGE_SECONDS, CommandRouter, check_command
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.registry.stall_detector import STALL_THRESHOLD_SECONDS, StallDetector
 
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -54,7 +54,9 @@
 
     def start(life):
         catalogue = Catalogue(life)
-        publisher = FeedPublisher(catalogue, lambda: True, lambda: 3, schedule=lambda _wait, _push: None)
+        publisher = FeedPublisher(
+            catalogue, lambda: True, lambda: 3, schedule=lambda _wait, _push: None
+        )
         publisher.follow(wire, kinds.Follow())
         return catalogue, publisher
 
--- a/tests/test_orders_take_effect_once.py
+++ b/tests/test_orders_take_effect_once.py
@@ -20,8 +20,8 @@
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import Held, keep
 from marblefold.register_store.orders import read_order
-from marblefold.registry.control_calls import ControlCalls
 from marblefold.registry.command_router import CommandRouter
+from marblefold.registry.control_calls import ControlCalls
 from tests.simulated_orders import OrderedStores, StoreClient, held_of
 from tests.simulated_stores import SEEDS
 
