--- a/marblefold/registry/catalogue.py
+++ b/marblefold/registry/catalogue.py
@@ -1,4 +1,4 @@
-"""What this registry knows, entry by entry, as soft state that is sent again."""
+"""The registry's service catalogue: soft state, kept as one entry per key."""
 
 import itertools
 from collections import deque
@@ -8,38 +8,43 @@
 
 __all__ = ["Catalogue"]
 
-_KEPT_CHANGES = 2000
+_MAX_RETAINED_CHANGES = 2000
 
 
 class Catalogue:
-    """The newest entry of every key, and the newest changes with their places."""
+    """The newest entry of every key, and the latest changes with their revisions."""
 
     def __init__(self, generation: int) -> None:
         self.generation = generation
         self.revision = 0
         self._entries: dict[tuple[str, str], kinds.Entry] = {}
-        self._changes: deque[tuple[int, kinds.Entry]] = deque(maxlen=_KEPT_CHANGES)
+        self._changes: deque[tuple[int, kinds.Entry]] = deque(maxlen=_MAX_RETAINED_CHANGES)
         self._listeners: list[Callable[[int, kinds.Entry], None]] = []
 
     def add_listener(self, listener: Callable[[int, kinds.Entry], None]) -> None:
-        """Calls the listener with each change and its revision."""
+        """Calls the listener with the revision and the entry of each change."""
         self._listeners.append(listener)
 
     def find(self, kind: str, key: str) -> kinds.Entry | None:
-        """The newest entry under the key."""
+        """Returns the newest entry of the key; it may be marked as removed."""
         return self._entries.get((kind, key))
 
     def entries(self, kind: str) -> list[kinds.Entry]:
-        """All entries of a kind that are not removed."""
+        """Returns all entries of a kind that are not removed."""
         return [
-            entry for (of, _key), entry in self._entries.items() if of == kind and not entry.removed
+            entry
+            for (entry_kind, _key), entry in self._entries.items()
+            if entry_kind == kind and not entry.removed
         ]
 
     def put(self, entry: kinds.Entry) -> bool:
-        """Takes in an entry if it is newer than the one held."""
+        """Stores an entry if it is newer than the current one; returns whether it was.
+
+        Entries of a key are ordered by generation, then by number.
+        """
         key = (entry.kind, entry.key)
-        held = self._entries.get(key)
-        if held is not None and (entry.life, entry.number) <= (held.life, held.number):
+        current = self._entries.get(key)
+        if current is not None and (entry.life, entry.number) <= (current.life, current.number):
             return False
         self._entries[key] = entry
         self.revision += 1
@@ -49,7 +54,11 @@
         return True
 
     def changes_since(self, generation: int, revision: int) -> list[kinds.Entry] | None:
-        """The changes behind a revision, or None where only a frame will do."""
+        """Returns the changes after a revision, or None where only a snapshot will do.
+
+        That is so for a revision of another generation, one that does not exist, and one
+        whose following changes are no longer retained.
+        """
         if generation != self.generation or revision > self.revision:
             return None
         if revision == self.revision:
@@ -57,8 +66,8 @@
         if not self._changes or self._changes[0][0] > revision + 1:
             return None
         newest = itertools.islice(reversed(self._changes), self.revision - revision)
-        return [entry for _at, entry in newest][::-1]
+        return [entry for _revision, entry in newest][::-1]
 
     def snapshot(self) -> list[kinds.Entry]:
-        """Everything that holds."""
+        """Returns the newest entry of every key, removed ones included."""
         return list(self._entries.values())
--- a/marblefold/registry/command_router.py
+++ b/marblefold/registry/command_router.py
@@ -1,17 +1,17 @@
-"""Lets an order act only while its caller may still be waiting for it.
+"""Executes a command only while its caller may still be waiting for the answer.
 
-Operators go on to another node after a second of silence.  So an order that
-this registry comes to late may have been overtaken by a later one that was
-acknowledged elsewhere, and must not act.  Two bounds keep that:
+Clients of operators retry at another node after one second without an answer.  A
+command that this registry handles late may already be superseded by a later command
+that was acknowledged elsewhere, and must not take effect.  Two bounds ensure that:
 
-- what was read after this process stood still is suspect (`StallDetector`);
-- an order names the number of the register that it changes, and must have
-  learned that number within `COMMAND_MAX_AGE_SECONDS` of being read.  Whatever holds it
-  up after that, the register has a higher number as soon as a later order was
-  acknowledged, and the change at the older number changes nothing.
+- a command that was read after this process stalled may be stale (`StallDetector`);
+- a command names the number of the register that it changes, and must have learned
+  that number within `COMMAND_MAX_AGE_SECONDS` of being read.  If it is delayed after
+  that, the register has a higher number as soon as a later command is acknowledged,
+  and a write at the older number has no effect.
 
-The gate also keeps a registry that is out of contact from refusing for good, and
-from showing what it received in its feed: what it knows may be behind, so it says 503.
+A registry without quorum contact may hold outdated state.  The router therefore
+replaces its permanent refusals, and reads that are answered from its feed, with a 503.
 """
 
 import time
@@ -28,55 +28,56 @@
 
 __all__ = ["COMMAND_MAX_AGE_SECONDS", "CommandRouter", "check_command", "remaining_seconds"]
 
-# An order read so long ago has a caller that is about to go on: together with
-# a stall too short to be noticed this stays below the second of its patience.
+# Together with the longest stall that goes undetected, this stays below the one
+# second after which clients retry at another node.
 COMMAND_MAX_AGE_SECONDS = 0.5
-# Answers leave within a second of the reading.
+# Answers are sent within one second of reading the command.
 _ANSWER_SECONDS = 0.9
-_RETRY_SECONDS = 0.2
-_READS = ("GET", "HEAD")
-# What may be refused by what this registry happens to know.
-_DOUBTFUL = (400, 404, 409)
-# Reads that show more than a majority of the stores has just said.
-_FROM_THE_FEED = (wire_names.OWNERS_PATH,)
+_RETRY_AFTER_SECONDS = 0.2
+_READ_METHODS = ("GET", "HEAD")
+# Refusals that depend on what this registry knows.
+_STATE_DEPENDENT_STATUSES = (400, 404, 409)
+# Reads that are answered from the feed instead of a majority of the stores.
+_FEED_BACKED_PATHS = (wire_names.OWNERS_PATH,)
 
 
-class _Order(NamedTuple):
-    """A call that is being served: when it was read, and whether that is sure."""
+class _Command(NamedTuple):
+    """A command being served: when it was read, and whether it may be older than that."""
 
     read_at: float
     may_be_stale: bool
     clock: Callable[[], float]
 
 
-_current: ContextVar[_Order | None] = ContextVar("current order", default=None)
+_current_command: ContextVar[_Command | None] = ContextVar("current command", default=None)
 
 
 def check_command(is_age_exempt: bool = False) -> None:
-    """A MeshError if the order being served must not act any more.
+    """Raises a MeshError if the command being served must no longer take effect.
 
-    is_age_exempt: it is fenced by a number of its own, as a configuration is, and may
-    take long to check.  What serves no call, like a duty, is not looked at here.
+    is_age_exempt: the command carries a fencing number of its own, as a configuration
+    does, and may take long to validate.  Code that serves no command, such as a
+    background task, always passes.
     """
-    order = _current.get()
-    if order is None:
+    command = _current_command.get()
+    if command is None:
         return
-    if order.may_be_stale:
+    if command.may_be_stale:
         raise MeshError("order", "read after this process stood still")
-    if not is_age_exempt and order.clock() - order.read_at > COMMAND_MAX_AGE_SECONDS:
+    if not is_age_exempt and command.clock() - command.read_at > COMMAND_MAX_AGE_SECONDS:
         raise MeshError("order", "too old to act")
 
 
-def remaining_seconds(most: float) -> float:
-    """For how long the call being served may still be worked on, up to most."""
-    order = _current.get()
-    if order is None:
-        return most
-    return min(most, order.read_at + _ANSWER_SECONDS - order.clock())
+def remaining_seconds(limit: float) -> float:
+    """Seconds left to serve the current command, at most `limit`."""
+    command = _current_command.get()
+    if command is None:
+        return limit
+    return min(limit, command.read_at + _ANSWER_SECONDS - command.clock())
 
 
 class CommandRouter(CallRouter):
-    """A router that serves its calls within the bounds."""
+    """Routes HTTP calls, and applies the age and contact checks to them."""
 
     def __init__(
         self,
@@ -90,39 +91,41 @@
         self._clock = clock
 
     def add(self, method: str, path: str, serve: Serve, most_bytes: int = 4096) -> None:
-        """Serves the method at the path, as any router does; orders pass the gate."""
-        if method not in _READS:
-            serve = self._gate(serve)
-        elif path in _FROM_THE_FEED:
-            serve = self._need_contact(serve)
+        """Adds a route; commands, and reads from the feed, are checked."""
+        if method not in _READ_METHODS:
+            serve = self._check_age_and_contact(serve)
+        elif path in _FEED_BACKED_PATHS:
+            serve = self._require_contact(serve)
         super().add(method, path, serve, most_bytes)
 
-    def _gate(self, serve: Serve) -> Serve:
-        async def gated(call: Call) -> Answer:
-            # Here the body is whole: what a slow link took is no delay of ours.
-            token = _current.set(
-                _Order(self._clock(), self._stall_detector.may_be_stale(), self._clock)
+    def _check_age_and_contact(self, serve: Serve) -> Serve:
+        async def checked_command(call: Call) -> Answer:
+            # The body is complete here, so the age excludes a slow upload.
+            token = _current_command.set(
+                _Command(self._clock(), self._stall_detector.may_be_stale(), self._clock)
             )
             try:
-                return self._soften(await serve(call))
+                return self._replace_refusal(await serve(call))
             finally:
-                _current.reset(token)
+                _current_command.reset(token)
 
-        return gated
+        return checked_command
 
-    def _need_contact(self, serve: Serve) -> Serve:
-        async def checked(call: Call) -> Answer:
+    def _require_contact(self, serve: Serve) -> Serve:
+        async def checked_read(call: Call) -> Answer:
             answer = await serve(call)
-            # Looked at last: a freeze in between must not go unnoticed.
-            return answer if self._contact.is_held else _out_of_contact()
+            # Checked after serving, so that a pause during the call is noticed.
+            return answer if self._contact.is_held else _no_contact_answer()
 
-        return checked
+        return checked_read
 
-    def _soften(self, answer: Answer) -> Answer:
-        if answer.status not in _DOUBTFUL or self._contact.is_held:
+    def _replace_refusal(self, answer: Answer) -> Answer:
+        if answer.status not in _STATE_DEPENDENT_STATUSES or self._contact.is_held:
             return answer
-        return _out_of_contact()
+        return _no_contact_answer()
 
 
-def _out_of_contact() -> Answer:
-    return json_answer(503, {wire_names.REASON: "out of contact with a majority"}, _RETRY_SECONDS)
+def _no_contact_answer() -> Answer:
+    return json_answer(
+        503, {wire_names.REASON: "out of contact with a majority"}, _RETRY_AFTER_SECONDS
+    )
--- a/marblefold/registry/control_calls.py
+++ b/marblefold/registry/control_calls.py
@@ -1,4 +1,4 @@
-"""The calls of operators, and of targets that come here."""
+"""HTTP calls of operators: the configuration, evacuations and the registry's state."""
 
 from collections.abc import Callable
 from typing import Any
@@ -16,14 +16,14 @@
 
 __all__ = ["ControlCalls"]
 
-_LARGEST_CONFIGURATION = 64 * 1024 * 1024
+_MAX_CONFIGURATION_BYTES = 64 * 1024 * 1024
 _CONFIGURATION_REGISTER = "configuration"
-# Callers go on to another node after a second of silence.
+# Clients retry at another node after one second without an answer.
 _BASE_SECONDS = 0.6
 
 
 class ControlCalls:
-    """Checks what operators ask and has the stores hold it."""
+    """Validates the commands of operators and writes them to the stores."""
 
     def __init__(
         self,
@@ -35,13 +35,18 @@
         self._store_client = store_client
         self._zones = zones
         self._state = state
-        # The number of a zone's register as far as it is known here.
+        # The number of a zone's evacuation register if this registry knows it, else None.
         self._evacuation_number = evacuation_number
 
     def add_to(self, router: CallRouter) -> None:
-        """Serves these calls at the router."""
-        router.add("PUT", wire_names.CONFIGURATION_PATH, self._replace, _LARGEST_CONFIGURATION)
-        router.add("GET", wire_names.CONFIGURATION_PATH, self._describe)
+        """Registers these calls with the router."""
+        router.add(
+            "PUT",
+            wire_names.CONFIGURATION_PATH,
+            self._replace_configuration,
+            _MAX_CONFIGURATION_BYTES,
+        )
+        router.add("GET", wire_names.CONFIGURATION_PATH, self._describe_configuration)
         router.add("GET", wire_names.STATE_PATH, self._show_state)
         router.add("PUT", wire_names.EVACUATION_PATH, self._start_evacuation)
         router.add("DELETE", wire_names.EVACUATION_PATH, self._stop_evacuation)
@@ -49,40 +54,42 @@
     async def _show_state(self, _call: Call) -> Answer:
         return json_answer(200, self._state())
 
-    async def _replace(self, call: Call) -> Answer:
+    async def _replace_configuration(self, call: Call) -> Answer:
         try:
             number = read_configuration(call.body).config_version
         except InvalidConfiguration as invalid:
-            log.info("configuration refused", faults=invalid.faults[:5])
+            log.info("configuration rejected", faults=invalid.faults[:5])
             return json_answer(400, {wire_names.REASON: invalid.faults[:50]})
         try:
-            # The body goes as it was sent: contents are compared byte for byte.
-            held = await self._store_client.ask(
+            # The body is stored as received: stores compare contents byte for byte.
+            stored = await self._store_client.ask(
                 RegisterCallKind.CONFIGURATION, _CONFIGURATION_REGISTER, number, call.body
             )
         except MeshError as error:
             return not_now_answer(error)
-        if Outcome.read(held.outcome) is Outcome.CONFLICT:
-            return _answer_conflict(held.number)
-        log.info("configuration held", number=number, newest=held.number)
+        if Outcome.read(stored.outcome) is Outcome.CONFLICT:
+            return _answer_conflict(stored.number)
+        log.info("configuration stored", number=number, newest=stored.number)
         return json_answer(200, {wire_names.CONFIG_VERSION: number})
 
-    async def _describe(self, _call: Call) -> Answer:
+    async def _describe_configuration(self, _call: Call) -> Answer:
         try:
-            held = await self._store_client.ask(RegisterCallKind.DESCRIBE, _CONFIGURATION_REGISTER)
+            stored = await self._store_client.ask(
+                RegisterCallKind.DESCRIBE, _CONFIGURATION_REGISTER
+            )
         except MeshError as error:
             return not_now_answer(error)
-        if not held.value:
+        if not stored.value:
             return json_answer(404, {wire_names.REASON: "no configuration yet"})
-        return Answer(200, header_block=b"Content-Type: application/json\r\n", body=held.value)
+        return Answer(200, header_block=b"Content-Type: application/json\r\n", body=stored.value)
 
     async def _start_evacuation(self, call: Call) -> Answer:
-        return await self._evacuate(call.subject, EvacuationState.ON)
+        return await self._set_evacuation(call.subject, EvacuationState.ON)
 
     async def _stop_evacuation(self, call: Call) -> Answer:
-        return await self._evacuate(call.subject, EvacuationState.OFF)
+        return await self._set_evacuation(call.subject, EvacuationState.OFF)
 
-    async def _evacuate(self, zone: str, state: EvacuationState) -> Answer:
+    async def _set_evacuation(self, zone: str, state: EvacuationState) -> Answer:
         if zone not in self._zones():
             return json_answer(404, {wire_names.REASON: f"zone: no zone {zone!r}"})
         try:
@@ -94,12 +101,12 @@
             )
         except MeshError as error:
             return not_now_answer(error)
-        log.info("evacuation held", zone=zone, state=state.name, number=number)
+        log.info("evacuation state stored", zone=zone, state=state.name, number=number)
         return json_answer(200, {})
 
 
 def _answer_conflict(number: int) -> Answer:
-    """Another content was confirmed under the number; sending again changes nothing."""
+    """409: another content is confirmed under this number, so a retry cannot succeed."""
     reason = f"{wire_names.CONFIG_VERSION}: {number} holds with another content"
-    log.warning("configuration refused", number=number, reason=reason)
+    log.warning("configuration rejected", number=number, reason=reason)
     return json_answer(409, {wire_names.REASON: reason, wire_names.CONFIG_VERSION: number})
--- a/marblefold/registry/feed.py
+++ b/marblefold/registry/feed.py
@@ -1,4 +1,4 @@
-"""Brings the catalogue to those that follow it."""
+"""Publishes the catalogue's changes to the followers of this registry."""
 
 import asyncio
 import time
@@ -13,122 +13,123 @@
 
 __all__ = ["FeedPublisher"]
 
-_LARGEST_VALUE = 1024
-_SIGN_OF_LIFE = timedelta(seconds=1)
-# Each push costs the registry something for every follower: pushes are spaced
-# by this much for each of them, so that their share of a core has a bound
-# however many changes come, up to what an update may be late by.
-_SPACING_EACH = timedelta(microseconds=400)
-_LONGEST_SPACING = timedelta(milliseconds=200)
-# A snapshot of so many entries is worth compressing.
-_COMPRESSED_ENTRIES = 8
+_MAX_INLINE_VALUE_BYTES = 1024
+_KEEPALIVE_INTERVAL = timedelta(seconds=1)
+# A push costs CPU time for every follower.  Spacing pushes by this much for each
+# follower bounds their share of a core however many changes come; the maximum
+# bounds the delay that this adds to an update.
+_PUSH_SPACING_PER_FOLLOWER = timedelta(microseconds=400)
+_MAX_PUSH_SPACING = timedelta(milliseconds=200)
+# Feeds with at least this many entries are compressed.
+_MIN_COMPRESSED_ENTRIES = 8
 
 
 class FeedPublisher:
-    """The follower_count of this registry and how far each has come."""
+    """Tracks the followers and the catalogue revision that each was last sent."""
 
     def __init__(
         self,
         catalogue: Catalogue,
-        is_in_touch: Callable[[], bool],
+        is_in_contact: Callable[[], bool],
         count_proxies: Callable[[], int],
         schedule: Callable[[float, Callable[[], None]], object] | None = None,
     ) -> None:
         self._catalogue = catalogue
-        self._is_in_touch = is_in_touch
+        self._is_in_contact = is_in_contact
         self._count_proxies = count_proxies
         self._schedule = schedule or _call_later
         self._last_push_at = 0.0
         self._revisions: dict[PeerConnection, int] = {}
-        self._is_pending = False
+        self._is_push_pending = False
         catalogue.add_listener(self._on_change)
 
     def follow(self, connection: PeerConnection, follow: kinds.Follow) -> None:
-        """Somebody follows from a place on."""
+        """Adds a follower and sends it the changes since its revision, or a snapshot."""
         changes = self._catalogue.changes_since(follow.registry_life, follow.place)
         self._revisions[connection] = self._catalogue.revision
         connection.send(FrameKind.TELL, 0, self._pack(changes))
 
     @property
     def follower_count(self) -> int:
-        """How many follow this registry."""
+        """The number of followers."""
         return len(self._revisions)
 
     def remove_follower(self, connection: PeerConnection) -> None:
-        """A follower is gone."""
+        """Removes a follower whose connection was lost."""
         self._revisions.pop(connection, None)
 
     async def run(self) -> None:
-        """Says regularly that this registry lives and what it reaches."""
+        """Sends keepalives at a fixed interval, forever."""
         while True:
-            await asyncio.sleep(_SIGN_OF_LIFE.total_seconds())
+            await asyncio.sleep(_KEEPALIVE_INTERVAL.total_seconds())
             self.send_keepalive()
 
     def send_keepalive(self) -> None:
-        """Says that this registry lives, and whether it is in contact."""
+        """Sends an empty feed: this registry is alive, and whether it has quorum contact."""
         payload = self._pack([])
-        for connection, place in list(self._revisions.items()):
-            # Followers that are behind receive it with the push that is due.
-            if place == self._catalogue.revision:
+        for connection, revision in list(self._revisions.items()):
+            # Followers that are behind receive the same fields with the pending push.
+            if revision == self._catalogue.revision:
                 connection.send(FrameKind.TELL, 0, payload)
 
-    def _on_change(self, _place: int, _entry: kinds.Entry) -> None:
-        # Changes that come close together travel together.
-        if not self._is_pending:
-            self._is_pending = True
-            spacing = min(_LONGEST_SPACING, _SPACING_EACH * len(self._revisions))
-            wait = self._last_push_at + spacing.total_seconds() - time.monotonic()
-            self._schedule(max(0.0, wait), self._push)
+    def _on_change(self, _revision: int, _entry: kinds.Entry) -> None:
+        # Batches changes that arrive in quick succession.
+        if not self._is_push_pending:
+            self._is_push_pending = True
+            spacing = min(_MAX_PUSH_SPACING, _PUSH_SPACING_PER_FOLLOWER * len(self._revisions))
+            delay = self._last_push_at + spacing.total_seconds() - time.monotonic()
+            self._schedule(max(0.0, delay), self._push)
 
     def _push(self) -> None:
-        self._is_pending = False
+        self._is_push_pending = False
         self._last_push_at = time.monotonic()
         catalogue = self._catalogue
-        # Most follower_count stand at one place: what they are sent is built once.
+        # Most followers are at the same revision, so each payload is built once.
         payloads: dict[int, bytes] = {}
-        for connection, place in list(self._revisions.items()):
-            if place == catalogue.revision:
+        for connection, revision in list(self._revisions.items()):
+            if revision == catalogue.revision:
                 continue
-            payload = payloads.get(place)
+            payload = payloads.get(revision)
             if payload is None:
-                payload = payloads[place] = self._pack(
-                    catalogue.changes_since(catalogue.generation, place)
+                payload = payloads[revision] = self._pack(
+                    catalogue.changes_since(catalogue.generation, revision)
                 )
             self._revisions[connection] = catalogue.revision
             connection.send(FrameKind.TELL, 0, payload)
 
     def send_entry(self, connection: PeerConnection, want: kinds.Want) -> None:
-        """Somebody wants an entry whole."""
+        """Sends a follower a whole entry that the feed deferred."""
         entry = self._catalogue.find(want.kind, want.key)
         if entry is not None:
             connection.send(FrameKind.TELL, 0, pack_message(entry))
 
     def _pack(self, changes: list[kinds.Entry] | None) -> bytes:
-        """The changes, or a snapshot of the catalogue where there are none to be had."""
+        """Encodes the changes, or a snapshot of the catalogue if `changes` is None."""
         is_snapshot = changes is None
         entries = [
-            _defer(entry) for entry in (self._catalogue.snapshot() if changes is None else changes)
+            _defer_large_value(entry)
+            for entry in (self._catalogue.snapshot() if changes is None else changes)
         ]
         feed = kinds.Feed(
             registry_life=self._catalogue.generation,
             place=self._catalogue.revision,
             snapshot=is_snapshot,
-            in_touch=self._is_in_touch(),
+            in_touch=self._is_in_contact(),
             proxies=self._count_proxies(),
         )
-        # Entries are much alike: a node that comes back is sent all of them by
-        # every registry, over a link that also carries its requests.
-        if len(entries) >= _COMPRESSED_ENTRIES:
-            whole = kinds.Feed(entries=entries).SerializeToString()
-            feed.compressed_entries = zlib.compress(whole, 1)
+        # A node that reconnects receives a snapshot from every registry, over a link
+        # that also carries its requests.  Entries are similar, so they compress well.
+        if len(entries) >= _MIN_COMPRESSED_ENTRIES:
+            uncompressed = kinds.Feed(entries=entries).SerializeToString()
+            feed.compressed_entries = zlib.compress(uncompressed, 1)
         else:
             feed.entries.extend(entries)
         return pack_message(feed)
 
 
-def _defer(entry: kinds.Entry) -> kinds.Entry:
-    """A node receives the same update from every registry: it takes what is large from one."""
-    if len(entry.value) <= _LARGEST_VALUE:
+def _defer_large_value(entry: kinds.Entry) -> kinds.Entry:
+    """Leaves out a large value: nodes hear of it from every registry and fetch it from one."""
+    if len(entry.value) <= _MAX_INLINE_VALUE_BYTES:
         return entry
     return kinds.Entry(
         kind=entry.kind, key=entry.key, life=entry.life, number=entry.number, deferred=True
--- a/marblefold/registry/fenced_writes.py
+++ b/marblefold/registry/fenced_writes.py
@@ -1,9 +1,10 @@
-"""Changes of a register that are fenced by its number.
+"""Writes to a register that are fenced by its number (compare-and-set).
 
-A change names the number that the register had when it was asked for.  Stores
-carry it out only at that number, and each change raises the number.  So it takes
-effect at most once, however often and wherever it is sent, and not at all once a
-later order was acknowledged: it may be hedged, retried, or lie in a buffer.
+A write names the number that the register had when the command was received.
+Stores apply it only at that number, and each write raises the number.  So a write
+takes effect at most once, however often and wherever it is sent, and not at all
+once a later command was acknowledged.  It is therefore safe to hedge or retry a
+write, and harmless if it is delivered late from a buffer.
 """
 
 from collections.abc import Callable
@@ -15,7 +16,7 @@
 
 __all__ = ["write_fenced"]
 
-_TRIES = 3
+_MAX_ATTEMPTS = 3
 
 
 async def write_fenced(
@@ -24,22 +25,23 @@
     state: EvacuationState,
     known_number: Callable[[], int | None],
 ) -> int:
-    """Has the register hold the state, under a new number; gives that number.
+    """Writes the state to the register and returns the register's new number.
 
-    It is written even where the register holds the value already: otherwise an
-    earlier order that is still under way would not be fenced off by this one.
-    known_number: the register's number as far as it is known here; None to read it.
-    Raises a MeshError where it is unclear whether the order took effect.
+    The state is written even if the register holds it already: otherwise this write
+    would not fence off an earlier one that is still in flight.
+    known_number: returns the register's number if it is known locally, or None to read
+    it from the stores.
+    Raises a MeshError if it is unclear whether the write took effect.
     """
     number = known_number()
     if number is None:
         number = (await client.ask(RegisterCallKind.DESCRIBE, register)).number
-    for _ in range(_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         answer = await client.ask(RegisterCallKind.EVACUATION, register, number, state.value)
         if answer.value == state.value and answer.number > number:
             return answer.number
-        # The number behind ours is another's, so ours did not take effect and never
-        # will.  Further on it may have, and have been overtaken since.
+        # If another write took the next number, this one had no effect and never will.
+        # With a higher number this write may have taken effect and been superseded.
         if answer.number != number + 1:
             raise MeshError("order", f"{register} changed meanwhile")
         number = answer.number
--- a/marblefold/registry/hedging.py
+++ b/marblefold/registry/hedging.py
@@ -1,7 +1,7 @@
-"""Asks peers one after the other, without waiting out the silent ones.
+"""Hedged calls: the next peer is called before a slow one has timed out.
 
-Only what may be done twice is asked this way: the peers asked earlier go on
-with it.
+Only for calls that may be executed more than once: peers that were called earlier
+may still execute theirs.
 """
 
 import asyncio
@@ -18,28 +18,29 @@
 
 async def call_hedged(
     peers: Iterable[str],
-    ask: Callable[[str, float], Awaitable[_Answer]],
-    patience: float,
-    seconds: float,
+    call: Callable[[str, float], Awaitable[_Answer]],
+    hedge_delay: float,
+    timeout: float,
 ) -> _Answer:
-    """The first answer; the next peer is asked once those before failed or were silent.
+    """Returns the first answer of any peer.
 
-    patience: how long a peer is waited for before the next is asked as well.
-    seconds: how long all of it may take; `ask` is given what is left.
-    Raises the last MeshError if no peer answered in time.
+    The next peer is called as soon as a pending call fails, or after the hedge delay.
+    hedge_delay: seconds to wait for the pending calls before the next peer is called.
+    timeout: seconds for the whole call; `call` receives the seconds that remain.
+    Raises the last MeshError if no peer answers in time.
     """
     loop = asyncio.get_running_loop()
-    end = loop.time() + seconds
-    waiting = deque(peers)
+    deadline = loop.time() + timeout
+    untried = deque(peers)
     pending: set[asyncio.Task[_Answer]] = set()
-    last = MeshError("ask", "no answer in time")
+    last_error = MeshError("ask", "no answer in time")
     try:
-        while (left := end - loop.time()) > 0 and (waiting or pending):
-            if waiting:
-                pending.add(asyncio.ensure_future(ask(waiting.popleft(), left)))
+        while (remaining := deadline - loop.time()) > 0 and (untried or pending):
+            if untried:
+                pending.add(asyncio.ensure_future(call(untried.popleft(), remaining)))
             done, pending = await asyncio.wait(
                 pending,
-                timeout=min(patience, left) if waiting else left,
+                timeout=min(hedge_delay, remaining) if untried else remaining,
                 return_when=asyncio.FIRST_COMPLETED,
             )
             for task in done:
@@ -48,8 +49,8 @@
                     return task.result()
                 if not isinstance(error, MeshError):
                     raise error
-                last = error
+                last_error = error
     finally:
         for task in pending:
             task.cancel()
-    raise last
+    raise last_error
--- a/marblefold/registry/leader_selection.py
+++ b/marblefold/registry/leader_selection.py
@@ -1,4 +1,4 @@
-"""Which registry has a duty: by key over those that live."""
+"""Selects the registry that runs a singleton task: rendezvous hashing over live registries."""
 
 import time
 import zlib
@@ -12,26 +12,29 @@
 
 
 class LeaderSelection:
-    """Answers whether a duty's key falls to this registry."""
+    """Tells whether this registry is the leader for a task's key."""
 
     def __init__(
         self,
         membership: NodeMembership,
-        own: str,
+        own_address: str,
         registries: Callable[[], set[str]],
-        is_in_touch: Callable[[], bool],
+        is_in_contact: Callable[[], bool],
     ) -> None:
         self._membership = membership
-        self._own = own
+        self._own_address = own_address
         self._registries = registries
-        self._is_in_touch = is_in_touch
-        self._began = time.monotonic()
+        self._is_in_contact = is_in_contact
+        self._started_at = time.monotonic()
 
     def is_leader(self, key: str, startup_delay: timedelta) -> bool:
-        """Whether the key falls to us; nothing does for the startup_delay time after a start."""
+        """Whether this registry leads for the key.
+
+        It leads for no key during the startup delay, nor without a quorum contact.
+        """
         if (
-            time.monotonic() - self._began < startup_delay.total_seconds()
-            or not self._is_in_touch()
+            time.monotonic() - self._started_at < startup_delay.total_seconds()
+            or not self._is_in_contact()
         ):
             return False
         alive = {
@@ -39,9 +42,11 @@
             for member in self._membership.members("registry")
             if member.liveness is Liveness.ALIVE
         }
-        candidates = (alive | {self._own}) & (self._registries() | {self._own})
-        return max(candidates, key=lambda peer: (_rank(key, peer), peer)) == self._own
+        candidates = (alive | {self._own_address}) & (self._registries() | {self._own_address})
+        return (
+            max(candidates, key=lambda peer: (_hash_weight(key, peer), peer)) == self._own_address
+        )
 
 
-def _rank(key: str, peer: str) -> int:
+def _hash_weight(key: str, peer: str) -> int:
     return zlib.crc32(f"{key}|{peer}".encode())
--- a/marblefold/registry/live_capacity.py
+++ b/marblefold/registry/live_capacity.py
@@ -1,4 +1,4 @@
-"""The slots that can be counted on now, as this registry knows them."""
+"""The slots that can serve requests now, as far as this registry knows."""
 
 from collections.abc import Iterator
 from datetime import UTC, datetime, timedelta
@@ -14,12 +14,12 @@
 __all__ = ["LiveCapacity"]
 
 _LEADER_KEY = "maintenance"
-# Right after its start a registry does not know all targets yet.
+# A registry does not know all targets right after its start.
 _STARTUP_DELAY = timedelta(seconds=3)
 
 
 class LiveCapacity:
-    """Answers what the maintenance duty asks of the mesh."""
+    """The capacity and evacuation state that maintenance planning needs."""
 
     def __init__(
         self,
@@ -31,15 +31,18 @@
         self._catalogue = catalogue
         self._membership = membership
         self._leader_selection = leader_selection
-        # Without proxies beside them, targets live as the platform says.
+        # Targets without a proxy beside them are as available as the platform lists them.
         self._has_proxies = has_proxies
 
     def is_maintenance_leader(self) -> bool:
-        """Whether the duty's key falls to this registry among those that live."""
+        """Whether this registry is the one that runs maintenance windows."""
         return self._leader_selection.is_leader(_LEADER_KEY, _STARTUP_DELAY)
 
     def live_slots(self) -> LiveSlots:
-        """The live slots: cold, draining, leaving, suspected, lost and evacuated ones left out."""
+        """Live slots by upstream and zone.
+
+        Targets that are cold, draining, leaving, suspected, lost or evacuated do not count.
+        """
         alive = {
             member.node
             for member in self._membership.members("proxy")
@@ -47,20 +50,20 @@
         }
         slots: dict[tuple[str, str], int] = {}
         for notice in self._notices():
-            counts = (
+            is_counted = (
                 notice.state == wire_names.READY
                 and not notice.leaving
                 and not notice.cold_left_ms
                 and (not self._has_proxies or notice.node in alive)
                 and self.evacuation(notice.zone) != b"on"
             )
-            if counts:
+            if is_counted:
                 key = (notice.upstream, notice.zone)
                 slots[key] = slots.get(key, 0) + notice.slots
         return LiveSlots(slots)
 
     def all_slots(self) -> dict[str, int]:
-        """All slots there are by upstream, whatever their state."""
+        """All slots by upstream, of ready and draining targets."""
         slots: dict[str, int] = {}
         for notice in self._notices():
             if notice.state in (wire_names.READY, wire_names.DRAINING):
@@ -68,18 +71,18 @@
         return slots
 
     def evacuation(self, zone: str) -> bytes:
-        """What holds for the zone: on, off, window, or nothing."""
+        """The zone's evacuation state: on, off, window, or empty if none is known."""
         entry = self._catalogue.find("evacuation", zone)
         return entry.value if entry is not None else b""
 
     def window_zones(self) -> set[str]:
-        """The zones that are evacuated for a window."""
+        """The zones that are evacuated for a maintenance window."""
         return {
             entry.key for entry in self._catalogue.entries("evacuation") if entry.value == b"window"
         }
 
     def now(self) -> datetime:
-        """The time of day."""
+        """The current wall-clock time in UTC."""
         return datetime.now(UTC)
 
     def _notices(self) -> Iterator[kinds.TargetNotice]:
--- a/marblefold/registry/peer_updates.py
+++ b/marblefold/registry/peer_updates.py
@@ -1,4 +1,4 @@
-"""Takes over from the other registries what only one of them finds out."""
+"""Copies entries that only one registry discovers from the feeds of its peers."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 class PeerUpdates:
-    """Follows the feeds of the peers, for entries of a few kinds only."""
+    """Receives entries of the peers' feeds; accepts certain kinds only."""
 
     def __init__(
         self,
@@ -24,13 +24,13 @@
 
     @property
     def registries(self) -> set[str]:
-        """Whom to follow."""
+        """The registries to follow."""
         return self._peers()
 
     def is_news(self, entry: kinds.Entry) -> bool:
-        """Whether a deferred entry is worth asking for; ours never are large."""
+        """Whether to request a deferred entry: never, as the accepted kinds have small values."""
         return False
 
     def take(self, entry: kinds.Entry) -> bool:
-        """Takes in an entry of another registry, if it is newer than ours."""
+        """Stores an entry of another registry if it is newer; returns whether it was."""
         return entry.kind in self._accepted_kinds and self._catalogue.put(entry)
--- a/marblefold/registry/platform_list.py
+++ b/marblefold/registry/platform_list.py
@@ -1,7 +1,7 @@
 """Reads the platform's list of targets, page by page.
 
-The list is paged, and its calls are rate-limited over all nodes; either the whole
-list is read or nothing.
+The platform rate-limits calls over all nodes together.  Reading either returns the
+whole list or raises.
 """
 
 import asyncio
@@ -19,14 +19,14 @@
 
 __all__ = ["ListedTarget", "PlatformList", "read_page"]
 
-_CALL_SECONDS = 1.0
-_MOST_PAGES = 1000
-# Even two nodes that both poll stay below the rate limit together.
+_CALL_TIMEOUT_SECONDS = 1.0
+_MAX_PAGES = 1000
+# Two nodes that poll at the same time still stay below the rate limit.
 _RATE_SHARE = 0.25
 
 
 class ListedTarget(NamedTuple):
-    """A target as the platform lists it; `cold` is how much longer it is cold."""
+    """A target as the platform lists it; `cold` is its remaining cold-start time."""
 
     instance: str
     upstream: str
@@ -38,24 +38,24 @@
 
 
 class PlatformList:
-    """Reads the list from the platform, at a share of the rate in calls per second."""
+    """Reads the list from the platform, within a share of its limit of calls per second."""
 
     def __init__(self, address: Address, rate_per_second: float) -> None:
         self._address = address
         self._connections = TargetConnections(address)
-        self._pause = 1.0 / max(0.1, rate_per_second * _RATE_SHARE)
+        self._pause_seconds = 1.0 / max(0.1, rate_per_second * _RATE_SHARE)
 
     async def read(self) -> dict[str, ListedTarget]:
-        """The whole list by instance; MeshError if any of its pages cannot be read."""
+        """Returns the whole list by instance; raises MeshError if a page cannot be read."""
         listed: dict[str, ListedTarget] = {}
         token = ""
-        for _ in range(_MOST_PAGES):
+        for _ in range(_MAX_PAGES):
             targets, token = await self._read_page(token)
             listed.update((target.instance, target) for target in targets)
             if not token:
                 return listed
-            await asyncio.sleep(self._pause)
-        raise MeshError("list", "no last page", str(self._address))
+            await asyncio.sleep(self._pause_seconds)
+        raise MeshError("list", "too many pages", str(self._address))
 
     async def _read_page(self, token: str) -> tuple[list[ListedTarget], str]:
         path = wire_names.INSTANCES_CALL[1]
@@ -64,7 +64,7 @@
         peer = str(self._address)
         connection = None
         try:
-            async with asyncio.timeout(_CALL_SECONDS):
+            async with asyncio.timeout(_CALL_TIMEOUT_SECONDS):
                 connection = await self._connections.take()
                 head = f"GET {path} HTTP/1.1\r\nHost: {peer}\r\n\r\n"
                 await connection.begin(head.encode(), None)
@@ -82,11 +82,11 @@
         try:
             return read_page(body)
         except (ValueError, TypeError, KeyError, AttributeError) as error:
-            raise MeshError("list", f"bad page: {error!r}", peer) from error
+            raise MeshError("list", f"malformed page: {error!r}", peer) from error
 
 
 def read_page(body: bytes) -> tuple[list[ListedTarget], str]:
-    """The targets of a page, and the token of the next page or "".
+    """Returns the targets of a page, and the token of the next page or "".
 
     Raises ValueError, TypeError, KeyError or AttributeError if the page is malformed.
     """
--- a/marblefold/registry/platform_list_sync.py
+++ b/marblefold/registry/platform_list_sync.py
@@ -1,8 +1,7 @@
-"""One registry's duty: brings the platform's list of targets into the feed.
+"""Publishes the platform's list of targets in the feed; one registry, the leader, does this.
 
-Whoever takes the duty up raises its epoch in the stores first.  Entries are
-ordered by epoch, then by number, so what a former holder still says never
-outranks what its successor said.
+A new leader first raises the epoch in the stores.  Entries are ordered by epoch,
+then by number, so an entry of a former leader never supersedes one of its successor.
 """
 
 import asyncio
@@ -21,22 +20,22 @@
 __all__ = ["LEADER_REGISTER", "PlatformListSync"]
 
 LEADER_REGISTER = "duty/instances"
-_LOOK_EVERY = timedelta(milliseconds=250)
-# The list is read several times within the time that a drain may take.
-_READS_IN_A_DRAIN = 3
-_LONGEST_PAUSE = timedelta(seconds=1)
-_MOST_BACK_OFF = 4.0
+_LEADER_CHECK_INTERVAL = timedelta(milliseconds=250)
+# The list is read several times within the drain time, so that a drain is not missed.
+_READS_PER_DRAIN_TIME = 3
+_MAX_SYNC_INTERVAL = timedelta(seconds=1)
+_MAX_BACK_OFF_FACTOR = 4.0
 
 
 class PlatformListSync:
-    """Reads the list while the duty is ours."""
+    """Reads and publishes the list while this registry is the leader."""
 
     def __init__(
         self,
         listing: PlatformList,
         catalogue: Catalogue,
         store_client: RegisterClient,
-        own: str,
+        own_address: str,
         is_leader: Callable[[], bool],
         region_of: Callable[[str], str],
         drain_time: timedelta,
@@ -44,55 +43,62 @@
         self._listing = listing
         self._catalogue = catalogue
         self._store_client = store_client
-        self._own = own
+        self._own_address = own_address
         self._is_leader = is_leader
         self._region_of = region_of
-        self._pause = min(_LONGEST_PAUSE, drain_time / _READS_IN_A_DRAIN)
-        # The epoch in which we hold the duty; None while we do not.
+        self._sync_interval = min(_MAX_SYNC_INTERVAL, drain_time / _READS_PER_DRAIN_TIME)
+        # The epoch of this registry's leadership; None while another leads.
         self._epoch: int | None = None
-        self._number = 0
+        self._entry_number = 0
         self._published: dict[str, ListedTarget] = {}
         self._missing: set[str] = set()
 
     async def run(self) -> None:
-        """Makes rounds for ever, slower while the platform does not answer."""
-        back_off = 1.0
+        """Synchronizes forever, with back-off while the platform does not answer."""
+        back_off_factor = 1.0
         while True:
             if not self._is_leader():
                 self._epoch = None
-                await asyncio.sleep(_LOOK_EVERY.total_seconds())
+                await asyncio.sleep(_LEADER_CHECK_INTERVAL.total_seconds())
                 continue
             try:
                 await self.sync_once()
-                back_off = 1.0
+                back_off_factor = 1.0
             except MeshError as error:
-                # What is held serves on; many must not ask all at once.
-                back_off = min(_MOST_BACK_OFF, back_off * 1.5)
-                log.warning("no list", step=error.step, peer=error.peer, reason=error.reason)
-            await asyncio.sleep(self._pause.total_seconds() * back_off * random.uniform(0.85, 1.0))
+                # The published list stays in use.  The jitter below spreads the retries.
+                back_off_factor = min(_MAX_BACK_OFF_FACTOR, back_off_factor * 1.5)
+                log.warning(
+                    "platform list not synchronized",
+                    step=error.step,
+                    peer=error.peer,
+                    reason=error.reason,
+                )
+            await asyncio.sleep(
+                self._sync_interval.total_seconds() * back_off_factor * random.uniform(0.85, 1.0)
+            )
 
     async def sync_once(self) -> None:
-        """One round: the duty's epoch, the whole list, then what changed in it."""
+        """Acquires leadership if needed, reads the whole list and publishes its changes."""
         if self._epoch is None:
             await self._acquire_leadership()
         self._publish(await self._listing.read())
 
     async def _acquire_leadership(self) -> None:
-        held = await self._store_client.ask("describe", LEADER_REGISTER)
-        own = self._own.encode()
-        taken = await self._store_client.ask("duty", LEADER_REGISTER, held.number, own)
-        # Another was faster: its epoch is not ours.
-        if taken.value != own or taken.number != held.number + 1:
-            raise MeshError("duty", "taken by another", taken.value.decode())
-        self._epoch, self._number = taken.number, 0
+        current = await self._store_client.ask("describe", LEADER_REGISTER)
+        own = self._own_address.encode()
+        acquired = await self._store_client.ask("duty", LEADER_REGISTER, current.number, own)
+        # Another registry acquired this epoch first.
+        if acquired.value != own or acquired.number != current.number + 1:
+            raise MeshError("duty", "acquired by another registry", acquired.value.decode())
+        self._epoch, self._entry_number = acquired.number, 0
         self._published, self._missing = {}, set()
-        log.info("list duty", epoch=self._epoch)
+        log.info("leader for the platform list", epoch=self._epoch)
 
     def _publish(self, listed: dict[str, ListedTarget]) -> None:
         for instance, target in listed.items():
-            held = self._published.get(instance)
-            # How long it stays cold runs down by itself and is no change.
-            if held is None or _without_cold_time(held) != _without_cold_time(target):
+            published = self._published.get(instance)
+            # A remaining cold time that only counts down is not a change.
+            if published is None or _without_cold_time(published) != _without_cold_time(target):
                 self._put(instance, target)
         self._published = listed | {
             instance: target
@@ -101,13 +107,13 @@
         }
         known = {entry.key for entry in self._catalogue.entries("target")}
         for instance in known - set(listed):
-            # A page boundary may hide one once; twice missing is gone.
+            # Paging may skip a target once; one missing from two reads in a row is gone.
             if instance in self._missing:
                 self._put(instance, None)
         self._missing = known - set(listed)
 
     def _put(self, instance: str, target: ListedTarget | None) -> None:
-        self._number += 1
+        self._entry_number += 1
         value = b""
         if target is not None:
             value = kinds.TargetNotice(
@@ -128,7 +134,7 @@
                 kind="target",
                 key=instance,
                 life=self._epoch,
-                number=self._number,
+                number=self._entry_number,
                 value=value,
                 removed=target is None,
             )
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -1,4 +1,4 @@
-"""The registry: knows targets and proxies, takes outside calls, feeds changes."""
+"""The registry process: tracks targets and proxies, serves operators, publishes changes."""
 
 import asyncio
 import math
@@ -20,7 +20,7 @@
 from marblefold.inner_protocol.ports import GATEWAY_FOLLOWS, REGISTRY, STORE, inner_address
 from marblefold.logs import log
 from marblefold.maintenance.calls import MaintenanceCalls
-from marblefold.maintenance.duty import REGISTER as MAINTENANCE
+from marblefold.maintenance.duty import REGISTER as MAINTENANCE_REGISTER
 from marblefold.maintenance.duty import MaintenanceDuty
 from marblefold.membership.node import NodeMembership
 from marblefold.node_config.model import Cloud
@@ -48,19 +48,19 @@
 
 __all__ = ["RegistryProgram"]
 
-_LIST_STARTUP_DELAY = timedelta(milliseconds=300)
+_LEADER_STARTUP_DELAY = timedelta(milliseconds=300)
 
 
 class RegistryProgram:
-    """Puts the parts of a registry together and runs them."""
+    """Assembles the components of a registry and runs them."""
 
     def __init__(self, watch: ConfigWatch) -> None:
         config = watch.config
         self._watch = watch
         self._config = config
-        # Drawn, not read off the time of day, which may be set back to a past life's.
+        # Random: the wall clock may be set back, which would repeat an earlier generation.
         self.catalogue = Catalogue(int.from_bytes(os.urandom(6)))
-        self.contact = QuorumContact(on_change=self._on_contact)
+        self.contact = QuorumContact(on_change=self._on_contact_change)
         self.store_client = StoreClient(
             inner_address(config.host, config, STORE),
             self._seed_stores,
@@ -73,32 +73,35 @@
         self._stall_detector = StallDetector()
         self.feed = FeedPublisher(self.catalogue, lambda: self.contact.is_held, self._count_proxies)
         self._connections: dict[PeerConnection, str] = {}
-        self._own = inner_address(config.host, config, REGISTRY)
+        self._own_address = inner_address(config.host, config, REGISTRY)
         self._leader_selection = LeaderSelection(
-            self._membership, self._own, lambda: self._registries, lambda: self.contact.is_held
+            self._membership,
+            self._own_address,
+            lambda: self._registries,
+            lambda: self.contact.is_held,
         )
         capacity = LiveCapacity(
             self.catalogue, self._membership, self._leader_selection, config.cloud is None
         )
-        self._extra_runs = (
-            self._make_list_sync(config, config.cloud) if config.cloud is not None else []
+        self._platform_tasks = (
+            self._make_platform_tasks(config, config.cloud) if config.cloud is not None else []
         )
         self.maintenance = MaintenanceDuty(self.store_client, capacity)
-        self._sites = SiteCoordinator(
+        self._site_coordinator = SiteCoordinator(
             config,
-            self._own,
+            self._own_address,
             self.catalogue,
             self.store_client,
-            lambda: self._leader_selection.is_leader(PARTNERS_REGISTER, _LIST_STARTUP_DELAY),
+            lambda: self._leader_selection.is_leader(PARTNERS_REGISTER, _LEADER_STARTUP_DELAY),
         )
         self._collector = Collector(read_collected_spans())
         calls = CommandRouter(self._stall_detector, self.contact)
         TraceCalls(self._collector, time.time).add_to(calls)
-        self._traffic = TrafficRates()
+        self._traffic_rates = TrafficRates()
         self._history = HistoryKeeper(config.data_directory if is_history_on() else "")
         self._history.add_to(calls)
-        RehearsalCalls(self.store_client, self._describe_parts).add_to(calls)
-        self._sites.add_to(calls)
+        RehearsalCalls(self.store_client, self._describe_snapshot_parts).add_to(calls)
+        self._site_coordinator.add_to(calls)
         MaintenanceCalls(self.store_client, self._zones, capacity.all_slots).add_to(calls)
         ControlCalls(
             self.store_client,
@@ -106,93 +109,99 @@
             self._show_state,
             self._evacuation_number,
         ).add_to(calls)
-        self._control = HttpServer(calls.handle)
-        self._stop = asyncio.Event()
+        self._control_server = HttpServer(calls.handle)
+        self._stop_requested = asyncio.Event()
 
     async def run(self) -> None:
-        """Serves until a SIGTERM."""
+        """Serves until SIGTERM; SIGHUP rereads the node configuration."""
         loop = asyncio.get_running_loop()
-        loop.add_signal_handler(signal.SIGTERM, self._stop.set)
+        loop.add_signal_handler(signal.SIGTERM, self._stop_requested.set)
         loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
         inner = inner_address(self._config.host, self._config, REGISTRY)
-        host, _sign, port = inner.rpartition(":")
+        host, _separator, port = inner.rpartition(":")
         await loop.create_server(lambda: PeerConnection(self), host, int(port), backlog=512)
         await self._membership.start()
-        await self._control.start(self._config.listen["control-plane"])
+        await self._control_server.start(self._config.listen["control-plane"])
         log.info("serving", node=self._config.node_name, inner=inner)
         tasks = TaskKeeper()
-        for run in (
+        for coroutine in (
             self._watch.run(),
             self.store_client.run(),
             self.feed.run(),
             self._stall_detector.run(),
-            self._control.run(),
+            self._control_server.run(),
             self._membership.run(),
             self.maintenance.run(),
-            *self._extra_runs,
+            *self._platform_tasks,
             self._history.run(),
-            *self._sites.background_tasks(),
+            *self._site_coordinator.background_tasks(),
         ):
-            tasks.start(run)
-        await self._stop.wait()
-        # Calls that were read are answered; callers know other registries.
-        self._control.is_leaving = True
-        self._control.stop()
-        last = loop.time() + 2.0
-        while self._control.in_progress and loop.time() < last:
+            tasks.start(coroutine)
+        await self._stop_requested.wait()
+        # Calls already read are still answered; new calls go to other registries.
+        self._control_server.is_leaving = True
+        self._control_server.stop()
+        deadline = loop.time() + 2.0
+        while self._control_server.in_progress and loop.time() < deadline:
             await asyncio.sleep(0.02)
         tasks.cancel()
 
-    def _make_list_sync(self, config: NodeConfig, cloud: Cloud) -> list[Coroutine[Any, Any, None]]:
-        """Where the platform keeps the list, one registry reads it for all."""
-        # Nothing else needs these, so other deployments do not import them.
+    def _make_platform_tasks(
+        self, config: NodeConfig, cloud: Cloud
+    ) -> list[Coroutine[Any, Any, None]]:
+        """Creates the tasks for a platform that lists the targets: one registry reads the list."""
+        # Imported here because other deployments do not need these modules.
         from marblefold.proxy.registry_follower import RegistryFollower
         from marblefold.registry.peer_updates import PeerUpdates
         from marblefold.registry.platform_list import PlatformList
         from marblefold.registry.platform_list_sync import LEADER_REGISTER, PlatformListSync
 
-        news = PeerUpdates(self.catalogue, {"target"}, lambda: self._registries - {self._own})
-        follower = RegistryFollower(config.node_name, list, news)
-        duty = PlatformListSync(
+        updates = PeerUpdates(
+            self.catalogue, {"target"}, lambda: self._registries - {self._own_address}
+        )
+        follower = RegistryFollower(config.node_name, list, updates)
+        list_sync = PlatformListSync(
             PlatformList(cloud.address, cloud.rate_per_second),
             self.catalogue,
             self.store_client,
-            self._own,
-            lambda: self._leader_selection.is_leader(LEADER_REGISTER, _LIST_STARTUP_DELAY),
+            self._own_address,
+            lambda: self._leader_selection.is_leader(LEADER_REGISTER, _LEADER_STARTUP_DELAY),
             lambda zone: self._watch.config.zone_regions.get(zone, ""),
             config.bounds.drain_time,
         )
-        return [follower.run(), duty.run()]
+        return [follower.run(), list_sync.run()]
 
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
-        """A proxy sends what it knows of itself, or follows the feed."""
+        """Handles a one-way message of a node: a notice, a subscription or a lease request."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Follow):
             self.feed.follow(connection, message)
         elif isinstance(message, kinds.TargetNotice):
-            self._take_notice(connection, message)
+            self._apply_target_notice(connection, message)
         elif isinstance(message, kinds.TrafficNotice):
-            self._traffic.record(message, time.monotonic())
+            self._traffic_rates.record(message, time.monotonic())
         elif isinstance(message, kinds.SpanBatch):
             self._collector.take(message)
         elif isinstance(message, kinds.Want):
             self.feed.send_entry(connection, message)
         elif isinstance(message, kinds.RenewLease):
-            connection.send(FrameKind.TELL, 0, pack_message(self._sites.granter.grant(message)))
+            connection.send(
+                FrameKind.TELL, 0, pack_message(self._site_coordinator.granter.grant(message))
+            )
 
     def on_lost(self, connection: PeerConnection) -> None:
-        """A proxy's connection is gone; what it sent holds until others know more."""
+        """Removes a lost connection; the entries that came over it stay until newer ones arrive."""
         self.feed.remove_follower(connection)
         self._connections.pop(connection, None)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
-        """Nobody sends hops to a registry."""
+        """Closes the exchange: registries serve no hops."""
         exchange.close()
 
     def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
-        """Peers call for nothing here."""
+        """Ignored: registries answer no calls over this protocol."""
 
-    def _take_notice(self, connection: PeerConnection, notice: kinds.TargetNotice) -> None:
+    def _apply_target_notice(self, connection: PeerConnection, notice: kinds.TargetNotice) -> None:
         self._connections[connection] = notice.node
         self.catalogue.put(
             kinds.Entry(
@@ -203,10 +212,10 @@
                 value=notice.SerializeToString(),
             )
         )
-        self._sites.report_claim_conflicts()
+        self._site_coordinator.report_claim_conflicts()
 
     def _on_record(self, record: ChosenRecord) -> None:
-        """A record holds: brings it to all followers."""
+        """Applies a chosen record and publishes it to the followers."""
         if record.register == "configuration":
             self._history.take(record.number, record.value)
             self.catalogue.put(
@@ -226,20 +235,20 @@
                     value=record.value,
                 )
             )
-        elif record.register == MAINTENANCE:
+        elif record.register == MAINTENANCE_REGISTER:
             self.maintenance.take(record.number, record.value)
         elif record.register == "view":
-            self._take_view(record)
+            self._apply_view(record)
         else:
-            self._sites.apply_record(record.register, record.number, record.value)
+            self._site_coordinator.apply_record(record.register, record.number, record.value)
 
-    def _take_view(self, record: ChosenRecord) -> None:
+    def _apply_view(self, record: ChosenRecord) -> None:
         if record.number < self._view_number:
             return
         self._view_number = record.number
         members = set(read_view(record.value).members)
         self.store_client.stores = members
-        # Registries stand on the machines of the stores.
+        # Registries run on the same machines as the stores.
         registries = sorted(
             inner_address(member.rpartition(":")[0], self._config, REGISTRY) for member in members
         )
@@ -256,13 +265,13 @@
     def _zones(self) -> set[str]:
         return set(self._watch.config.zone_regions)
 
-    def _describe_parts(self) -> dict[str, Any]:
+    def _describe_snapshot_parts(self) -> dict[str, Any]:
         return describe_parts(
             self._show_state(),
-            self._traffic,
+            self._traffic_rates,
             self._config,
             self.catalogue,
-            self._own,
+            self._own_address,
             self._membership.members("registry"),
             time.monotonic(),
         )
@@ -273,10 +282,10 @@
             self.catalogue, members, self._membership.members("proxy"), self.contact.is_held
         )
 
-    def _on_contact(self, is_held: bool) -> None:
-        """Announces it to followers at once, not with the next sign of life."""
+    def _on_contact_change(self, is_held: bool) -> None:
+        """Tells followers at once rather than with the next keepalive."""
         stores = len(self.store_client.stores)
-        log.info("in contact" if is_held else "out of contact", stores=stores)
+        log.info("quorum contact gained" if is_held else "quorum contact lost", stores=stores)
         self.feed.send_keepalive()
 
     def _evacuation_number(self, zone: str) -> int | None:
@@ -286,7 +295,8 @@
     def _count_proxies(self) -> int:
         if self._config.cloud is None:
             return len(self.catalogue.entries("target"))
-        # Each gateway follows a few registries; the others follow us too.
+        # Each gateway follows GATEWAY_FOLLOWS registries at most, and every other registry
+        # follows this one.
         registries = max(1, len(self._registries))
         gateways = max(0, self.feed.follower_count - (registries - 1))
         return max(1, math.ceil(gateways * registries / min(registries, GATEWAY_FOLLOWS)))
--- a/marblefold/registry/quorum_contact.py
+++ b/marblefold/registry/quorum_contact.py
@@ -1,12 +1,12 @@
 """Whether this registry is in contact with a majority of the stores.
 
-Contact is a lease on the registry's own steady clock.  It is fed only by answers
-of stores and counted from the *sending* of the heartbeat that was answered, so it
-never claims more than a quorum said, however long the answer lay in a buffer
-while this process was frozen.  A heartbeat travels behind the store's updates on one
-connection: contact also means that the updates of a majority are taken in.  Without
-new answers it runs out by itself: a registry that is cut off, or was asleep,
-knows that it may be behind before it says anything.
+Contact is a lease on the registry's own monotonic clock.  Only answers of stores
+extend it, counted from the *sending* of the heartbeat that was answered, so it never
+outlasts what a quorum confirmed, however long the answer was buffered while this
+process was paused.  A heartbeat's answer follows the store's updates on the same
+connection, so contact also means that the updates of a majority have been applied.
+Without new answers the lease expires: a registry that is partitioned, or was paused,
+knows that its state may be outdated before it sends anything.
 """
 
 import time
@@ -17,7 +17,7 @@
 
 __all__ = ["CONTACT_SECONDS", "QuorumContact"]
 
-# How long an answered ask counts, from its sending.  Heartbeats go out three
+# How long an answered heartbeat counts, from its sending.  Heartbeats are sent three
 # times as often, so that a lost one does not end the contact.
 CONTACT_SECONDS = 1.5
 _NEVER = float("-inf")
@@ -27,11 +27,11 @@
     """The newest heartbeat that a store answered as a voting member."""
 
     view: View
-    asked_at: float
+    sent_at: float
 
 
 class QuorumContact:
-    """Judges contact from the answers of stores; all times are steady seconds."""
+    """Derives contact from the answers of stores; all times are monotonic seconds."""
 
     def __init__(
         self,
@@ -42,54 +42,59 @@
         self._on_change = on_change
         self._votes: dict[str, _Vote] = {}
         self._view: View | None = None
-        # The sending of the oldest of the newest answers that made a majority.
-        self._asked_at = _NEVER
-        self._answered: dict[str, float] = {}
+        # When the oldest heartbeat of the newest answered majority was sent.
+        self._quorum_sent_at = _NEVER
+        self._last_answered_sent_at: dict[str, float] = {}
         self._was_held = False
 
     @property
     def is_held(self) -> bool:
-        """Whether a majority answered heartbeats that left within CONTACT_SECONDS."""
-        return self._clock() - self._asked_at < CONTACT_SECONDS
-
-    def record_vote(self, store: str, view: View, asked_at: float) -> None:
-        """A store answered a heartbeat: it is a voting member of the view."""
-        self._answered[store] = max(asked_at, self._answered.get(store, _NEVER))
-        held = self._votes.get(store)
-        if held is None or held.asked_at < asked_at:
-            self._votes[store] = _Vote(view, asked_at)
-        # A view is numbered by ballot: of two known ones the higher was chosen later.
+        """Whether a majority answered heartbeats sent within the last CONTACT_SECONDS."""
+        return self._clock() - self._quorum_sent_at < CONTACT_SECONDS
+
+    def record_vote(self, store: str, view: View, sent_at: float) -> None:
+        """Records that a store answered a heartbeat as a voting member of the view."""
+        self._last_answered_sent_at[store] = max(
+            sent_at, self._last_answered_sent_at.get(store, _NEVER)
+        )
+        latest = self._votes.get(store)
+        if latest is None or latest.sent_at < sent_at:
+            self._votes[store] = _Vote(view, sent_at)
+        # Views are numbered by ballot: of two views, the one with the higher number was
+        # chosen later.
         if self._view is None or view.number > self._view.number:
             self._view = view
-        # What a majority once said holds for its time, also while the view changes.
-        self._asked_at = max(self._asked_at, self._find_quorum_time())
+        # Contact that a majority confirmed lasts its full time even if the view changes.
+        self._quorum_sent_at = max(self._quorum_sent_at, self._find_quorum_time())
         self.notify_change()
 
-    def record_refusal(self, store: str, asked_at: float) -> None:
-        """A store answered a heartbeat, but has no vote now."""
-        self._answered[store] = max(asked_at, self._answered.get(store, _NEVER))
-        held = self._votes.get(store)
-        if held is not None and held.asked_at < asked_at:
+    def record_refusal(self, store: str, sent_at: float) -> None:
+        """Records that a store answered a heartbeat but has no vote now."""
+        self._last_answered_sent_at[store] = max(
+            sent_at, self._last_answered_sent_at.get(store, _NEVER)
+        )
+        latest = self._votes.get(store)
+        if latest is not None and latest.sent_at < sent_at:
             del self._votes[store]
 
     def is_silent(self, store: str) -> bool:
-        """Whether the store has left heartbeats of the last CONTACT_SECONDS unanswered."""
-        return self._clock() - self._answered.get(store, _NEVER) >= CONTACT_SECONDS
+        """Whether the store answered no heartbeat sent within the last CONTACT_SECONDS."""
+        return self._clock() - self._last_answered_sent_at.get(store, _NEVER) >= CONTACT_SECONDS
 
     def notify_change(self) -> None:
-        """Reports a contact that was gained or has run out, once."""
+        """Calls `on_change` once if contact was gained or has expired since the last call."""
         if self.is_held != self._was_held:
             self._was_held = not self._was_held
             self._on_change(self._was_held)
 
     def _find_quorum_time(self) -> float:
-        """The sending of the oldest of the newest answers that make a majority."""
+        """When the oldest heartbeat of the newest answered majority was sent."""
         view = self._view
         if view is None:
             return _NEVER
         times = sorted(
             (
-                vote.asked_at
+                vote.sent_at
                 for store, vote in self._votes.items()
                 if store in view.members and vote.view == view
             ),
--- a/marblefold/registry/site_coordination.py
+++ b/marblefold/registry/site_coordination.py
@@ -1,6 +1,6 @@
-"""What this registry does about partners and owners, put together.
+"""Assembles the registry's tasks for partner sites and service owners.
 
-Without partners and without owners in the stores nothing of it tasks.
+They stay idle while the stores hold no partners and no owners.
 """
 
 import os
@@ -28,18 +28,18 @@
 
 
 class SiteCoordinator:
-    """Owns the leader_selection of partners and owners at this registry."""
+    """Runs the partner and owner tasks of this registry and applies their records."""
 
     def __init__(
         self,
         config: NodeConfig,
-        own: str,
+        own_address: str,
         catalogue: Catalogue,
         store_client: RegisterClient,
         is_leader: Callable[[], bool],
     ) -> None:
         self._catalogue = catalogue
-        self._listed: dict[str, tuple[str, ...]] = {}
+        self._owned_services: dict[str, tuple[str, ...]] = {}
         self._owners_number = 0
         self._clashes: dict[str, list[str]] = {}
         self.partners = PartnerDuty(store_client, is_leader)
@@ -47,36 +47,36 @@
         self.agent: SiteAgent | None = None
         self._calls = (
             PartnerCalls(store_client, self.partners, lambda: self.granter.digests),
-            OwnerCalls(store_client, self._find_claimed),
+            OwnerCalls(store_client, self._collect_claims),
         )
         if config.site:
             self.agent = SiteAgent(
                 config.site,
-                own,
+                own_address,
                 store_client,
-                # A folder of its own: the store cleans up in the one above.
+                # A directory of its own, because the store deletes files in its parent.
                 BackgroundRecords(
                     lambda: RegisterFiles(os.path.join(config.data_directory, "ownership"))
                 ),
-                lambda: self._find_claimed().claimants,
+                lambda: self._collect_claims().claimants,
             )
             self.granter.site = config.site
             self.granter.owned = self.agent.grants
 
     def add_to(self, router: CallRouter) -> None:
-        """Serves the administration calls."""
+        """Registers the administration calls with the router."""
         for calls in self._calls:
             calls.add_to(router)
 
     def background_tasks(self) -> list[Coroutine[Any, Any, None]]:
-        """The coroutines that run as long as the registry does."""
+        """Returns the coroutines that run for the lifetime of the registry."""
         tasks = [self.partners.run()]
         if self.agent is not None:
             tasks.append(self.agent.run())
         return tasks
 
     def apply_record(self, register: str, number: int, value: bytes) -> None:
-        """Takes in a record that a majority holds; those of sites go into the feed."""
+        """Applies a record that a majority holds and publishes it in the feed."""
         if register == PARTNERS_REGISTER:
             self.partners.take(number, value)
             self._catalogue.put(
@@ -84,7 +84,7 @@
                     kind="partners",
                     key="partners",
                     number=number,
-                    value=_without_credentials(value),
+                    value=_remove_credentials(value),
                 )
             )
         elif register == OWNERS_REGISTER and number > self._owners_number:
@@ -94,30 +94,33 @@
             self._apply_owner(register[len(OWNER_PREFIX) :], number, value)
 
     def report_claim_conflicts(self) -> None:
-        """Targets changed: says once where the claims of sites clash."""
-        if not self._listed:
+        """Logs which services several sites claim, whenever that changes."""
+        if not self._owned_services:
             return
-        claimed = self._find_claimed()
+        claimed = self._collect_claims()
         clashes = find_clashes(claimed.claimants, claimed.owners)
         if clashes != self._clashes:
             self._clashes = clashes
-            log.warning("sites clash" if clashes else "no clash of sites", clashes=clashes)
+            log.warning(
+                "sites claim the same service" if clashes else "no conflicting claims of sites",
+                clashes=clashes,
+            )
 
     def _apply_owners_record(self, value: bytes) -> None:
-        before, self._listed = self._listed, read_owners(value)
+        previous, self._owned_services = self._owned_services, read_owners(value)
         if self.agent is not None:
             self.agent.take_record(value)
-        for upstream in self._listed:
-            # Owned from here on: until somebody is its owner nobody serves it.
+        for upstream in self._owned_services:
+            # The service is owned from now on; nobody serves it until it has an owner.
             self._catalogue.put(kinds.Entry(kind="owner", key=upstream, number=1))
-        for upstream in set(before) - set(self._listed):
-            held = self._catalogue.find("owner", upstream)
+        for upstream in set(previous) - set(self._owned_services):
+            current = self._catalogue.find("owner", upstream)
             self._catalogue.put(
                 kinds.Entry(
                     kind="owner",
                     key=upstream,
-                    life=held.life if held else 0,
-                    number=(held.number if held else 0) + 1,
+                    life=current.life if current else 0,
+                    number=(current.number if current else 0) + 1,
                     removed=True,
                 )
             )
@@ -125,20 +128,20 @@
 
     def _apply_owner(self, upstream: str, number: int, value: bytes) -> None:
         owner = Owner.read(value)
-        held = self._catalogue.find("owner", upstream)
-        # Renewals change nothing for those that only route by the epoch.
-        if held is not None and held.value and Owner.read(held.value).epoch == owner.epoch:
+        current = self._catalogue.find("owner", upstream)
+        # A renewal keeps the epoch, so nothing changes for routing.
+        if current is not None and current.value and Owner.read(current.value).epoch == owner.epoch:
             return
         self._catalogue.put(
             kinds.Entry(kind="owner", key=upstream, life=owner.epoch, number=number, value=value)
         )
         self.report_claim_conflicts()
 
-    def _find_claimed(self) -> Claimed:
+    def _collect_claims(self) -> Claimed:
         claimants: dict[str, set[tuple[str, str]]] = {}
         for entry in self._catalogue.entries("target"):
             notice = kinds.TargetNotice.FromString(entry.value)
-            if notice.site and notice.upstream in self._listed:
+            if notice.site and notice.upstream in self._owned_services:
                 claimants.setdefault(notice.upstream, set()).add((notice.site, notice.site_agent))
         owners = {
             entry.key: Owner.read(entry.value)
@@ -148,8 +151,8 @@
         return Claimed(claimants, owners)
 
 
-def _without_credentials(value: bytes) -> bytes:
-    """Nodes need no credentials, so they get none."""
+def _remove_credentials(value: bytes) -> bytes:
+    """Removes the partners' credentials, which nodes do not need."""
     return Document(
         {
             name: {key: field for key, field in partner.items() if key != "credential"}
--- a/marblefold/registry/snapshot_parts.py
+++ b/marblefold/registry/snapshot_parts.py
@@ -1,4 +1,4 @@
-"""What a registry puts into a snapshot for a rehearsal."""
+"""The parts of a rehearsal snapshot that a registry contributes."""
 
 import json
 from typing import Any
@@ -17,11 +17,11 @@
     traffic: TrafficRates,
     config: NodeConfig,
     catalogue: Catalogue,
-    own: str,
+    own_address: str,
     registries: list[Member],
     now: float,
 ) -> dict[str, Any]:
-    """Everything but the configuration, as plain objects; nothing is asked of anybody."""
+    """Returns all parts but the configuration as JSON objects, from local state only."""
     origins = {row["node"]: row[ZONE] for row in state["targets"] if row["node"]}
     origins.update({node: zone for node, zone in traffic.zones().items() if node not in origins})
     owners = {}
@@ -43,7 +43,10 @@
         },
         "nodes": len(origins),
         "nodes-heard": len(traffic.nodes(now)),
-        "registries": {own: config.zone, **{member.address: member.zone for member in registries}},
+        "registries": {
+            own_address: config.zone,
+            **{member.address: member.zone for member in registries},
+        },
         "owners": owners,
         "partners": catalogue.find("partners", "partners") is not None,
         "retry-budget": {
@@ -55,7 +58,7 @@
 
 
 def describe_flows(traffic: TrafficRates, now: float) -> list[dict[str, Any]]:
-    """The rows of traffic, as a snapshot has them."""
+    """Returns the traffic by route and zone as rows of a snapshot."""
     return [
         {
             "route": flow.route,
--- a/marblefold/registry/stall_detector.py
+++ b/marblefold/registry/stall_detector.py
@@ -1,10 +1,10 @@
-"""Notices that this process stood still, and what it read since may be old.
+"""Detects that this process was paused, so that data read afterwards may be stale.
 
-While a process is frozen the kernel goes on filling its sockets.  What is read
-after the thaw may have been sent long ago, by a caller that has gone on.  The
-loop marks that it runs, and the guard compares the steady clock at each of
-these marks: a gap is a stall.  After a stall everything is suspect until the
-loop has gone round often enough to have accepted and read all that waited.
+While a process is paused, the kernel keeps filling its socket buffers.  What is
+read after it resumes may have been sent long ago, by a caller that has since timed
+out.  The event loop records its progress, and the detector compares the monotonic
+clock between records: a large gap is a stall.  After a stall, everything may be
+stale until the loop has run enough iterations to accept and read all waiting data.
 """
 
 import asyncio
@@ -13,17 +13,19 @@
 
 __all__ = ["CHECK_INTERVAL_SECONDS", "STALL_THRESHOLD_SECONDS", "StallDetector"]
 
-# A record_progress at least so often; a gap of more than STALL_THRESHOLD_SECONDS is a stall.
+# Progress is recorded at least this often.
 CHECK_INTERVAL_SECONDS = 0.1
+# A larger gap between two records of progress is a stall.
 STALL_THRESHOLD_SECONDS = 0.35
-# To accept a connection, to hand it to its protocol, to add its reader and to
-# read it takes the loop four rounds; twice that, and never less than this time.
-_ROUNDS = 8
-_SUSPECT_SECONDS = 0.1
+# The loop needs four iterations to accept a connection, attach its protocol, add its
+# reader and read from it.  Data may be stale for twice as many iterations, and for at
+# least the time below.
+_STALE_ITERATIONS = 8
+_MIN_STALE_SECONDS = 0.1
 
 
 class StallDetector:
-    """Knows whether what is read now surely came while this process ran."""
+    """Tells whether data read now may have arrived while this process was paused."""
 
     def __init__(
         self,
@@ -33,35 +35,35 @@
         self._clock = clock
         self._schedule = schedule or _call_soon
         self._last_progress_at: float | None = None
-        self._suspect_until = float("-inf")
-        self._rounds_left = 0
+        self._stale_until = float("-inf")
+        self._iterations_remaining = 0
 
     def record_progress(self) -> None:
-        """The loop lives; a gap since the record_progress before is a stall."""
+        """Records that the loop is running; a large gap since the last record is a stall."""
         now = self._clock()
-        before, self._last_progress_at = self._last_progress_at, now
-        if before is not None and now - before > STALL_THRESHOLD_SECONDS:
-            self._suspect_until = now + _SUSPECT_SECONDS
-            is_counting = self._rounds_left > 0
-            self._rounds_left = _ROUNDS
+        previous, self._last_progress_at = self._last_progress_at, now
+        if previous is not None and now - previous > STALL_THRESHOLD_SECONDS:
+            self._stale_until = now + _MIN_STALE_SECONDS
+            is_counting = self._iterations_remaining > 0
+            self._iterations_remaining = _STALE_ITERATIONS
             if not is_counting:
-                self._schedule(self._count_round)
+                self._schedule(self._count_iteration)
 
     def may_be_stale(self) -> bool:
-        """Whether what is read now may have waited through a stall."""
+        """Whether data read now may have been buffered during a stall."""
         self.record_progress()
-        return self._rounds_left > 0 or self._clock() < self._suspect_until
+        return self._iterations_remaining > 0 or self._clock() < self._stale_until
 
     async def run(self) -> None:
-        """Marks for ever."""
+        """Records progress at a fixed interval, forever."""
         while True:
             self.record_progress()
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
-    def _count_round(self) -> None:
-        self._rounds_left -= 1
-        if self._rounds_left > 0:
-            self._schedule(self._count_round)
+    def _count_iteration(self) -> None:
+        self._iterations_remaining -= 1
+        if self._iterations_remaining > 0:
+            self._schedule(self._count_iteration)
 
 
 def _call_soon(action: Callable[[], None]) -> None:
--- a/marblefold/registry/state.py
+++ b/marblefold/registry/state.py
@@ -1,4 +1,4 @@
-"""What a registry knows, for people and for the planner."""
+"""A registry's state as JSON, for operators and the planner."""
 
 from typing import Any
 
@@ -14,14 +14,14 @@
     catalogue: Catalogue,
     members: list[str],
     proxies: list[Member],
-    is_in_touch: bool,
+    is_in_contact: bool,
 ) -> dict[str, Any]:
-    """Targets, evacuations, members and proxies as this registry sees them."""
+    """Returns the targets, evacuations, members and proxies that this registry knows."""
     configuration = catalogue.find("configuration", "configuration")
     targets = []
     for entry in catalogue.entries("target"):
         notice = kinds.TargetNotice.FromString(entry.value)
-        # A proxy that has no target yet, or none any more, offers no slots.
+        # A proxy without a running target offers no slots.
         if notice.state not in (wire_names.READY, wire_names.DRAINING):
             continue
         targets.append(
@@ -41,7 +41,7 @@
         )
     return {
         wire_names.CONFIG_VERSION: configuration.number if configuration is not None else None,
-        "in-touch": is_in_touch,
+        "in-touch": is_in_contact,
         "place": catalogue.revision,
         "members": members,
         "evacuated": sorted(
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -1,4 +1,4 @@
-"""The registry's way to the stores: asks them for changes, receives what is chosen."""
+"""The registry's client of the stores: sends writes and receives chosen records."""
 
 import asyncio
 import contextlib
@@ -22,21 +22,22 @@
 
 __all__ = ["ChosenRecord", "StoreClient"]
 
-_LOOK_EVERY = 0.2
-_HEARTBEAT_EVERY = 0.4
-# Out of contact, as after a start: nodes that start too wait for the first of it.
-_HURRIED = 0.05
-_HEARTBEAT_SECONDS = 1.0
-_CALL_SECONDS = 0.9
-# Callers wait longer for what takes longer to carry to a majority.
-_CONFIGURATION_SECONDS = 1.5
-# A store that said nothing for so long is not waited for alone.
-_PATIENCE_SECONDS = 0.4
-_PASS_OVER_SECONDS = 1.0
+_STORE_CHECK_INTERVAL_SECONDS = 0.2
+_HEARTBEAT_INTERVAL_SECONDS = 0.4
+# Without contact, as after a start: nodes that are starting wait for a registry's first
+# contact.
+_NO_CONTACT_INTERVAL_SECONDS = 0.05
+_HEARTBEAT_TIMEOUT_SECONDS = 1.0
+_CALL_TIMEOUT_SECONDS = 0.9
+# A configuration takes longer to replicate to a majority.
+_CONFIGURATION_TIMEOUT_SECONDS = 1.5
+# If a store has not answered after this delay, the next one is called as well.
+_HEDGE_DELAY_SECONDS = 0.4
+_DEPRIORITIZED_SECONDS = 1.0
 
 
 class ChosenRecord(NamedTuple):
-    """A record of the operator that a majority holds."""
+    """A record that a majority of the stores holds."""
 
     register: str
     number: int
@@ -44,11 +45,11 @@
 
 
 class StoreClient:
-    """Owns the connections to the stores; the one on this machine is asked first."""
+    """Owns the connections to the stores; prefers the store on this machine."""
 
     def __init__(
         self,
-        own_store: str,
+        local_store: str,
         seeds: Callable[[], list[str]],
         on_record: Callable[[ChosenRecord], None],
         contact: QuorumContact,
@@ -56,22 +57,23 @@
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.stores: set[str] = set()
-        self._own_store = own_store
+        self._local_store = local_store
         self._seeds = seeds
         self._on_record = on_record
         self._contact = contact
         self._peers = peers or PeerBook(self)
         self._clock = clock
-        self._attended: set[str] = set()
-        self._passed_over: dict[str, float] = {}
+        self._watched: set[str] = set()
+        self._deprioritized_until: dict[str, float] = {}
         self._tasks = TaskKeeper()
 
     async def ask(
         self, kind: str, register: str, number: int = 0, value: bytes = b""
     ) -> kinds.RegisterAnswer:
-        """What a majority holds after the ask; MeshError if no store could say in time.
+        """Returns what a majority holds after the call.
 
-        After a MeshError it is unclear whether a change took or will take effect.
+        Raises a MeshError if no store could answer in time; it is then unclear whether
+        a change took or will take effect.
         """
         is_large = kind == RegisterCallKind.CONFIGURATION
         if kind != RegisterCallKind.DESCRIBE:
@@ -81,97 +83,101 @@
                 kind=kind, register=register, number=number, value=value, order=os.urandom(12)
             )
         )
-        silent: set[str] = set()
+        unanswered: set[str] = set()
 
-        async def ask_one(peer: str, seconds: float) -> kinds.RegisterAnswer:
-            silent.add(peer)
+        async def call_store(peer: str, seconds: float) -> kinds.RegisterAnswer:
+            unanswered.add(peer)
             connection = await self._peers.reach(peer)
             answer: kinds.RegisterAnswer = unpack_message(await connection.call(call, seconds))
-            silent.discard(peer)
+            unanswered.discard(peer)
             if answer.outcome == Outcome.UNKNOWN:
                 raise MeshError(kind, answer.reason, peer)
             return answer
 
-        peers = self._in_order()
-        # Every change is fenced by a number, so that it may be asked of two stores.
-        seconds = _CONFIGURATION_SECONDS if is_large else remaining_seconds(_CALL_SECONDS)
+        peers = self._stores_by_preference()
+        # Every change is fenced by a number, so it is safe to send it to several stores.
+        seconds = (
+            _CONFIGURATION_TIMEOUT_SECONDS if is_large else remaining_seconds(_CALL_TIMEOUT_SECONDS)
+        )
         try:
-            return await call_hedged(peers, ask_one, _PATIENCE_SECONDS, seconds)
+            return await call_hedged(peers, call_store, _HEDGE_DELAY_SECONDS, seconds)
         finally:
-            # The next ask does not begin with those that this one waited for.
-            until = self._clock() + _PASS_OVER_SECONDS
-            self._passed_over.update(dict.fromkeys(silent, until))
+            # The next call tries the stores that did not answer this one last.
+            deprioritized_until = self._clock() + _DEPRIORITIZED_SECONDS
+            self._deprioritized_until.update(dict.fromkeys(unanswered, deprioritized_until))
 
     async def run(self) -> None:
-        """Follows every store, for ever."""
+        """Keeps a watch on every store, forever."""
         try:
             while True:
-                for peer in self._in_order():
-                    if peer not in self._attended:
-                        self._attended.add(peer)
-                        self._tasks.start(self._attend(peer))
-                # Contact that ran out is reported, though no answer comes.
+                for peer in self._stores_by_preference():
+                    if peer not in self._watched:
+                        self._watched.add(peer)
+                        self._tasks.start(self._watch_store(peer))
+                # Contact also expires when no answer arrives.
                 self._contact.notify_change()
-                await asyncio.sleep(self._pause(_LOOK_EVERY))
+                await asyncio.sleep(self._interval_seconds(_STORE_CHECK_INTERVAL_SECONDS))
         finally:
             self._tasks.cancel()
 
-    async def _attend(self, peer: str) -> None:
-        """Watches one store and sends it heartbeats, until its connection is lost."""
+    async def _watch_store(self, peer: str) -> None:
+        """Watches one store and sends it heartbeats until its connection is lost."""
         try:
             connection = await self._peers.reach(peer)
             watch = pack_message(kinds.RegisterCall(kind=RegisterCallKind.WATCH))
-            # Asked once for each connection: a store that hangs answers in the end.
+            # Sent once per connection: a store that hangs handles it when it resumes.
             with contextlib.suppress(MeshError):
-                await connection.call(watch, _HEARTBEAT_SECONDS)
-            while connection.is_open and peer in self._in_order():
+                await connection.call(watch, _HEARTBEAT_TIMEOUT_SECONDS)
+            while connection.is_open and peer in self._stores_by_preference():
                 await self._send_heartbeat(peer, connection)
-                await asyncio.sleep(self._pause(_HEARTBEAT_EVERY))
+                await asyncio.sleep(self._interval_seconds(_HEARTBEAT_INTERVAL_SECONDS))
         except MeshError:
-            # Out of reach: the next look tries again.
+            # Unreachable: the next check reconnects.
             return
         finally:
-            self._attended.discard(peer)
+            self._watched.discard(peer)
 
     async def _send_heartbeat(self, peer: str, connection: PeerConnection) -> None:
-        asked_at = self._clock()
-        beat = pack_message(kinds.RegisterCall(kind=RegisterCallKind.HEARTBEAT))
+        sent_at = self._clock()
+        heartbeat = pack_message(kinds.RegisterCall(kind=RegisterCallKind.HEARTBEAT))
         try:
-            answer = unpack_message(await connection.call(beat, _HEARTBEAT_SECONDS))
+            answer = unpack_message(await connection.call(heartbeat, _HEARTBEAT_TIMEOUT_SECONDS))
         except MeshError:
-            # A store that hangs is still watched: its updates come when it goes on.
+            # The watch stays in place: a store that hangs sends its updates when it resumes.
             return
         if answer.outcome == Outcome.HELD:
-            self._contact.record_vote(peer, read_view(answer.value), asked_at)
+            self._contact.record_vote(peer, read_view(answer.value), sent_at)
         else:
-            self._contact.record_refusal(peer, asked_at)
+            self._contact.record_refusal(peer, sent_at)
 
-    def _pause(self, calm: float) -> float:
-        return calm if self._contact.is_held else _HURRIED
+    def _interval_seconds(self, contact_interval: float) -> float:
+        return contact_interval if self._contact.is_held else _NO_CONTACT_INTERVAL_SECONDS
 
-    def _in_order(self) -> list[str]:
-        """The stores to ask: our own first, and those last that are silent."""
+    def _stores_by_preference(self) -> list[str]:
+        """The stores in order of preference: the local one first, silent ones last."""
         now = self._clock()
 
         def rank(peer: str) -> tuple[bool, bool, str]:
-            is_slow = self._contact.is_silent(peer) or self._passed_over.get(peer, now) > now
-            return is_slow, peer != self._own_store, peer
+            is_deprioritized = (
+                self._contact.is_silent(peer) or self._deprioritized_until.get(peer, now) > now
+            )
+            return is_deprioritized, peer != self._local_store, peer
 
-        return sorted({*self._seeds(), *self.stores, self._own_store}, key=rank)
+        return sorted({*self._seeds(), *self.stores, self._local_store}, key=rank)
 
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
-        """A store sends a record that is chosen."""
+        """Handles a chosen record that a store sent."""
         accepted = unpack_message(payload)
         if isinstance(accepted, kinds.Accepted):
             self._on_record(ChosenRecord(accepted.register, accepted.number, accepted.value))
 
     def on_lost(self, connection: PeerConnection) -> None:
-        """A store is out of reach."""
-        log.info("store lost", peer=connection.peer)
+        """Logs a lost connection; `run` reconnects."""
+        log.info("connection to store lost", peer=connection.peer)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
-        """Stores send no hops."""
+        """Closes the exchange: stores send no hops."""
         exchange.close()
 
     def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
-        """Stores call for nothing here."""
+        """Ignored: stores send no calls to a registry."""
--- a/marblefold/registry/traffic_rates.py
+++ b/marblefold/registry/traffic_rates.py
@@ -1,4 +1,4 @@
-"""What the nodes have counted, as one registry received it: rates by route and zone."""
+"""Request rates by route and zone, from the counters that nodes send to this registry."""
 
 from typing import NamedTuple
 
@@ -6,90 +6,90 @@
 
 __all__ = ["Flow", "TrafficRates"]
 
-# Counts that a node has not sent again for longer say nothing of now.
-_OLDEST_SECONDS = 60.0
+# Older counters of a node do not describe the present.
+_MAX_AGE_SECONDS = 60.0
 
 
 class Flow(NamedTuple):
-    """The requests of one route that begin in one zone."""
+    """The traffic of one route that originates in one zone."""
 
     route: str
     zone: str
     per_second: float
-    # How long one takes in the mean.
+    # The mean duration of a request.
     seconds: float
     refused_share: float
     unknown_share: float
     age_seconds: float
-    # What one moves in the mean; None where it was not counted.
+    # The mean size of a request in kilobytes; None if it was not counted.
     kilobytes: float | None = None
 
 
 class _Received(NamedTuple):
-    """A notice and when it came."""
+    """A notice and when it was received, in monotonic seconds."""
 
     notice: kinds.TrafficNotice
-    at: float
+    received_at: float
 
 
 class TrafficRates:
-    """The last two notices of every node; nothing else."""
+    """Keeps the last two notices of every node and derives rates from them."""
 
     def __init__(self) -> None:
         self._last: dict[str, _Received] = {}
-        self._before: dict[str, _Received] = {}
+        self._previous: dict[str, _Received] = {}
 
     def record(self, notice: kinds.TrafficNotice, now: float) -> None:
-        """Takes in the counts that a node sent."""
+        """Records the counters that a node sent; ignores outdated ones."""
         last = self._last.get(notice.node)
         if last is not None:
             order = (last.notice.node_life, last.notice.number)
             if (notice.node_life, notice.number) <= order:
                 return
-            # Counts of a fresh start cannot be compared with those before it.
+            # Counters start anew with the process, so they are not compared across a restart.
             if last.notice.node_life == notice.node_life:
-                self._before[notice.node] = last
+                self._previous[notice.node] = last
             else:
-                self._before.pop(notice.node, None)
+                self._previous.pop(notice.node, None)
         self._last[notice.node] = _Received(notice, now)
 
     def nodes(self, now: float) -> set[str]:
-        """The nodes whose rates are known."""
+        """The nodes with known rates."""
         return {
             node
             for node, received in self._last.items()
-            if node in self._before and now - received.at <= _OLDEST_SECONDS
+            if node in self._previous and now - received.received_at <= _MAX_AGE_SECONDS
         }
 
     def zones(self) -> dict[str, str]:
-        """The zone of each node that ever sent counts."""
+        """The zone of each node that has sent counters."""
         return {node: received.notice.zone for node, received in self._last.items()}
 
     def flows(self, now: float) -> list[Flow]:
-        """The rates by route and zone, per second, summed over the nodes."""
+        """The traffic by route and zone, summed over the nodes; rates are per second."""
         sums: dict[tuple[str, str], list[float]] = {}
         for node in self.nodes(now):
-            last, before = self._last[node], self._before[node]
-            window = max(1e-3, last.at - before.at)
-            earlier = {row.route: row for row in before.notice.routes}
+            last, previous = self._last[node], self._previous[node]
+            window = max(1e-3, last.received_at - previous.received_at)
+            previous_rows = {row.route: row for row in previous.notice.routes}
             for row in last.notice.routes:
-                old = earlier.get(row.route, kinds.RouteCount())
-                requests = row.requests - old.requests
+                previous_row = previous_rows.get(row.route, kinds.RouteCount())
+                requests = row.requests - previous_row.requests
                 if requests <= 0:
                     continue
-                found = sums.setdefault((row.route, last.notice.zone), [0.0] * 7)
-                for place, value in enumerate(
+                sums_of_flow = sums.setdefault((row.route, last.notice.zone), [0.0] * 7)
+                for index, value in enumerate(
                     (
                         requests / window,
                         requests,
-                        row.milliseconds - old.milliseconds,
-                        row.refused - old.refused,
-                        row.unknown - old.unknown,
-                        row.kilobytes - old.kilobytes,
+                        row.milliseconds - previous_row.milliseconds,
+                        row.refused - previous_row.refused,
+                        row.unknown - previous_row.unknown,
+                        row.kilobytes - previous_row.kilobytes,
                     )
                 ):
-                    found[place] += value
-                found[6] = max(found[6], now - last.at)
+                    sums_of_flow[index] += value
+                sums_of_flow[6] = max(sums_of_flow[6], now - last.received_at)
         return [
             Flow(
                 route,
@@ -113,10 +113,10 @@
         ]
 
     def service_seconds(self, upstream_of: dict[str, str]) -> dict[str, float]:
-        """By upstream, the mean seconds that a request takes at its targets."""
-        found: dict[str, list[float]] = {}
+        """The mean service time at the targets, in seconds, by upstream."""
+        durations: dict[str, list[float]] = {}
         for node, received in self._last.items():
             upstream = upstream_of.get(node)
             if upstream is not None and received.notice.service_us:
-                found.setdefault(upstream, []).append(received.notice.service_us / 1e6)
-        return {upstream: sum(values) / len(values) for upstream, values in found.items()}
+                durations.setdefault(upstream, []).append(received.notice.service_us / 1e6)
+        return {upstream: sum(values) / len(values) for upstream, values in durations.items()}
--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -62,8 +62,10 @@
                 while count_told(registry) < 13:
                     await asyncio.sleep(0)
             # As if ten seconds lay between the counts, which no test waits for.
-            for node, heard in registry._traffic._before.items():
-                registry._traffic._before[node] = heard._replace(at=heard.at - 10.0)
+            for node, heard in registry._traffic_rates._previous.items():
+                registry._traffic_rates._previous[node] = heard._replace(
+                    received_at=heard.received_at - 10.0
+                )
             before = state_of(mesh)
             status, shown, errors = await rehearse(
                 mesh, "--lose_region=there", "--as_json", f"--save={tmp_path}/kept.json"
@@ -106,8 +108,8 @@
 def count_told(registry):
     return sum(
         row.requests
-        for node, heard in registry._traffic._last.items()
-        if node in registry._traffic._before
+        for node, heard in registry._traffic_rates._last.items()
+        if node in registry._traffic_rates._previous
         for row in heard.notice.routes
     )
 
