--- a/marblefold/leases/granting.py
+++ b/marblefold/leases/granting.py
@@ -1,4 +1,4 @@
-"""The registry's side of leases: answers nodes that ask."""
+"""The registry's side of leases: answers the renewal requests of nodes."""
 
 from collections.abc import Callable
 
@@ -10,18 +10,18 @@
 
 
 class LeaseGranter:
-    """Grants what is left of this registry's own knowledge."""
+    """Grants leases that end no later than the registry's own knowledge is valid."""
 
     def __init__(self, partners: PartnerDuty) -> None:
-        # Where this registry is a site's agent, the site and what it may grant.
+        # If this registry is the agent of a site: the site, and the leases it may grant.
         self.site = ""
         self.owned: Callable[[], tuple[OwnedLease, ...]] = tuple
         self._partners = partners
-        # By node, the digest of the partner routes it holds, shown to operators.
+        # The digest of the partner routes that each node holds, by node; shown to operators.
         self.digests: dict[str, str] = {}
 
     def grant(self, request: kinds.RenewLease) -> kinds.LeaseGrant:
-        """The answer to a node's call; what is left of each lease is in milliseconds."""
+        """Answers a renewal request; the remaining time of each lease is in milliseconds."""
         self.digests[request.node] = request.digest
         owned = self.owned() if request.site and request.site == self.site else ()
         return kinds.LeaseGrant(
--- a/marblefold/leases/held_leases.py
+++ b/marblefold/leases/held_leases.py
@@ -1,8 +1,8 @@
-"""The leases that a node holds: how long it may go on with what it knows.
+"""The leases that a node holds: how long it may act on what it knows.
 
-Allow late, forbid early.  A lease is requested, and counted on the node's own
-steady clock from the moment it was requested; whoever grants it counts from a moment
-no earlier.  So it ends at the node before anybody relies on its end.
+A node counts a lease on its own monotonic clock from the moment of its request; the
+grantor counts it from a moment that is no earlier.  So the lease expires at the node
+before anybody relies on its expiry: permission starts late and ends early.
 """
 
 from typing import NamedTuple
@@ -10,14 +10,14 @@
 __all__ = ["CLOCK_DRIFT_MARGIN", "Grant", "HeldLeases", "OwnedLease", "LEASE_SECONDS"]
 
 LEASE_SECONDS = 3.0
-# Two steady clocks may run so far apart: whoever waits for a lease's end waits
-# this part longer.
+# The fraction by which two monotonic clocks may drift apart: whoever waits for the end
+# of a lease waits longer by this fraction.
 CLOCK_DRIFT_MARGIN = 0.05
-_MAX_PENDING_REQUESTS = 16
+_MAX_RETAINED_REQUESTS = 16
 
 
 class OwnedLease(NamedTuple):
-    """A service that our site owns, under an epoch, for so many seconds from the asking on."""
+    """A service that this site owns under an epoch, for `seconds` from the request on."""
 
     upstream: str
     epoch: int
@@ -25,7 +25,7 @@
 
 
 class Grant(NamedTuple):
-    """What a registry grants, as an answer to the asking of that number."""
+    """The leases that a registry grants in answer to the request of that number."""
 
     request_number: int
     partner_seconds: float
@@ -34,9 +34,9 @@
 
 
 class HeldLeases:
-    """The leases of one node, on its steady clock in seconds.
+    """The leases of one node; all times are seconds of its monotonic clock.
 
-    Asked on the request path, so it only compares numbers.
+    It is used on the request path, so its checks only compare numbers.
     """
 
     def __init__(self) -> None:
@@ -46,18 +46,18 @@
         self._owned: dict[str, tuple[int, float]] = {}
 
     def begin_request(self, now: float) -> int:
-        """The number of an asking that leaves now."""
+        """Records a request that is sent now and returns its number."""
         self._last_request_number += 1
         self._requested_at[self._last_request_number] = now
-        self._requested_at.pop(self._last_request_number - _MAX_PENDING_REQUESTS, None)
+        self._requested_at.pop(self._last_request_number - _MAX_RETAINED_REQUESTS, None)
         return self._last_request_number
 
     def apply_grant(self, grant: Grant, own_digest: str) -> None:
-        """Takes in a grant; one for an asking that nobody remembers is too late."""
+        """Applies a grant; ignores one whose request is too old to be retained."""
         requested_at = self._requested_at.get(grant.request_number)
         if requested_at is None:
             return
-        # A lease for other routes than ours says nothing of ours.
+        # A lease on other partner routes than this node holds does not apply.
         if grant.partner_digest == own_digest:
             self._partner_until = max(self._partner_until, requested_at + grant.partner_seconds)
         for owned in grant.owned:
@@ -69,10 +69,10 @@
                 self._owned[owned.upstream] = (epoch, max(until, renewed_until))
 
     def may_use_partners(self, now: float) -> bool:
-        """Whether the lease on the partner routes lasts at that time."""
+        """Whether the lease on the partner routes is valid at that time."""
         return now < self._partner_until
 
     def epoch(self, upstream: str, now: float) -> int:
-        """The epoch under which this node serves the service; 0 if it must not."""
+        """Returns the epoch under which this node may serve the service; 0 if it must not."""
         epoch, until = self._owned.get(upstream, (0, -1e9))
         return epoch if now < until else 0
--- a/marblefold/registry_client.py
+++ b/marblefold/registry_client.py
@@ -1,4 +1,4 @@
-"""HTTP calls of the command line tools to a running system: one registry, or all of them."""
+"""HTTP client of the command line tools: calls one registry of a system, or all of them."""
 
 import asyncio
 import json
@@ -29,8 +29,8 @@
 
 
 async def call_registry(address: str, call: RegistryCall) -> tuple[int, bytes]:
-    """Status and body of a call to HOST:PORT. Raises MeshError without a whole answer in time."""
-    # A tool that only reads files does not load the library.
+    """Calls HOST:PORT and returns status and body; raises MeshError without a complete answer."""
+    # Imported here, so that tools that only read files do not load the library.
     import aiohttp
 
     timeout = aiohttp.ClientTimeout(total=call.seconds)
@@ -47,7 +47,10 @@
 
 
 async def call_for_document(address: str, call: RegistryCall) -> tuple[int, dict]:
-    """Status and JSON document of a call. Raises MeshError as call_registry, or without JSON."""
+    """Returns status and JSON document of a call.
+
+    Raises MeshError as call_registry does, and if the answer is not JSON.
+    """
     status, data = await call_registry(address, call)
     try:
         return status, json.loads(data)
@@ -56,14 +59,14 @@
 
 
 async def ask_one(address: str, path: str) -> tuple[int, dict]:
-    """Status and JSON document of a GET; raises MeshError where there is no answer."""
+    """Returns status and JSON document of a GET; raises MeshError if there is no answer."""
     return await call_for_document(address, RegistryCall("GET", path))
 
 
 async def find_registries(address: str) -> list[str]:
-    """HOST:PORT of all registries of the system: the members' hosts with this one's port.
+    """Returns HOST:PORT of all registries: the members' hosts with the port of `address`.
 
-    Raises MeshError where the registry at `address` does not tell its members.
+    Raises MeshError if the registry at `address` does not return its members.
     """
     status, state = await ask_one(address, wire_names.STATE_PATH)
     if status != 200:
@@ -74,9 +77,9 @@
 
 
 async def ask_all(address: str, path: str) -> tuple[list[tuple[int, dict]], list[str]]:
-    """The answers of all registries that gave one, and the addresses of those that gave none.
+    """Returns the answers of the registries, and the addresses of those that gave none.
 
-    Raises MeshError only where the registry at `address` does not tell its members.
+    Raises MeshError only if the registry at `address` does not return its members.
     """
     registries = await find_registries(address)
     results = await asyncio.gather(
