--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -1,4 +1,4 @@
-"""Loops, connections and messages of simulated core machines."""
+"""Event loops, connections and messages of simulated core machines."""
 
 import asyncio
 from collections.abc import Callable
@@ -8,56 +8,56 @@
 
 
 class Message(NamedTuple):
-    """Bytes under way; act runs at the target when they are read there."""
+    """A message in flight; `receive` runs when the target reads it."""
 
     number: int
-    sent: float
+    sent_at: float
     source: str
     target: str
-    act: Callable[[], object]
+    receive: Callable[[], object]
 
 
-class Loop(asyncio.SelectorEventLoop):
-    """A loop on the clock of the world that turns when it is told to."""
+class SimulatedLoop(asyncio.SelectorEventLoop):
+    """An event loop on the cluster's clock; it runs one iteration at a time, on request."""
 
-    def __init__(self, world):
-        self.world = world
+    def __init__(self, cluster):
+        self.cluster = cluster
         super().__init__()
 
     def time(self):
-        return self.world.now
+        return self.cluster.now
 
     @property
     def is_due(self):
-        """Whether a turn would do anything."""
-        timer = self._scheduled[0].when() if self._scheduled else self.world.now + 1
-        return bool(self._ready) or timer <= self.world.now
+        """Whether an iteration would run anything."""
+        timer = self._scheduled[0].when() if self._scheduled else self.cluster.now + 1
+        return bool(self._ready) or timer <= self.cluster.now
 
-    def turn(self):
+    def run_once(self):
         self.call_soon(self.stop)
         self.run_forever()
 
 
-class Connection:
-    """One process's connection to a store, over the world's links."""
+class SimulatedConnection:
+    """The connection of one process to a store, over the cluster's links."""
 
     is_open = True
 
-    def __init__(self, world, source, target, owner):
-        self.world, self.source, self.peer, self.owner = world, source, target, owner
+    def __init__(self, cluster, source, target, owner):
+        self.cluster, self.source, self.peer, self.owner = cluster, source, target, owner
 
     async def call(self, payload, seconds):
         loop = asyncio.get_running_loop()
         answer = loop.create_future()
 
-        def answered(data):
+        def complete(data):
             if not answer.done():
                 answer.set_result(data)
 
         def read():
-            self.world.machines[self.peer].serve(self, payload, answered)
+            self.cluster.machines[self.peer].serve(self, payload, complete)
 
-        self.world.send(self.source, self.peer, read)
+        self.cluster.send(self.source, self.peer, read)
         try:
             async with asyncio.timeout(seconds):
                 return await answer
@@ -65,22 +65,24 @@
             raise MeshError("call", "no reply in time", self.peer) from None
 
     def send(self, kind, _number, payload):
-        """From a store to the registry that watches, or from store to store."""
+        """Sends from a store to the registry that watches it, or from store to store."""
         if self.owner is not None:
-            self.world.send(self.peer, self.source, lambda: self.owner.on_tell(self, payload))
+            self.cluster.send(self.peer, self.source, lambda: self.owner.on_tell(self, payload))
         else:
-            target = self.world.machines[self.peer]
-            self.world.send(self.source, self.peer, lambda: target.program.on_tell(self, payload))
+            target = self.cluster.machines[self.peer]
+            self.cluster.send(self.source, self.peer, lambda: target.program.on_tell(self, payload))
 
 
-class Peers:
-    """Connections that are always there; what goes over them may be lost."""
+class SimulatedPeers:
+    """Connections that always exist; messages over them may be lost."""
 
-    def __init__(self, world, source):
-        self.world, self.source, self.owner, self.known = world, source, None, {}
+    def __init__(self, cluster, source):
+        self.cluster, self.source, self.owner, self.known = cluster, source, None, {}
 
     def find(self, peer):
-        return self.known.setdefault(peer, Connection(self.world, self.source, peer, self.owner))
+        return self.known.setdefault(
+            peer, SimulatedConnection(self.cluster, self.source, peer, self.owner)
+        )
 
     async def reach(self, peer):
         return self.find(peer)
--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -1,8 +1,8 @@
-"""Core machines, each with the real store and registry parts on a loop of its own.
+"""Simulated core machines, each with the real store and registry on its own event loop.
 
-A machine that is frozen takes no turn: its timers stand still and its sockets
-fill, while the clock of the world goes on for all.  At the thaw it reads what
-waited first, as a real event loop does.
+A paused machine runs nothing: its timers do not fire and its sockets fill, while the
+clock of the cluster advances for all.  When it resumes, it first reads what is
+waiting, as a real event loop does.
 """
 
 import asyncio
@@ -23,23 +23,23 @@
 from marblefold.registry.quorum_contact import QuorumContact
 from marblefold.registry.stall_detector import StallDetector
 from marblefold.registry.store_client import StoreClient
-from tests.simulated_links import Loop, Message, Peers
+from tests.simulated_links import Message, SimulatedLoop, SimulatedPeers
 from tests.simulated_stores import MemoryRecords
 
-SLICE = 0.05
-# Bytes that are not acknowledged for so long end their connection.
-UNHEARD = 2.0
+TIME_STEP_SECONDS = 0.05
+# A connection whose data stays unacknowledged for this long is closed, and the data lost.
+CONNECTION_TIMEOUT_SECONDS = 2.0
 OPERATOR = "operator"
 
 
-class World:
-    """The clock, the links and the machines."""
+class Cluster:
+    """The clock, the links and the machines of a simulated cluster."""
 
     def __init__(self, names=("a", "b", "c")):
         self.now = 1000.0
-        self.order = itertools.count()
-        self.cut = set()
-        self.waiting = []
+        self.sequence = itertools.count()
+        self.cut_links = set()
+        self.in_flight = []
         self.machines = {}
         for name in names:
             self.machines[name] = Machine(self, name, names)
@@ -47,32 +47,32 @@
     def clock(self):
         return self.now
 
-    def send(self, source, target, act):
-        """Sends a message over a link; it may be held back, or lost."""
-        self.waiting.append(Message(next(self.order), self.now, source, target, act))
+    def send(self, source, target, receive):
+        """Sends a message over a link, which may delay or lose it."""
+        self.in_flight.append(Message(next(self.sequence), self.now, source, target, receive))
 
     def deliver(self):
-        messages, self.waiting = sorted(self.waiting, key=lambda one: one.number), []
+        messages, self.in_flight = sorted(self.in_flight, key=lambda one: one.number), []
         for message in messages:
-            if (message.source, message.target) in self.cut:
-                # The sender's kernel tries again until its connection ends.
-                if self.now - message.sent < UNHEARD:
-                    self.waiting.append(message)
+            if (message.source, message.target) in self.cut_links:
+                # The sender's kernel retransmits until the connection is closed.
+                if self.now - message.sent_at < CONNECTION_TIMEOUT_SECONDS:
+                    self.in_flight.append(message)
             elif message.target == OPERATOR:
-                message.act()
+                message.receive()
             else:
                 self.machines[message.target].inbox.append(message)
 
-    def turn(self, rounds=12):
+    def run_rounds(self, rounds=12):
         for _ in range(rounds):
             self.deliver()
             for machine in self.machines.values():
-                machine.turn()
+                machine.run_once()
 
     def advance(self, seconds):
-        for _ in range(round(seconds / SLICE)):
-            self.now += SLICE
-            self.turn()
+        for _ in range(round(seconds / TIME_STEP_SECONDS)):
+            self.now += TIME_STEP_SECONDS
+            self.run_rounds()
 
     def close(self):
         for machine in self.machines.values():
@@ -80,24 +80,24 @@
 
 
 class Machine:
-    """A store and a registry on one machine."""
+    """One machine with a store and a registry."""
 
-    def __init__(self, world, name, names):
-        self.world, self.name = world, name
-        self.loop, self.inbox, self.is_frozen = Loop(world), [], False
+    def __init__(self, cluster, name, names):
+        self.cluster, self.name = cluster, name
+        self.loop, self.inbox, self.is_paused = SimulatedLoop(cluster), [], False
         self.records = MemoryRecords()
         self.make_store(list(names))
         self.make_registry(list(names))
-        for run in (self.upkeep.run(), self.client.run(), self.stall_detector.run()):
-            self.loop.create_task(run)
+        for coroutine in (self.upkeep.run(), self.client.run(), self.stall_detector.run()):
+            self.loop.create_task(coroutine)
 
     def make_store(self, names):
         self.acceptor = Acceptor(self.name, self.records, names, True)
-        peers = StorePeers(self.acceptor, Peers(self.world, self.name))
+        peers = StorePeers(self.acceptor, SimulatedPeers(self.cluster, self.name))
         self.chosen = ChosenRegisters()
-        proposer = Proposer(peers, f"{self.name}/{self.acceptor.life}", clock=self.world.clock)
+        proposer = Proposer(peers, f"{self.name}/{self.acceptor.life}", clock=self.cluster.clock)
         self.upkeep = Upkeep(self.acceptor, peers, proposer, self.chosen, names)
-        # The real answers of the real program, without its sockets and files.
+        # The real program answers, without its sockets and files.
         self.program = StoreProgram.__new__(StoreProgram)
         vars(self.program).update(
             _acceptor=self.acceptor,
@@ -108,21 +108,21 @@
         )
 
     def make_registry(self, names):
-        self.contact = QuorumContact(self.world.clock)
-        peers = Peers(self.world, self.name)
+        self.contact = QuorumContact(self.cluster.clock)
+        peers = SimulatedPeers(self.cluster, self.name)
         self.client = StoreClient(
-            self.name, lambda: names, self.on_record, self.contact, peers, self.world.clock
+            self.name, lambda: names, self.on_record, self.contact, peers, self.cluster.clock
         )
         peers.owner = self.client
-        self.stall_detector = StallDetector(self.world.clock)
+        self.stall_detector = StallDetector(self.cluster.clock)
         self.catalogue = Catalogue(1)
         self.feed = FeedPublisher(
             self.catalogue,
             lambda: self.contact.is_held,
             lambda: 1,
-            schedule=lambda _wait, push: self.loop.call_soon(push),
+            schedule=lambda _delay, push: self.loop.call_soon(push),
         )
-        self.router = CommandRouter(self.stall_detector, self.contact, self.world.clock)
+        self.router = CommandRouter(self.stall_detector, self.contact, self.cluster.clock)
         ControlCalls(self.client, lambda: {"z"}, dict, self.find_evacuation_number).add_to(
             self.router
         )
@@ -137,12 +137,12 @@
             kinds.Entry(kind=kind, key=key or kind, number=record.number, value=record.value)
         )
 
-    def serve(self, connection, payload, answered):
-        """A call for the store here, read from its socket."""
+    def serve(self, connection, payload, on_answer):
+        """Serves a call to this machine's store, read from its socket."""
         message = unpack_message(payload)
 
         def reply(answer):
-            self.world.send(self.name, connection.source, lambda: answered(pack_message(answer)))
+            self.cluster.send(self.name, connection.source, lambda: on_answer(pack_message(answer)))
 
         if isinstance(message, kinds.StoreCall):
             reply(self.upkeep.answer(message))
@@ -153,39 +153,39 @@
 
         self.loop.create_task(answer())
 
-    def call(self, method, path, body, answered):
-        """A call of an operator, read from its socket; the task that serves it."""
+    def call(self, method, path, body, on_answer):
+        """Serves an operator's call, read from its socket; returns the task."""
 
-        async def gather(_bound, _most):
+        async def gather(_bound, _limit):
             return body, True
 
         async def serve():
             request = SimpleNamespace(method=method, path=path, headers=(), gather=gather)
             answer = await self.router.handle(request)
-            self.world.send(self.name, OPERATOR, lambda: answered(answer))
+            self.cluster.send(self.name, OPERATOR, lambda: on_answer(answer))
 
         return self.loop.create_task(serve())
 
-    def turn(self):
-        if self.is_frozen:
+    def run_once(self):
+        if self.is_paused:
             return
         inbox, self.inbox = self.inbox, []
         for message in inbox:
-            self.loop.call_soon(message.act)
+            self.loop.call_soon(message.receive)
         if self.loop.is_due:
-            self.loop.turn()
+            self.loop.run_once()
 
-    def thaw(self, reads_operators_last=False):
-        """Goes on; which of several sockets is read first is the kernel's choice."""
-        self.is_frozen = False
+    def resume(self, reads_operators_last=False):
+        """Resumes; the kernel determines which of several sockets is read first."""
+        self.is_paused = False
         if reads_operators_last:
             self.inbox.sort(key=lambda message: message.source == OPERATOR)
 
     def close(self):
-        self.is_frozen = False
+        self.is_paused = False
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
         self.inbox.clear()
         for _ in range(5):
-            self.loop.turn()
+            self.loop.run_once()
         self.loop.close()
--- a/tests/test_command_router.py
+++ b/tests/test_command_router.py
@@ -1,4 +1,4 @@
-"""Late orders: the stall_detector against stalls, the gate, fences by number, hedging."""
+"""Late commands: stall detection, age and contact checks, fenced writes, hedged calls."""
 
 import asyncio
 import json
@@ -32,10 +32,10 @@
 VIEW = View(1, "first", MEMBERS)
 
 
-def ask(router, method, path):
-    """The status of a call without a body."""
+def send(router, method, path):
+    """Returns the status of a call without a body."""
 
-    async def gather(_bound, _most):
+    async def gather(_bound, _limit):
         return b"", True
 
     fields = {"method": method, "path": path, "headers": (), "gather": staticmethod(gather)}
@@ -43,7 +43,7 @@
 
 
 class Clock:
-    """A steady clock that the test turns."""
+    """A monotonic clock that the test advances."""
 
     def __init__(self):
         self.now = 100.0
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("gap", [STALL_THRESHOLD_SECONDS * 0.9, 20.0])
-def test_after_a_stall_all_is_suspect_for_a_while(gap):
+def test_data_may_be_stale_for_a_while_after_a_stall(gap):
     clock = Clock()
     stall_detector = StallDetector(clock, lambda _count: None)
     stall_detector.record_progress()
@@ -62,30 +62,30 @@
 
 
 @pytest.mark.parametrize("is_time_first", [False, True])
-def test_a_stall_is_over_when_the_loop_went_round_and_time_went_by(is_time_first):
-    clock, rounds = Clock(), []
-    stall_detector = StallDetector(clock, rounds.append)
+def test_stall_is_over_after_enough_iterations_and_enough_time(is_time_first):
+    clock, iterations = Clock(), []
+    stall_detector = StallDetector(clock, iterations.append)
     stall_detector.record_progress()
     clock.now += 20.0
     assert stall_detector.may_be_stale()
 
-    def go_round():
-        while rounds:
+    def run_iterations():
+        while iterations:
             assert stall_detector.may_be_stale()
-            rounds.pop()()
+            iterations.pop()()
 
     def pass_time():
         clock.now += 0.2
 
-    first, second = (pass_time, go_round) if is_time_first else (go_round, pass_time)
+    first, second = (pass_time, run_iterations) if is_time_first else (run_iterations, pass_time)
     first()
     assert stall_detector.may_be_stale()
     second()
     assert not stall_detector.may_be_stale()
 
 
-def test_an_order_that_lay_in_the_kernel_through_a_freeze_is_answered_503_unexecuted():
-    """Real sockets: the order is sent while the loop stands still."""
+def test_command_buffered_during_a_pause_is_answered_503_and_not_executed():
+    """Uses real sockets: the command is sent while the event loop is not running."""
     clock, ran = Clock(), []
     stall_detector = StallDetector(clock)
     router = CommandRouter(stall_detector, QuorumContact(clock), clock)
@@ -105,8 +105,8 @@
         free.bind(("127.0.0.1", 0))
         port = free.getsockname()[1]
 
-    def send_order(name):
-        """A client in another process: the kernel takes all of it."""
+    def send_command(name):
+        """Sends without waiting: the kernel buffers the whole request."""
         client = socket.create_connection(("127.0.0.1", port))
         client.sendall(f"PUT /do/{name} HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".encode())
         return client
@@ -120,11 +120,11 @@
         stall_detector.record_progress()
 
     loop.run_until_complete(begin())
-    waiting = [send_order(f"late-{number}") for number in range(5)]
+    waiting = [send_command(f"late-{number}") for number in range(5)]
     clock.now += 20.0
     assert [loop.run_until_complete(read_status(one)) for one in waiting] == [503] * 5
     clock.now += 0.2
-    after = send_order("after")
+    after = send_command("after")
     assert loop.run_until_complete(read_status(after)) == 200 and ran == ["after"]
     for client in (*waiting, after):
         client.close()
@@ -133,31 +133,33 @@
     loop.close()
 
 
-@pytest.mark.parametrize("took", [0.4, 0.6])
+@pytest.mark.parametrize("duration", [0.4, 0.6])
 @pytest.mark.parametrize("is_age_exempt", [False, True])
-def test_only_what_has_a_number_of_its_own_may_take_long_to_check(took, is_age_exempt):
-    clock, ended = Clock(), []
+def test_only_commands_with_a_number_of_their_own_may_take_long_to_validate(
+    duration, is_age_exempt
+):
+    clock, outcomes = Clock(), []
     router = CommandRouter(StallDetector(clock), QuorumContact(clock), clock)
 
     async def execute(_call):
-        # Reading a large configuration keeps the processor busy.
-        clock.now += took
+        # Validating a large configuration takes CPU time.
+        clock.now += duration
         try:
             check_command(is_age_exempt)
         except MeshError:
-            ended.append("refused")
+            outcomes.append("refused")
         else:
-            ended.append("executed")
+            outcomes.append("executed")
         return Answer(200)
 
     router.add("PUT", "/x", execute)
-    assert ask(router, "PUT", "/x") == 200
-    is_refused = took > COMMAND_MAX_AGE_SECONDS and not is_age_exempt
-    assert ended == ["refused" if is_refused else "executed"]
+    assert send(router, "PUT", "/x") == 200
+    is_refused = duration > COMMAND_MAX_AGE_SECONDS and not is_age_exempt
+    assert outcomes == ["refused" if is_refused else "executed"]
 
 
 @pytest.mark.parametrize("status", [200, 400, 404, 409, 503])
-def test_out_of_contact_nothing_is_refused_for_good(status):
+def test_without_contact_no_command_is_refused_permanently(status):
     clock = Clock()
     contact = QuorumContact(clock)
     router = CommandRouter(StallDetector(clock), contact, clock)
@@ -168,18 +170,18 @@
     router.add("PUT", "/x", answer)
     router.add("GET", wire_names.OWNERS_PATH, answer)
 
-    assert ask(router, "PUT", "/x") == (status if status in (200, 503) else 503)
-    assert ask(router, "GET", wire_names.OWNERS_PATH) == 503
+    assert send(router, "PUT", "/x") == (status if status in (200, 503) else 503)
+    assert send(router, "GET", wire_names.OWNERS_PATH) == 503
     for store in MEMBERS:
         contact.record_vote(store, VIEW, clock.now)
-    assert ask(router, "PUT", "/x") == ask(router, "GET", wire_names.OWNERS_PATH) == status
+    assert send(router, "PUT", "/x") == send(router, "GET", wire_names.OWNERS_PATH) == status
 
 
 CHANGES = {"window-empty": empty_for_window, "window-release": release_from_window}
 
 
 class Registers:
-    """One register as the stores change it, with what others do in between."""
+    """One register as the stores change it, with the writes of others in between."""
 
     def __init__(self, number, value, others=()):
         self.number, self.value, self.others = number, value, list(others)
@@ -202,7 +204,7 @@
 
 
 @pytest.mark.parametrize(
-    "others, ends",
+    "others, final_value",
     [
         ((), b"on"),
         ((b"off",), b"on"),
@@ -211,14 +213,14 @@
         ((b"off", b"on"), b"on"),
     ],
 )
-def test_an_order_takes_effect_once_and_says_so_or_is_unclear(others, ends):
+def test_command_takes_effect_once_and_is_acknowledged_or_unclear(others, final_value):
     registers = Registers(3, b"off", others)
     try:
         asyncio.run(write_fenced(registers, "evacuation/z", EvacuationState.ON, lambda: 3))
     except MeshError:
-        assert ends is None
+        assert final_value is None
     else:
-        assert registers.value == ends
+        assert registers.value == final_value
     assert registers.history.count(b"on") <= 1 + others.count(b"on")
 
 
@@ -230,11 +232,11 @@
         ("window-empty", b"off", (b"on", b"off"), b"off"),
         ("window-release", b"window", (), b"off"),
         ("window-release", b"on", (), b"on"),
-        # The window ended and another began meanwhile: its zone stays empty.
+        # The window ended and another began meanwhile: its zone stays evacuated.
         ("window-release", b"window", (b"off", b"window"), b"window"),
     ],
 )
-def test_what_a_window_empties_is_fenced_by_the_register(kind, before, others, after):
+def test_changes_of_a_window_are_fenced_by_the_register(kind, before, others, after):
     registers = Registers(5, before, others)
     duty = MaintenanceDuty(registers, None)
     state = asyncio.run(duty._change_zone(RegisterCallKind(kind), "z"))
@@ -242,15 +244,19 @@
     assert registers.value == after
 
 
-def test_hedging_asks_on_after_a_failure_at_once_and_tells_the_last_error():
-    asked = []
+def test_hedged_call_tries_the_next_peer_after_a_failure_and_raises_the_last_error():
+    called = []
 
-    async def ask(peer, _seconds):
-        asked.append(peer)
+    async def call(peer, _seconds):
+        called.append(peer)
         if peer == "c":
             return json.dumps(peer)
         raise MeshError("ask", "no", peer)
 
-    assert asyncio.run(call_hedged("abcd", ask, 60.0, 60.0)) == '"c"' and asked == ["a", "b", "c"]
+    assert asyncio.run(call_hedged("abcd", call, 60.0, 60.0)) == '"c"' and called == [
+        "a",
+        "b",
+        "c",
+    ]
     with pytest.raises(MeshError, match="with b"):
-        asyncio.run(call_hedged("ab", ask, 60.0, 60.0))
+        asyncio.run(call_hedged("ab", call, 60.0, 60.0))
--- a/tests/test_cut_off_cases.py
+++ b/tests/test_cut_off_cases.py
@@ -1,6 +1,6 @@
-"""A registry frozen or cut off, case by case: late orders, cuts, bridges, hung stores.
+"""Cases of a paused or partitioned registry: late commands, partitions, hung stores.
 
-The machines are those of `simulated_core`: real stores, registries and control calls.
+The simulated machines run the real stores, registries and control calls.
 """
 
 import random
@@ -10,129 +10,131 @@
 
 from marblefold import wire_names
 from marblefold.inner_protocol.messages import kinds
-from tests.simulated_machines import OPERATOR, SLICE, World
+from tests.simulated_machines import OPERATOR, TIME_STEP_SECONDS, Cluster
 
 NAMES = ("a", "b", "c")
-# How long operators wait for an answer before they go on.
-PATIENCE = 1.0
+# How long clients of operators wait for an answer before they retry elsewhere.
+OPERATOR_TIMEOUT_SECONDS = 1.0
 
 
 @pytest.fixture
-def world(monkeypatch):
-    """Three machines in contact, on a clock of their own."""
-    made = []
-    monkeypatch.setattr(time, "monotonic", lambda: made[0].now if made else 1000.0)
+def cluster(monkeypatch):
+    """Three machines with quorum contact, on a simulated clock."""
+    clusters = []
+    monkeypatch.setattr(time, "monotonic", lambda: clusters[0].now if clusters else 1000.0)
     random.seed(7)
-    made.append(World(NAMES))
-    made[0].advance(1.0)
-    yield made[0]
-    made[0].close()
+    clusters.append(Cluster(NAMES))
+    clusters[0].advance(1.0)
+    yield clusters[0]
+    clusters[0].close()
 
 
-def send(world, name, method, path="/mesh/evacuations/z", body=b""):
-    """A call and its answers with the time they took."""
-    answers, sent = [], world.now
-    machine = world.machines[name]
-    world.send(
+def send(cluster, name, method, path="/mesh/evacuations/z", body=b""):
+    """Sends a call; returns a list that receives its answer's status and seconds taken."""
+    answers, sent = [], cluster.now
+    machine = cluster.machines[name]
+    cluster.send(
         OPERATOR,
         name,
         lambda: machine.call(
-            method, path, body, lambda answer: answers.append((answer.status, world.now - sent))
+            method, path, body, lambda answer: answers.append((answer.status, cluster.now - sent))
         ),
     )
     return answers
 
 
-def settle(world):
-    """As much as can happen in little time, pauses between tries included."""
+def advance_briefly(cluster):
+    """Runs all that can happen in a short time, with pauses between retries."""
     for _ in range(4):
-        world.now += SLICE / 5
-        world.turn(12)
+        cluster.now += TIME_STEP_SECONDS / 5
+        cluster.run_rounds(12)
 
 
-def held(world):
-    """What the feeds of all registries show for the zone."""
-    entries = [machine.catalogue.find("evacuation", "z") for machine in world.machines.values()]
+def evacuation_states(cluster):
+    """Returns the zone's states in the feeds of all registries."""
+    entries = [machine.catalogue.find("evacuation", "z") for machine in cluster.machines.values()]
     return {entry.value if entry is not None else b"" for entry in entries}
 
 
 @pytest.mark.parametrize("reads_operators_last", [False, True])
 @pytest.mark.parametrize("rounds", range(16))
-def test_an_order_frozen_at_any_point_of_its_ballot_does_not_act_after_a_later_one(
-    world, rounds, reads_operators_last
+def test_command_paused_at_any_point_of_its_ballot_has_no_effect_after_a_later_one(
+    cluster, rounds, reads_operators_last
 ):
-    # It is taken back in the end, by an order that is acknowledged elsewhere.
-    assert send(world, "b", "DELETE") == [] and world.advance(0.1) is None
-    late = send(world, "a", "PUT")
-    world.turn(rounds)
-    world.machines["a"].is_frozen = True
-    world.advance(PATIENCE)
-    again = send(world, "b", "PUT")
-    world.advance(0.5)
-    back = send(world, "c", "DELETE")
-    world.advance(20.0)
-    assert [again[0][0], back[0][0]] == [200, 200]
-    world.machines["a"].thaw(reads_operators_last)
-    world.advance(3.0)
-    assert held(world) == {b"off"}
-    assert all(status in (200, 503) for status, _took in late)
+    # The evacuation is withdrawn in the end, by a command acknowledged elsewhere.
+    assert send(cluster, "b", "DELETE") == [] and cluster.advance(0.1) is None
+    late_command = send(cluster, "a", "PUT")
+    cluster.run_rounds(rounds)
+    cluster.machines["a"].is_paused = True
+    cluster.advance(OPERATOR_TIMEOUT_SECONDS)
+    retry = send(cluster, "b", "PUT")
+    cluster.advance(0.5)
+    withdrawal = send(cluster, "c", "DELETE")
+    cluster.advance(20.0)
+    assert [retry[0][0], withdrawal[0][0]] == [200, 200]
+    cluster.machines["a"].resume(reads_operators_last)
+    cluster.advance(3.0)
+    assert evacuation_states(cluster) == {b"off"}
+    assert all(status in (200, 503) for status, _seconds in late_command)
 
 
 @pytest.mark.parametrize("rounds", range(24))
-def test_an_abandoned_order_is_fenced_off_by_a_later_one_that_changes_nothing(world, rounds):
-    # Nothing was evacuated, so taking it back need not change anything.
-    late = send(world, "a", "PUT")
-    world.turn(rounds)
-    world.machines["a"].is_frozen = True
-    world.advance(PATIENCE)
-    back = send(world, "b", "DELETE")
-    world.advance(0.5)
-    assert back[0][0] == 200
-    world.machines["a"].thaw()
-    world.advance(3.0)
-    assert b"on" not in held(world) and all(status in (200, 503) for status, _took in late)
-
-
-def test_an_order_that_learns_its_number_late_does_not_act(world):
-    """A stall too short to be noticed, then stores that are slow to give the number."""
-    machine, slow = world.machines["a"], []
-    for store in world.machines.values():
-
-        def serve(connection, payload, answered, serve=store.serve):
-            is_of_order = connection.owner is machine.client and b"describe" in payload
-            act = lambda: serve(connection, payload, answered)  # noqa: E731
-            slow.append(act) if is_of_order else act()
+def test_abandoned_command_is_fenced_off_by_a_later_one_that_changes_nothing(cluster, rounds):
+    # Nothing was evacuated, so the withdrawal does not change the value.
+    late_command = send(cluster, "a", "PUT")
+    cluster.run_rounds(rounds)
+    cluster.machines["a"].is_paused = True
+    cluster.advance(OPERATOR_TIMEOUT_SECONDS)
+    withdrawal = send(cluster, "b", "DELETE")
+    cluster.advance(0.5)
+    assert withdrawal[0][0] == 200
+    cluster.machines["a"].resume()
+    cluster.advance(3.0)
+    assert b"on" not in evacuation_states(cluster) and all(
+        status in (200, 503) for status, _seconds in late_command
+    )
+
+
+def test_command_that_learns_its_number_late_has_no_effect(cluster):
+    """A stall too short to be detected, followed by stores that return the number late."""
+    machine, delayed_calls = cluster.machines["a"], []
+    for store in cluster.machines.values():
+
+        def serve(connection, payload, on_answer, serve=store.serve):
+            is_from_command = connection.owner is machine.client and b"describe" in payload
+            serve_now = lambda: serve(connection, payload, on_answer)  # noqa: E731
+            delayed_calls.append(serve_now) if is_from_command else serve_now()
 
         store.serve = serve
-    machine.is_frozen = True
-    late = send(world, "a", "PUT")
-    world.advance(0.2)
-    machine.thaw()
-    world.advance(PATIENCE - 0.2)
-    # It was given up, and is taken back to be sure.
-    back = send(world, "c", "DELETE")
-    settle(world)
-    assert back[0][0] == 200 and slow and not late
-    # Only now the number is given, as it holds now.
-    slow[0]()
-    settle(world)
-    world.advance(3.0)
-    assert held(world) == {b"off"} and late[0][0] == 503
+    machine.is_paused = True
+    late_command = send(cluster, "a", "PUT")
+    cluster.advance(0.2)
+    machine.resume()
+    cluster.advance(OPERATOR_TIMEOUT_SECONDS - 0.2)
+    # The caller gave up, and withdraws the evacuation to be sure.
+    withdrawal = send(cluster, "c", "DELETE")
+    advance_briefly(cluster)
+    assert withdrawal[0][0] == 200 and delayed_calls and not late_command
+    # Only now a store answers, with the current number.
+    delayed_calls[0]()
+    advance_briefly(cluster)
+    cluster.advance(3.0)
+    assert evacuation_states(cluster) == {b"off"} and late_command[0][0] == 503
 
 
 @pytest.mark.parametrize("phase", range(9))
-def test_heartbeats_answered_during_a_freeze_are_no_contact_after_it(world, phase):
-    # At one of these moments heartbeats are just under way.
-    machine = world.machines["a"]
-    world.advance(phase * SLICE)
-    world.now += SLICE
-    world.turn(1)
-    machine.is_frozen = True
-    world.advance(SLICE)
-    world.cut.update(CUTS["both ways"])
-    world.advance(20.0)
-    machine.thaw()
-    world.advance(SLICE)
+def test_heartbeats_answered_during_a_pause_give_no_contact_after_it(cluster, phase):
+    # In one of these phases heartbeats are in flight.
+    machine = cluster.machines["a"]
+    cluster.advance(phase * TIME_STEP_SECONDS)
+    cluster.now += TIME_STEP_SECONDS
+    cluster.run_rounds(1)
+    machine.is_paused = True
+    cluster.advance(TIME_STEP_SECONDS)
+    cluster.cut_links.update(CUTS["both ways"])
+    cluster.advance(20.0)
+    machine.resume()
+    cluster.advance(TIME_STEP_SECONDS)
     assert not machine.contact.is_held
 
 
@@ -144,91 +146,96 @@
 
 
 @pytest.mark.parametrize("kind", CUTS)
-def test_a_registry_cut_off_says_so_and_answers_503_within_a_second(world, kind):
-    world.cut.update(CUTS[kind])
-    world.advance(2.0)
-    assert not world.machines["a"].contact.is_held
-    assert world.machines["b"].contact.is_held and world.machines["c"].contact.is_held
-    order, read = send(world, "a", "PUT"), send(world, "a", "GET", wire_names.CONFIGURATION_PATH)
-    world.advance(1.2)
-    for ((status, took),) in (order, read):
-        assert status == 503 and took < 1.0
-    other = send(world, "b", "PUT")
-    world.advance(0.3)
+def test_partitioned_registry_loses_contact_and_answers_503_within_a_second(cluster, kind):
+    cluster.cut_links.update(CUTS[kind])
+    cluster.advance(2.0)
+    assert not cluster.machines["a"].contact.is_held
+    assert cluster.machines["b"].contact.is_held and cluster.machines["c"].contact.is_held
+    command, read_call = (
+        send(cluster, "a", "PUT"),
+        send(cluster, "a", "GET", wire_names.CONFIGURATION_PATH),
+    )
+    cluster.advance(1.2)
+    for ((status, seconds),) in (command, read_call):
+        assert status == 503 and seconds < 1.0
+    other = send(cluster, "b", "PUT")
+    cluster.advance(0.3)
     assert other[0][0] == 200
 
 
-def test_a_bridge_between_two_that_are_cut_from_each_other_serves_at_all_three(world):
-    world.cut.update([("a", "b"), ("b", "a")])
-    world.advance(3.0)
-    assert all(machine.contact.is_held for machine in world.machines.values())
+def test_commands_succeed_at_all_three_when_only_one_link_is_cut(cluster):
+    cluster.cut_links.update([("a", "b"), ("b", "a")])
+    cluster.advance(3.0)
+    assert all(machine.contact.is_held for machine in cluster.machines.values())
     for name, method in (("a", "PUT"), ("b", "DELETE"), ("c", "PUT"), ("b", "DELETE")):
-        order = send(world, name, method)
-        world.advance(0.9)
-        assert order[0][0] == 200, name
-    assert held(world) == {b"off"}
-
-
-def test_two_halves_of_four_are_both_out_of_contact(monkeypatch):
-    made = []
-    monkeypatch.setattr(time, "monotonic", lambda: made[0].now if made else 1000.0)
-    made.append(World(("a", "b", "c", "d")))
-    world = made[0]
-    world.advance(1.0)
-    world.cut.update(
+        command = send(cluster, name, method)
+        cluster.advance(0.9)
+        assert command[0][0] == 200, name
+    assert evacuation_states(cluster) == {b"off"}
+
+
+def test_both_halves_of_four_are_without_contact(monkeypatch):
+    clusters = []
+    monkeypatch.setattr(time, "monotonic", lambda: clusters[0].now if clusters else 1000.0)
+    clusters.append(Cluster(("a", "b", "c", "d")))
+    cluster = clusters[0]
+    cluster.advance(1.0)
+    cluster.cut_links.update(
         (one, other) for one in "abcd" for other in "abcd" if (one in "ab") != (other in "ab")
     )
-    world.advance(2.0)
-    assert not any(machine.contact.is_held for machine in world.machines.values())
-    orders = [send(world, name, "PUT") for name in "abcd"]
-    world.advance(1.2)
-    assert all(status == 503 and took < 1.0 for ((status, took),) in orders)
-    world.close()
-
-
-def test_a_hung_store_does_not_eat_the_time_of_an_order(world):
-    # Only the store on a hangs: its registry still runs.
-    machine = world.machines["a"]
-    machine.serve = lambda _connection, _payload, _answered: None
-    order = send(world, "a", "PUT")
-    world.advance(1.0)
-    ((status, took),) = order
-    assert status == 200 and took < 0.6
-    # Once it is known to be silent it is asked last.
-    world.advance(2.0)
-    order = send(world, "a", "DELETE")
-    world.advance(1.0)
-    ((status, took),) = order
-    assert status == 200 and took < 0.2
-
-
-def test_a_thawed_registry_says_first_that_it_may_be_behind(world):
-    machine, told = world.machines["a"], []
+    cluster.advance(2.0)
+    assert not any(machine.contact.is_held for machine in cluster.machines.values())
+    commands = [send(cluster, name, "PUT") for name in "abcd"]
+    cluster.advance(1.2)
+    assert all(status == 503 and seconds < 1.0 for ((status, seconds),) in commands)
+    cluster.close()
+
+
+def test_hung_store_does_not_delay_a_command_beyond_its_timeout(cluster):
+    # Only the store on a hangs; its registry still runs.
+    machine = cluster.machines["a"]
+    machine.serve = lambda _connection, _payload, _on_answer: None
+    command = send(cluster, "a", "PUT")
+    cluster.advance(1.0)
+    ((status, seconds),) = command
+    assert status == 200 and seconds < 0.6
+    # Once the store is known to be silent, it is called last.
+    cluster.advance(2.0)
+    command = send(cluster, "a", "DELETE")
+    cluster.advance(1.0)
+    ((status, seconds),) = command
+    assert status == 200 and seconds < 0.2
+
+
+def test_resumed_registry_first_reports_that_it_has_no_contact(cluster):
+    machine, contact_flags = cluster.machines["a"], []
     follower = type(
         "Follower",
         (),
         {
-            "send": lambda _self, _kind, _number, data: told.append(
+            "send": lambda _self, _kind, _number, data: contact_flags.append(
                 kinds.Feed.FromString(data[1:]).in_touch
             )
         },
     )()
     machine.feed.follow(follower, kinds.Follow())
-    assert told == [True]
-    machine.is_frozen = True
-    world.advance(20.0)
-    # The first thing that it does after the thaw, before any timer of its own.
-    machine.is_frozen = False
+    assert contact_flags == [True]
+    machine.is_paused = True
+    cluster.advance(20.0)
+    # The first action after it resumes, before any of its timers fires.
+    machine.is_paused = False
     machine.feed.follow(follower, kinds.Follow())
-    assert told == [True, False]
+    assert contact_flags == [True, False]
 
 
-def test_what_was_acknowledged_reaches_the_feeds_of_the_others_though_its_proposer_is_cut(world):
-    order, machine = send(world, "a", "PUT"), world.machines["a"]
+def test_acknowledged_command_reaches_the_feeds_of_the_others_when_its_proposer_is_partitioned(
+    cluster,
+):
+    command, machine = send(cluster, "a", "PUT"), cluster.machines["a"]
     while "evacuation/z" not in machine.chosen.holdings:
-        world.turn(1)
-    # The others hold it, but what a told them of its being chosen is lost.
-    world.cut.update(CUTS["both ways"])
-    world.waiting = [message for message in world.waiting if message.target not in "bc"]
-    world.advance(2.0)
-    assert order[0][0] == 200 and held(world) == {b"on"}
+        cluster.run_rounds(1)
+    # The others accepted it, but machine a's messages that it is chosen are lost.
+    cluster.cut_links.update(CUTS["both ways"])
+    cluster.in_flight = [message for message in cluster.in_flight if message.target not in "bc"]
+    cluster.advance(2.0)
+    assert command[0][0] == 200 and evacuation_states(cluster) == {b"on"}
--- a/tests/test_cut_off_registry.py
+++ b/tests/test_cut_off_registry.py
@@ -1,9 +1,10 @@
-"""A registry that was frozen or cut off neither acknowledges, serves nor forgets wrongly.
+"""A paused or partitioned registry never acknowledges, serves or loses state wrongly.
 
-Three core machines run the real acceptors, proposers, store upkeep, store clients,
-contact, gate and control calls.  Operators send one order after the other, go on to
-another machine after a second of silence, and lose answers.  The plain model is the
-list of orders: once one was acknowledged, no earlier one may show.
+Three core machines run the real acceptors, proposers, store reconciliation, store
+clients, quorum contact, command router and control calls.  Operators send one command
+after the other, retry at another machine after one second without an answer, and lose
+answers.  The model is the list of commands: once one was acknowledged, no earlier one
+may be in effect.
 """
 
 import json
@@ -19,17 +20,17 @@
 from marblefold.register_store.ballots import NOTHING
 from marblefold.registry.quorum_contact import CONTACT_SECONDS
 from tests.mesh_on_loopback import CONFIGURATION
-from tests.simulated_machines import OPERATOR, SLICE, World
+from tests.simulated_machines import OPERATOR, TIME_STEP_SECONDS, Cluster
 
 NAMES = ("a", "b", "c")
 PAIRS = [(one, other) for one in NAMES for other in NAMES if one != other]
-# How long operators wait for an answer before they go on.
-PATIENCE = 1.0
+# How long clients of operators wait for an answer before they retry elsewhere.
+OPERATOR_TIMEOUT_SECONDS = 1.0
 REGISTER = "evacuation/z"
 
 
-class Order:
-    """One thing that the operator wants, however often it is sent."""
+class Command:
+    """One command of the operator, however often it is sent."""
 
     def __init__(self, value):
         self.value = value
@@ -37,70 +38,70 @@
 
 
 class CoreMachine(RuleBasedStateMachine):
-    """Freezes, cuts and orders in any order."""
+    """Pauses, partitions and commands in any order."""
 
     def __init__(self):
         super().__init__()
-        self.steady, self.urandom = time.monotonic, os.urandom
-        chance = random.Random(5)
-        self.world = None
-        time.monotonic = lambda: self.world.now if self.world else 1000.0
-        os.urandom = chance.randbytes
-        self.world = World(NAMES)
-        self.orders, self.sent_at, self.acknowledged = [], -1e9, -1
-        self.version = self.held_version = 0
-        self.reached = {}
+        self.real_monotonic, self.real_urandom = time.monotonic, os.urandom
+        generator = random.Random(5)
+        self.cluster = None
+        time.monotonic = lambda: self.cluster.now if self.cluster else 1000.0
+        os.urandom = generator.randbytes
+        self.cluster = Cluster(NAMES)
+        self.commands, self.sent_at, self.acknowledged = [], -1e9, -1
+        self.version = self.acknowledged_version = 0
+        self.last_reached_at = {}
         self.pass_time(1.0)
 
     def pass_time(self, seconds):
-        for _ in range(round(seconds / SLICE)):
-            self.world.advance(SLICE)
-            self.note_reached()
+        for _ in range(round(seconds / TIME_STEP_SECONDS)):
+            self.cluster.advance(TIME_STEP_SECONDS)
+            self.record_reachability()
 
-    def note_reached(self):
-        """Where a heartbeat may have been read now; its answer may come late."""
+    def record_reachability(self):
+        """Notes which machines may read a heartbeat now; its answer may arrive late."""
         for one, other in [*PAIRS, *((name, name) for name in NAMES)]:
-            is_running = not self.world.machines[other].is_frozen
-            if is_running and (one, other) not in self.world.cut:
-                self.reached[one, other] = self.world.now
+            is_running = not self.cluster.machines[other].is_paused
+            if is_running and (one, other) not in self.cluster.cut_links:
+                self.last_reached_at[one, other] = self.cluster.now
 
-    def call(self, name, method, path, body, answered, loses_answer=False):
-        """Sends a call; an answer counts while the caller still waits."""
-        sent, machine = self.world.now, self.world.machines[name]
+    def call(self, name, method, path, body, on_answer, loses_answer=False):
+        """Sends a call; an answer counts only while the caller still waits."""
+        sent, machine = self.cluster.now, self.cluster.machines[name]
 
-        def come_back(answer):
-            if self.world.now - sent < PATIENCE and not loses_answer:
+        def receive(answer):
+            if self.cluster.now - sent < OPERATOR_TIMEOUT_SECONDS and not loses_answer:
                 assert answer.status in (200, 503), answer.body
                 if answer.status == 200:
-                    answered(answer)
+                    on_answer(answer)
 
-        self.world.send(OPERATOR, name, lambda: machine.call(method, path, body, come_back))
+        self.cluster.send(OPERATOR, name, lambda: machine.call(method, path, body, receive))
 
     @rule(
         name=st.sampled_from(NAMES),
         value=st.sampled_from([b"on", b"off"]),
         loses_answer=st.booleans(),
     )
-    @precondition(lambda self: self.may_go_on())
-    def order_evacuation(self, name, value, loses_answer):
-        # What was acknowledged and is wanted again is an order of its own: the
-        # next one waits for it as well, or the two would have no order.
-        last = self.orders[-1] if self.orders else None
+    @precondition(lambda self: self.may_send_next())
+    def send_evacuation(self, name, value, loses_answer):
+        # Repeating an acknowledged command makes a new one.  The next command waits for
+        # it too, because the two would otherwise have no order.
+        last = self.commands[-1] if self.commands else None
         if last is None or last.value != value or last.is_acknowledged:
-            self.orders.append(Order(value))
-        index, self.sent_at = len(self.orders) - 1, self.world.now
+            self.commands.append(Command(value))
+        index, self.sent_at = len(self.commands) - 1, self.cluster.now
 
         def acknowledge(_answer):
-            self.orders[index].is_acknowledged = True
+            self.commands[index].is_acknowledged = True
             self.acknowledged = max(self.acknowledged, index)
 
         method = "PUT" if value == b"on" else "DELETE"
         self.call(name, method, "/mesh/evacuations/z", b"", acknowledge, loses_answer)
 
-    def may_go_on(self):
-        """Orders of one operator follow each other: acknowledged, or given up."""
-        waits = bool(self.orders) and not self.orders[-1].is_acknowledged
-        return not waits or self.world.now - self.sent_at >= PATIENCE
+    def may_send_next(self):
+        """Commands are sequential: the last one is acknowledged or was given up."""
+        is_waiting = bool(self.commands) and not self.commands[-1].is_acknowledged
+        return not is_waiting or self.cluster.now - self.sent_at >= OPERATOR_TIMEOUT_SECONDS
 
     @rule(name=st.sampled_from(NAMES), loses_answer=st.booleans())
     def replace_configuration(self, name, loses_answer):
@@ -109,97 +110,104 @@
         body = json.dumps({**CONFIGURATION, wire_names.CONFIG_VERSION: version}).encode()
 
         def acknowledge(_answer):
-            self.held_version = max(self.held_version, version)
+            self.acknowledged_version = max(self.acknowledged_version, version)
 
         self.call(name, "PUT", wire_names.CONFIGURATION_PATH, body, acknowledge, loses_answer)
 
     @rule(name=st.sampled_from(NAMES))
-    @precondition(lambda self: self.held_version)
+    @precondition(lambda self: self.acknowledged_version)
     def read_configuration(self, name):
-        floor = self.held_version
+        floor = self.acknowledged_version
 
         def compare(answer):
             version = json.loads(answer.body)[wire_names.CONFIG_VERSION]
-            assert version >= floor, "an older one was given"
+            assert version >= floor, "an older configuration was returned"
 
         self.call(name, "GET", wire_names.CONFIGURATION_PATH, b"", compare)
 
     @rule(name=st.sampled_from(NAMES))
-    def freeze(self, name):
-        self.world.machines[name].is_frozen = True
+    def pause(self, name):
+        self.cluster.machines[name].is_paused = True
 
     @rule(name=st.sampled_from(NAMES), reads_operators_last=st.booleans())
-    def thaw(self, name, reads_operators_last):
-        self.world.machines[name].thaw(reads_operators_last)
+    def resume(self, name, reads_operators_last):
+        self.cluster.machines[name].resume(reads_operators_last)
 
     @rule(pair=st.sampled_from(PAIRS), is_one_way=st.booleans())
-    def cut(self, pair, is_one_way):
-        self.world.cut.add(pair)
+    def cut_link(self, pair, is_one_way):
+        self.cluster.cut_links.add(pair)
         if not is_one_way:
-            self.world.cut.add(pair[::-1])
+            self.cluster.cut_links.add(pair[::-1])
 
     @rule()
     def heal(self):
-        self.world.cut.clear()
+        self.cluster.cut_links.clear()
 
     @rule(seconds=st.sampled_from([0.05, 0.2, 0.4, 1.0, 3.0]))
     def wait(self, seconds):
         self.pass_time(seconds)
 
     @rule(rounds=st.integers(1, 4))
-    def turn(self, rounds):
-        """A part of a ballot: what comes next meets it half done."""
-        self.world.turn(rounds)
-        self.note_reached()
+    def run_rounds(self, rounds):
+        """Runs a part of a ballot, so that the next rule meets it half done."""
+        self.cluster.run_rounds(rounds)
+        self.record_reachability()
 
     @invariant()
-    def no_overtaken_order_shows(self):
+    def no_superseded_command_is_in_effect(self):
         if self.acknowledged < 0:
             return
         holdings = [
             machine.acceptor.holdings.get(REGISTER, NOTHING)
-            for machine in self.world.machines.values()
+            for machine in self.cluster.machines.values()
         ]
         for holding in holdings:
             agreeing = sum(1 for other in holdings if other.ballot == holding.ballot)
             if agreeing * 2 > len(holdings):
-                allowed = {order.value for order in self.orders[self.acknowledged :]}
-                assert holding.value in allowed, "an overtaken order took effect"
+                allowed = {command.value for command in self.commands[self.acknowledged :]}
+                assert holding.value in allowed, "a superseded command took effect"
 
     @invariant()
-    def contact_rests_on_a_majority(self):
-        for name, machine in self.world.machines.items():
-            if machine.is_frozen or not machine.contact.is_held:
+    def contact_requires_a_majority(self):
+        for name, machine in self.cluster.machines.items():
+            if machine.is_paused or not machine.contact.is_held:
                 continue
-            lately = sum(
+            recent = sum(
                 1
                 for other in NAMES
-                if self.world.now - self.reached[name, other] < CONTACT_SECONDS + SLICE
+                if self.cluster.now - self.last_reached_at[name, other]
+                < CONTACT_SECONDS + TIME_STEP_SECONDS
             )
-            assert lately * 2 > len(NAMES), f"{name} believes in a contact that it lost"
+            assert recent * 2 > len(NAMES), f"{name} reports a contact that it has lost"
 
     def teardown(self):
         try:
-            self.settle()
+            self.check_without_faults()
         finally:
-            self.world.close()
-            time.monotonic, os.urandom = self.steady, self.urandom
-
-    def settle(self):
-        """In calm everybody is in contact, and every order is taken at once."""
-        self.world.cut.clear()
-        for machine in self.world.machines.values():
-            machine.is_frozen = False
+            self.cluster.close()
+            time.monotonic, os.urandom = self.real_monotonic, self.real_urandom
+
+    def check_without_faults(self):
+        """Without faults all machines have contact and acknowledge every command at once."""
+        self.cluster.cut_links.clear()
+        for machine in self.cluster.machines.values():
+            machine.is_paused = False
         self.pass_time(4.0)
-        self.no_overtaken_order_shows()
-        assert all(machine.contact.is_held for machine in self.world.machines.values())
+        self.no_superseded_command_is_in_effect()
+        assert all(machine.contact.is_held for machine in self.cluster.machines.values())
         for name in NAMES:
-            self.order_evacuation(
-                name, b"off" if self.orders and (self.orders[-1].value == b"on") else b"on", False
+            self.send_evacuation(
+                name,
+                b"off" if self.commands and (self.commands[-1].value == b"on") else b"on",
+                False,
             )
             self.pass_time(0.3)
-            assert self.orders[-1].is_acknowledged, f"{name} takes no orders in calm"
-            assert self.held_version == 0 or self.read_back(name) >= self.held_version
+            assert self.commands[-1].is_acknowledged, (
+                f"{name} acknowledges no command without faults"
+            )
+            assert (
+                self.acknowledged_version == 0 or self.read_back(name) >= self.acknowledged_version
+            )
 
     def read_back(self, name):
         answers = []
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""Catalogue and feed: followers end with what the registry holds, never older."""
+"""Catalogue and feed: followers converge on the registry's state and never go back."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,21 +11,21 @@
 from marblefold.request_path.mesh_view import MeshView
 
 
-class Wire:
-    """A connection that hands each message to a follower, or loses it."""
+class Connection:
+    """A connection that delivers each message to a follower, or drops it."""
 
     peer = "registry:1"
 
     def __init__(self, follower):
         self.follower = follower
-        self.loses = False
-        self.asked = []
+        self.drops_messages = False
+        self.requests = []
 
     def send(self, _kind, _number, payload):
         message = unpack_message(payload)
         if isinstance(message, kinds.Follow):
-            self.asked.append(message)
-        elif not self.loses:
+            self.requests.append(message)
+        elif not self.drops_messages:
             self.follower.on_tell(self, payload)
 
 
@@ -44,30 +44,30 @@
 
 
 @given(EVENTS)
-def test_a_follower_that_misses_changes_asks_again_and_catches_up(events):
+def test_follower_that_misses_changes_resubscribes_and_catches_up(events):
     view = MeshView("n")
     follower = RegistryFollower("n", list, view, kinds.TargetNotice)
-    # It has been counting for long.
+    # The settling time of the proxy count is long over.
     follower._counted_since = 1e-9
-    wire = Wire(follower)
-    life, newest = 1, {}
+    connection = Connection(follower)
+    generation, newest = 1, {}
 
-    def start(life):
-        catalogue = Catalogue(life)
+    def start(generation):
+        catalogue = Catalogue(generation)
         publisher = FeedPublisher(
-            catalogue, lambda: True, lambda: 3, schedule=lambda _wait, _push: None
+            catalogue, lambda: True, lambda: 3, schedule=lambda _delay, _push: None
         )
-        publisher.follow(wire, kinds.Follow())
+        publisher.follow(connection, kinds.Follow())
         return catalogue, publisher
 
-    catalogue, publisher = start(life)
-    for what, zone, number, is_on in events:
-        if what == "lose":
-            wire.loses = is_on
-        elif what == "restart":
-            # A new life knows nothing but what it is told again.
-            life += 1
-            catalogue, publisher = start(life)
+    catalogue, publisher = start(generation)
+    for action, zone, number, is_on in events:
+        if action == "lose":
+            connection.drops_messages = is_on
+        elif action == "restart":
+            # A restarted registry knows only the entries that are sent to it again.
+            generation += 1
+            catalogue, publisher = start(generation)
             for entry in newest.values():
                 catalogue.put(entry)
             publisher._push()
@@ -77,20 +77,20 @@
                 newest[zone] = entry
             catalogue.put(entry)
             publisher._push()
-        while wire.asked:
-            publisher.follow(wire, wire.asked.pop())
-    wire.loses = False
+        while connection.requests:
+            publisher.follow(connection, connection.requests.pop())
+    connection.drops_messages = False
     catalogue.put(kinds.Entry(kind="evacuation", key="last", number=1, value=b"on"))
     publisher._push()
-    while wire.asked:
-        publisher.follow(wire, wire.asked.pop())
+    while connection.requests:
+        publisher.follow(connection, connection.requests.pop())
     assert view.evacuated == {zone for zone, entry in newest.items() if entry.value == b"on"} | {
         "last"
     }
     assert view.proxies == 3 and follower.is_in_touch
 
 
-def test_changes_come_from_a_place_on_and_a_frame_where_they_are_gone():
+def test_changes_after_a_revision_or_a_snapshot_if_they_are_not_retained():
     catalogue = Catalogue(7)
     for number in range(1, 2103):
         catalogue.put(make_entry("a", number, b"on"))
@@ -101,7 +101,7 @@
     assert not catalogue.put(make_entry("a", 2102, b"off"))
 
 
-def test_bytes_that_are_no_message_are_refused():
+def test_malformed_messages_are_rejected():
     assert unpack_message(pack_message(kinds.Follow(node="n"))).node == "n"
     for payload in (b"", b"\xff", bytes((0,)) + b"\xff\xff"):
         try:
@@ -111,65 +111,67 @@
         raise AssertionError(payload)
 
 
-def test_a_large_entry_is_fetched_from_one_registry_and_from_another_if_that_is_silent():
-    held, asked = [0], []
+def test_large_entry_is_fetched_from_one_registry_and_from_another_after_a_timeout():
+    held, requests = [0], []
     entry = kinds.Entry(kind="configuration", key="configuration", number=3, deferred=True)
     wants = Wants(
         lambda entry: entry.number > held[0],
-        lambda peer, _want: asked.append(peer) or peer != "gone",
+        lambda peer, _want: requests.append(peer) or peer != "gone",
     )
     for peer in ("gone", "a", "b"):
         wants.hear(peer, entry, 10.0)
-    assert asked == ["gone", "a"]
+    assert requests == ["gone", "a"]
     wants.repeat(10.1)
-    assert len(asked) == 2
+    assert len(requests) == 2
     wants.repeat(10.5)
-    assert asked[-1] == "b"
+    assert requests[-1] == "b"
     held[0] = 3
     wants.repeat(11.0)
     wants.hear("a", entry, 12.0)
-    assert asked[-1] == "b"
+    assert requests[-1] == "b"
 
 
-def test_many_followers_are_sent_one_payload_and_pushes_are_spaced_by_their_number():
-    catalogue, waits, pushes, counted = Catalogue(7), [], [], []
+def test_followers_share_one_payload_and_pushes_are_spaced_by_follower_count():
+    catalogue, delays, pushes, counted = Catalogue(7), [], [], []
     publisher = FeedPublisher(
         catalogue,
         lambda: True,
         lambda: counted.append(1) or 3,
-        schedule=lambda wait, push: (waits.append(wait), pushes.append(push)),
+        schedule=lambda delay, push: (delays.append(delay), pushes.append(push)),
     )
-    wires = []
+    connections = []
     for _ in range(200):
-        wire = type("Wire", (), {})()
-        wire.sent = []
-        wire.send = lambda _kind, _number, payload, wire=wire: wire.sent.append(payload)
-        publisher.follow(wire, kinds.Follow())
-        wires.append(wire)
+        connection = type("Connection", (), {})()
+        connection.sent = []
+        connection.send = lambda _kind, _number, payload, connection=connection: (
+            connection.sent.append(payload)
+        )
+        publisher.follow(connection, kinds.Follow())
+        connections.append(connection)
     counted.clear()
     for number in range(1, 51):
         catalogue.put(make_entry(f"zone-{number}", number, b"on"))
-    # All changes wait for one push.
+    # All changes are batched into one push.
     assert len(pushes) == 1
     pushes.pop()()
-    assert all(len(wire.sent) == 2 for wire in wires)
-    assert len({id(wire.sent[1]) for wire in wires}) == 1 and len(counted) == 1
-    feed = unpack_message(wires[0].sent[1])
+    assert all(len(connection.sent) == 2 for connection in connections)
+    assert len({id(connection.sent[1]) for connection in connections}) == 1 and len(counted) == 1
+    feed = unpack_message(connections[0].sent[1])
     assert feed.place == 50 and not feed.entries and feed.compressed_entries
-    assert len(wires[0].sent[1]) < 50 * 20
-    # The next one is due no sooner than what 200 followers take.
+    assert len(connections[0].sent[1]) < 50 * 20
+    # The next push is delayed in proportion to the 200 followers.
     catalogue.put(make_entry("late", 1, b"on"))
-    assert 0.05 < waits[-1] <= 0.2
-    # Between pushes a sign of life goes to whoever is not behind.
-    assert len(wires[0].sent) == 2
+    assert 0.05 < delays[-1] <= 0.2
+    # Nothing is sent to a follower until the delayed push runs.
+    assert len(connections[0].sent) == 2
 
 
 @given(st.integers(0, 30), st.integers(1, 60))
-def test_the_changes_behind_a_place_are_those_of_the_plain_list(place, count):
+def test_changes_after_a_revision_match_a_plain_list(revision, count):
     catalogue, plain = Catalogue(7), []
     for number in range(1, count + 1):
         entry = make_entry(f"z{number % 7}", number, b"on")
         catalogue.put(entry)
         plain.append(entry)
-    found = catalogue.changes_since(7, place)
-    assert found is None if place > count else found == plain[place:]
+    found = catalogue.changes_since(7, revision)
+    assert found is None if revision > count else found == plain[revision:]
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -1,4 +1,4 @@
-"""Contact: a lease by a majority of the stores, counted from the sending of each ask."""
+"""Quorum contact: a lease by a majority of stores, counted from each heartbeat's sending."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,7 +15,7 @@
 
 
 class Clock:
-    """A steady clock that the test turns."""
+    """A monotonic clock that the test advances."""
 
     def __init__(self):
         self.now = 100.0
@@ -37,32 +37,32 @@
 
 
 @given(EVENTS)
-def test_contact_is_what_a_majority_answered_to_asks_sent_lately(events):
+def test_contact_requires_a_majority_of_answers_to_recent_heartbeats(events):
     clock = Clock()
     contact = QuorumContact(clock)
-    asked, votes, majority_at = [], {}, 0.0
-    for what, which in events:
-        if what == "ask":
-            asked.append((which, clock.now))
-        elif what == "pass":
-            clock.now += which
-        elif asked:
-            store, sent = asked.pop(which % len(asked))
-            if what == "answer":
+    heartbeats, votes, majority_at = [], {}, 0.0
+    for action, argument in events:
+        if action == "ask":
+            heartbeats.append((argument, clock.now))
+        elif action == "pass":
+            clock.now += argument
+        elif heartbeats:
+            store, sent = heartbeats.pop(argument % len(heartbeats))
+            if action == "answer":
                 contact.record_vote(store, VIEW, sent)
                 votes[store] = max(sent, votes.get(store, sent))
-            elif what == "refuse":
+            elif action == "refuse":
                 contact.record_refusal(store, sent)
                 if votes.get(store, sent) < sent:
                     del votes[store]
         sent_times = sorted(sent for store, sent in votes.items() if store in MEMBERS)
         if len(sent_times) >= 3:
-            # The third newest: with it and the two newer ones there are three of five.
+            # The third newest heartbeat: it and the two newer ones make three of five.
             majority_at = max(majority_at, sent_times[-3])
         assert contact.is_held == (clock.now - majority_at < CONTACT_SECONDS)
 
 
-def test_an_answer_that_lay_in_a_buffer_through_a_freeze_counts_from_its_asking():
+def test_answer_buffered_during_a_pause_counts_from_the_sending_of_its_heartbeat():
     clock = Clock()
     contact = QuorumContact(clock)
     sent = clock.now
@@ -72,20 +72,20 @@
     assert not contact.is_held
 
 
-def test_votes_in_two_views_make_no_majority_together():
+def test_votes_in_two_views_do_not_add_up_to_a_majority():
     contact, following = QuorumContact(Clock()), View(2, "x", ("a", "b", "f"))
     contact.record_vote("c", VIEW, 100.0)
     contact.record_vote("d", VIEW, 100.0)
     contact.record_vote("a", following, 100.0)
     assert not contact.is_held
-    # A member of the older view alone does not bring it back.
+    # Another vote in the older view alone does not restore contact.
     contact.record_vote("e", VIEW, 100.0)
     assert not contact.is_held
     contact.record_vote("f", following, 100.0)
     assert contact.is_held
 
 
-def test_a_contact_lasts_its_time_while_the_view_changes_and_no_longer():
+def test_contact_lasts_its_full_time_during_a_view_change_and_no_longer():
     clock = Clock()
     contact = QuorumContact(clock)
     for store in MEMBERS:
@@ -98,18 +98,18 @@
     assert not contact.is_held
 
 
-def test_a_change_of_contact_is_told_once():
-    clock, told = Clock(), []
-    contact = QuorumContact(clock, told.append)
+def test_change_of_contact_is_notified_once():
+    clock, notifications = Clock(), []
+    contact = QuorumContact(clock, notifications.append)
     for store in MEMBERS:
         contact.record_vote(store, VIEW, clock.now)
     clock.now += CONTACT_SECONDS
     contact.notify_change()
     contact.notify_change()
-    assert told == [True, False]
+    assert notifications == [True, False]
 
 
-def test_a_store_has_no_vote_while_it_reads_or_its_view_may_be_replaced():
+def test_store_does_not_vote_while_it_recovers_or_its_view_may_be_replaced():
     seeds = ["a", "b", "c"]
     acceptor = Acceptor("a", MemoryRecords(), seeds, True)
     assert answer_heartbeat(acceptor).outcome == "held"
@@ -118,5 +118,5 @@
     following = acceptor.view.swap("a", "d", "x")
     acceptor.holdings[VIEW_REGISTER] = Holding(ballot, ballot, 2, following.pack())
     assert answer_heartbeat(acceptor).outcome == "unknown"
-    # A wiped disk: it has to read before it votes.
+    # A store with a wiped disk must read from the others before it votes.
     assert answer_heartbeat(Acceptor("a", MemoryRecords(), seeds, False)).outcome == "unknown"
--- a/tests/test_registry_client.py
+++ b/tests/test_registry_client.py
@@ -17,7 +17,7 @@
 
 
 class Registry:
-    """Answers every call with what `answer` gives for its request line; keeps what came."""
+    """Answers each call with `answer(request line)`; records the request lines and bodies."""
 
     def __init__(self, answer: Callable[[str], tuple[int, bytes]]) -> None:
         self._answer = answer
@@ -38,7 +38,7 @@
 
 
 def run(registry: Registry, call: Callable):
-    """The result of a call that is given the address of a served registry."""
+    """Serves a registry and returns the result of `call` with its address."""
 
     async def act():
         server = await asyncio.start_server(registry.serve, "127.0.0.1", 0)
@@ -48,7 +48,7 @@
     return asyncio.run(act())
 
 
-def test_method_body_status_and_answer_go_through():
+def test_method_body_status_and_answer_are_passed_on():
     registry = Registry(lambda line: (409, b'{"held": 7}'))
     status, document = run(
         registry,
@@ -61,7 +61,7 @@
     assert registry.bodies == [b'{"number": 6}']
 
 
-def test_body_is_handed_on_as_it_came():
+def test_answer_body_is_returned_unchanged():
     registry = Registry(lambda line: (200, b"no json"))
     assert run(registry, lambda address: call_registry(address, RegistryCall("GET", "/x"))) == (
         200,
@@ -69,14 +69,14 @@
     )
 
 
-def test_an_answer_that_is_no_json_is_an_error_with_its_peer():
+def test_answer_that_is_not_json_raises_an_error_with_its_peer():
     with pytest.raises(MeshError) as caught:
         run(Registry(lambda line: (200, b"no json")), lambda address: ask_one(address, "/x"))
     assert caught.value.step == "ask registry"
     assert caught.value.peer.startswith("127.0.0.1:")
 
 
-def test_no_answer_is_an_error():
+def test_missing_answer_raises_an_error():
     async def hang(_reader, _writer) -> None:
         await asyncio.sleep(3600)
 
--- a/tests/test_starting_proxies.py
+++ b/tests/test_starting_proxies.py
@@ -1,18 +1,18 @@
-"""A proxy that starts while a registry is out of contact."""
+"""A proxy that starts while a registry has no quorum contact."""
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.proxy.first_news import PATIENCE_SECONDS
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.request_path.mesh_view import MeshView
 from tests import test_cut_off_cases as cases
-from tests.simulated_machines import SLICE
+from tests.simulated_machines import TIME_STEP_SECONDS
 from tests.test_cut_off_cases import CUTS, send
 
-world = cases.world
+cluster = cases.cluster
 
 
-class Wire:
-    """What a proxy hears of one registry."""
+class Connection:
+    """A connection that delivers what one registry sends to a proxy."""
 
     def __init__(self, follower, peer):
         self.follower, self.peer = follower, peer
@@ -26,35 +26,35 @@
     return view, RegistryFollower("n", list, view)
 
 
-def test_a_proxy_that_starts_takes_no_older_state_from_a_registry_out_of_contact(world):
-    order = send(world, "a", "PUT")
-    world.advance(0.3)
-    world.cut.update(CUTS["both ways"])
-    back = send(world, "b", "DELETE")
-    world.advance(2.0)
-    assert [order[0][0], back[0][0]] == [200, 200]
+def test_starting_proxy_accepts_no_outdated_state_from_a_registry_without_contact(cluster):
+    command = send(cluster, "a", "PUT")
+    cluster.advance(0.3)
+    cluster.cut_links.update(CUTS["both ways"])
+    withdrawal = send(cluster, "b", "DELETE")
+    cluster.advance(2.0)
+    assert [command[0][0], withdrawal[0][0]] == [200, 200]
     view, follower = start_proxy()
-    world.machines["a"].feed.follow(Wire(follower, "a"), kinds.Follow())
+    cluster.machines["a"].feed.follow(Connection(follower, "a"), kinds.Follow())
     assert view.evacuated == set()
-    world.machines["b"].feed.follow(Wire(follower, "b"), kinds.Follow())
+    cluster.machines["b"].feed.follow(Connection(follower, "b"), kinds.Follow())
     assert (
         view.evacuated == set()
         and view.is_news(kinds.Entry(kind="evacuation", key="z", number=2)) is False
     )
 
 
-def test_a_proxy_that_is_cut_off_itself_serves_in_the_end_by_what_there_is(world):
-    order = send(world, "a", "PUT")
-    world.advance(0.3)
-    assert order[0][0] == 200
-    world.cut.update(CUTS["both ways"])
-    world.advance(2.0)
+def test_partitioned_proxy_uses_the_only_available_state_after_a_timeout(cluster):
+    command = send(cluster, "a", "PUT")
+    cluster.advance(0.3)
+    assert command[0][0] == 200
+    cluster.cut_links.update(CUTS["both ways"])
+    cluster.advance(2.0)
     view, follower = start_proxy()
-    wire = Wire(follower, "a")
-    world.machines["a"].feed.follow(wire, kinds.Follow())
-    world.advance(PATIENCE_SECONDS - SLICE)
-    follower.release_first_news(world.now)
+    connection = Connection(follower, "a")
+    cluster.machines["a"].feed.follow(connection, kinds.Follow())
+    cluster.advance(PATIENCE_SECONDS - TIME_STEP_SECONDS)
+    follower.release_first_news(cluster.now)
     assert view.evacuated == set()
-    world.advance(2 * SLICE)
-    follower.release_first_news(world.now)
+    cluster.advance(2 * TIME_STEP_SECONDS)
+    follower.release_first_news(cluster.now)
     assert view.evacuated == {"z"}
