--- a/marblefold/registry/platform_list_sync.py
+++ b/marblefold/registry/platform_list_sync.py
@@ -32,7 +32,7 @@
 
     def __init__(
         self,
-        listing: PlatformList,
+        platform_list: PlatformList,
         catalogue: Catalogue,
         store_client: RegisterClient,
         own_address: str,
@@ -40,7 +40,7 @@
         region_of: Callable[[str], str],
         drain_time: timedelta,
     ) -> None:
-        self._listing = listing
+        self._platform_list = platform_list
         self._catalogue = catalogue
         self._store_client = store_client
         self._own_address = own_address
@@ -81,14 +81,14 @@
         """Acquires leadership if needed, reads the whole list and publishes its changes."""
         if self._epoch is None:
             await self._acquire_leadership()
-        self._publish(await self._listing.read())
+        self._publish(await self._platform_list.read())
 
     async def _acquire_leadership(self) -> None:
         current = await self._store_client.ask("describe", LEADER_REGISTER)
-        own = self._own_address.encode()
-        acquired = await self._store_client.ask("duty", LEADER_REGISTER, current.number, own)
+        own_value = self._own_address.encode()
+        acquired = await self._store_client.ask("duty", LEADER_REGISTER, current.number, own_value)
         # Another registry acquired this epoch first.
-        if acquired.value != own or acquired.number != current.number + 1:
+        if acquired.value != own_value or acquired.number != current.number + 1:
             raise MeshError("duty", "acquired by another registry", acquired.value.decode())
         self._epoch, self._entry_number = acquired.number, 0
         self._published, self._missing = {}, set()
