--- a/tests/test_orders_take_effect_once.py
+++ b/tests/test_orders_take_effect_once.py
@@ -20,15 +20,15 @@
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import RegisterContent, leave_unchanged
 from marblefold.register_store.orders import read_order
+from marblefold.registry.command_router import CommandRouter
 from marblefold.registry.control_calls import ControlCalls
-from marblefold.registry.order_gate import OrderGate
 from tests.simulated_orders import OrderedStores, StoreClient, accepted_content
 from tests.simulated_stores import SEEDS
 
 ZONE = "hall-a"
 REGISTER = "evacuation/" + ZONE
 METHODS = {b"on": "PUT", b"off": "DELETE"}
-NEVER_STALLED = SimpleNamespace(is_suspect=lambda: False)
+NEVER_STALLED = SimpleNamespace(may_be_stale=lambda: False)
 IN_CONTACT = SimpleNamespace(is_held=True)
 
 
@@ -57,7 +57,7 @@
 
     def send(self, addresses):
         client = StoreClient(self.stores, addresses)
-        gate = OrderGate(NEVER_STALLED, IN_CONTACT, lambda: self.now)
+        gate = CommandRouter(NEVER_STALLED, IN_CONTACT, lambda: self.now)
         ControlCalls(client, lambda: {ZONE}, dict).add_to(gate)
         methods, _subject = gate._find(wire_names.EVACUATION_PATH.format(ZONE))
         serve = methods[METHODS[self.wanted]].serve
--- a/tests/test_thousand_changes.py
+++ b/tests/test_thousand_changes.py
@@ -240,7 +240,7 @@
             registry.send(None, 0, payload)
             numbers = registry.numbers()
             assert all(numbers[register] >= number for register, number in newest.items())
-            position, newest = registry.catalogue.place, numbers
+            position, newest = registry.catalogue.revision, numbers
         assert newest == numbers_of(expected) and position <= len(payloads)
         # A record with a lower ballot does not replace a chosen one either.
         chosen = core.members[core.addresses[1]].chosen
