--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -8,10 +8,16 @@
 from marblefold.errors import DiskError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NOTHING, Ballot, Holding, pack_holding, read_holding
-from marblefold.register_store.calls import Refusal
-from marblefold.register_store.lives import NO_LIFE, first_life, is_past, life_above, may_follow
-from marblefold.register_store.reading import find_unproven, merge_holdings, merge_lives
+from marblefold.register_store.generations import (
+    NO_LIFE,
+    first_life,
+    is_past,
+    life_above,
+    may_follow,
+)
+from marblefold.register_store.peer_call_kinds import Refusal
 from marblefold.register_store.records import DoubtfulRecords, Records
+from marblefold.register_store.state_recovery import find_unproven, merge_holdings, merge_lives
 from marblefold.register_store.store_records import Standing, StoreMeta
 from marblefold.register_store.view import View, first_view, read_view
 
--- a/marblefold/register_store/comparing.py
+++ b/marblefold/register_store/anti_entropy.py
@@ -13,8 +13,8 @@
 from marblefold.logs import log
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.ballots import Holding, read_holding
-from marblefold.register_store.calls import CallKind
 from marblefold.register_store.chosen_registers import ChosenRegisters
+from marblefold.register_store.peer_call_kinds import CallKind
 from marblefold.register_store.store_timing import REAL_TIMING, StoreTiming
 from marblefold.register_store.view import read_view
 
--- a/marblefold/register_store/member_changes.py
+++ b/marblefold/register_store/member_changes.py
@@ -13,10 +13,10 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, Standing
-from marblefold.register_store.calls import CallKind
 from marblefold.register_store.changes import change_view
+from marblefold.register_store.peer_call_kinds import CallKind
 from marblefold.register_store.peer_calls import StorePeers
-from marblefold.register_store.settling import Settler
+from marblefold.register_store.reconciliation import Settler
 from marblefold.register_store.store_timing import StoreTiming
 from marblefold.register_store.view import View
 
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -9,7 +9,7 @@
 from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.ballots import Holding, pack_holding
-from marblefold.register_store.calls import CallKind
+from marblefold.register_store.peer_call_kinds import CallKind
 from marblefold.register_store.view import View, read_view
 
 __all__ = ["StorePeers", "answer_call"]
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -25,7 +25,7 @@
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.register_files import RegisterFiles
-from marblefold.register_store.upkeep import Upkeep
+from marblefold.register_store.replica import Upkeep
 
 __all__ = ["StoreProgram", "open_acceptor"]
 
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -9,9 +9,9 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NO_BALLOT, Ballot, Holding, read_holding
-from marblefold.register_store.calls import CallKind
 from marblefold.register_store.changes import Change, Held
-from marblefold.register_store.lives import NO_LIFE, is_past, later_life
+from marblefold.register_store.generations import NO_LIFE, is_past, later_life
+from marblefold.register_store.peer_call_kinds import CallKind
 from marblefold.register_store.view import View, read_view
 
 __all__ = ["PeerCaller", "Proposer"]
--- a/marblefold/register_store/settling.py
+++ b/marblefold/register_store/reconciliation.py
@@ -1,9 +1,9 @@
 """Finds out by ballot what the registers hold, and takes in what is chosen."""
 
 from marblefold.register_store.acceptor import Acceptor
+from marblefold.register_store.anti_entropy import Comparing
 from marblefold.register_store.ballots import Holding
 from marblefold.register_store.changes import Change, keep
-from marblefold.register_store.comparing import Comparing
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.proposer import Proposer
 
--- a/marblefold/register_store/upkeep.py
+++ b/marblefold/register_store/replica.py
@@ -8,15 +8,15 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, Standing
+from marblefold.register_store.anti_entropy import Comparing, answer_comparison
 from marblefold.register_store.ballots import NOTHING, Ballot, Holding
-from marblefold.register_store.calls import CallKind, Refusal
 from marblefold.register_store.chosen_registers import ChosenRegisters
-from marblefold.register_store.comparing import Comparing, answer_comparison
 from marblefold.register_store.member_changes import MemberChanges
+from marblefold.register_store.peer_call_kinds import CallKind, Refusal
 from marblefold.register_store.peer_calls import StorePeers, answer_call
 from marblefold.register_store.proposer import Proposer
-from marblefold.register_store.reading import is_enough
-from marblefold.register_store.settling import Settler
+from marblefold.register_store.reconciliation import Settler
+from marblefold.register_store.state_recovery import is_enough
 from marblefold.register_store.store_timing import REAL_TIMING, StoreTiming
 from marblefold.register_store.view import read_view
 
--- a/marblefold/register_store/reading.py
+++ b/marblefold/register_store/state_recovery.py
@@ -4,7 +4,7 @@
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NOTHING, Holding, read_holding
-from marblefold.register_store.lives import NO_LIFE, later_life
+from marblefold.register_store.generations import NO_LIFE, later_life
 from marblefold.register_store.view import View
 
 __all__ = ["find_unproven", "is_enough", "merge_holdings", "merge_lives"]
--- a/tests/simulated_core.py
+++ b/tests/simulated_core.py
@@ -14,8 +14,8 @@
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.proposer import Proposer
+from marblefold.register_store.replica import Upkeep
 from marblefold.register_store.store_timing import StoreTiming
-from marblefold.register_store.upkeep import Upkeep
 from tests.simulated_clock import _Selector
 
 START = 1000.0
--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -15,7 +15,7 @@
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.program import StoreProgram
 from marblefold.register_store.proposer import Proposer
-from marblefold.register_store.upkeep import Upkeep
+from marblefold.register_store.replica import Upkeep
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.control_calls import ControlCalls
 from marblefold.registry.feed import FeedKeeper
--- a/tests/simulated_replicas.py
+++ b/tests/simulated_replicas.py
@@ -11,12 +11,12 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
 from marblefold.register_store.acceptor import Acceptor
+from marblefold.register_store.anti_entropy import answer_comparison
 from marblefold.register_store.ballots import pack_holding, read_holding
 from marblefold.register_store.chosen_registers import ChosenRegisters
-from marblefold.register_store.comparing import answer_comparison
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
-from marblefold.register_store.upkeep import Upkeep
+from marblefold.register_store.replica import Upkeep
 from tests.simulated_stores import MemoryRecords
 
 
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -10,7 +10,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.acceptor import META_RECORD, Acceptor, Standing
 from marblefold.register_store.ballots import Ballot
-from marblefold.register_store.lives import NO_LIFE, is_past
+from marblefold.register_store.generations import NO_LIFE, is_past
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.program import open_acceptor
 from marblefold.register_store.register_files import RegisterFiles
--- a/tests/test_lost_promises.py
+++ b/tests/test_lost_promises.py
@@ -5,11 +5,11 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.acceptor import Acceptor, Standing
-from marblefold.register_store.calls import CallKind, Refusal
 from marblefold.register_store.changes import hold_configuration, keep
+from marblefold.register_store.peer_call_kinds import CallKind, Refusal
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
-from marblefold.register_store.reading import is_enough
+from marblefold.register_store.state_recovery import is_enough
 from marblefold.register_store.view import View, read_view
 from tests.simulated_stores import MemoryRecords
 
--- a/tests/test_membership_liveness.py
+++ b/tests/test_membership_liveness.py
@@ -5,9 +5,9 @@
 import pytest
 
 from marblefold.register_store.acceptor import Standing
-from marblefold.register_store.calls import CallKind
 from marblefold.register_store.changes import hold_configuration, keep
-from tests.core_troubles import ANSWER_BOUND, VOTE_BOUND
+from marblefold.register_store.peer_call_kinds import CallKind
+from tests.core_faults import ANSWER_BOUND, VOTE_BOUND
 from tests.simulated_core import Core
 
 REGISTER = "configuration"
--- a/tests/test_membership_safety.py
+++ b/tests/test_membership_safety.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.core_troubles import Troubles
+from tests.core_faults import Troubles
 
 
 @pytest.mark.parametrize("seed", range(16))
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -34,7 +34,7 @@
         lives = itertools.count()
         counted = SimpleNamespace(urandom=lambda size: next(lives).to_bytes(size, "big"))
         self.patches = contextlib.ExitStack()
-        self.patches.enter_context(mock.patch("marblefold.register_store.lives.os", counted))
+        self.patches.enter_context(mock.patch("marblefold.register_store.generations.os", counted))
         self.patches.enter_context(
             mock.patch("marblefold.register_store.proposer._PHASE_SECONDS", 1e6)
         )
--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -13,8 +13,8 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.acceptor import Acceptor, Standing
-from marblefold.register_store.calls import CallKind
 from marblefold.register_store.changes import hold_configuration
+from marblefold.register_store.peer_call_kinds import CallKind
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.view import View
