--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -9,15 +9,19 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NOTHING, Ballot, Holding, pack_holding, read_holding
 from marblefold.register_store.generations import (
-    NO_LIFE,
-    first_life,
-    is_past,
-    life_above,
-    may_follow,
+    NO_GENERATION,
+    first_generation,
+    generation_above,
+    is_superseded,
+    may_succeed,
 )
 from marblefold.register_store.peer_call_kinds import Refusal
 from marblefold.register_store.records import DoubtfulRecords, Records
-from marblefold.register_store.state_recovery import find_unproven, merge_holdings, merge_lives
+from marblefold.register_store.state_recovery import (
+    find_unproven,
+    merge_generations,
+    merge_holdings,
+)
 from marblefold.register_store.store_records import Standing, StoreMeta
 from marblefold.register_store.view import View, first_view, read_view
 
@@ -34,8 +38,8 @@
     def __init__(self, address: str, records: Records, seeds: list[str], is_first: bool) -> None:
         self.address = address
         self.standing = Standing.READING
-        self.life = NO_LIFE
-        self.lives: dict[str, str] = {}
+        self.generation = NO_GENERATION
+        self.known_generations: dict[str, str] = {}
         self.holdings: dict[str, Holding] = {}
         self.view: View | None = None
         # The view before, if we waited outside it in this very life.
@@ -87,18 +91,20 @@
 
     def begin_reading(self) -> None:
         """Starts a life that knows nothing: no vote before it has read."""
-        self.life = life_above([self.life, self.lives.get(self.address, NO_LIFE)])
+        self.generation = generation_above(
+            [self.generation, self.known_generations.get(self.address, NO_GENERATION)]
+        )
         self.previous = self.left_view = None
         self._change_standing(Standing.READING)
 
-    def outlive(self, known: str) -> bool:
+    def supersede_generation(self, known: str) -> bool:
         """Begins a later life if one not before ours is known; returns whether it did.
 
         A lost disk does not know its epoch: those that noted it say so.
         """
-        if may_follow(self.life, known):
+        if may_succeed(self.generation, known):
             return False
-        self.lives[self.address] = known
+        self.known_generations[self.address] = known
         self.begin_reading()
         return True
 
@@ -117,7 +123,7 @@
 
     def accept(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """Accepts a value under a ballot that is not below the promised one."""
-        refusal = self._find_refusal(call) or self._find_past_life(call)
+        refusal = self._find_refusal(call) or self._find_past_generation(call)
         if refusal:
             return self._refuse(refusal, call.register)
         ballot = Ballot.read(call.ballot)
@@ -153,9 +159,9 @@
         follows = held is not None and self.is_member and view.number == held.number + 1
         self.view = view
         # Calls of earlier views are refused as such, whatever life they count on.
-        self.lives = {
+        self.known_generations = {
             member: life
-            for member, life in self.lives.items()
+            for member, life in self.known_generations.items()
             if member in view.members or member == self.address
         }
         if self.standing is Standing.VOTING and not (follows and self.is_member):
@@ -175,11 +181,11 @@
             return self._refuse(Refusal.UNREADABLE, "")
         if call.view and read_view(call.view) != self.view:
             return self._refuse(Refusal.ANOTHER_VIEW, "")
-        known = self.lives.get(call.sender, NO_LIFE)
-        if not may_follow(call.sender_life, known):
-            return self._refuse(Refusal.READER_OF_PAST_LIFE, "", {call.sender: known})
+        known = self.known_generations.get(call.sender, NO_GENERATION)
+        if not may_succeed(call.sender_life, known):
+            return self._refuse(Refusal.READER_OF_PAST_GENERATION, "", {call.sender: known})
         if known != call.sender_life:
-            self.lives[call.sender] = call.sender_life
+            self.known_generations[call.sender] = call.sender_life
             # On disk first: an accept that counts on the past life of the
             # reader must be refused from here on, whatever happens to us.
             self._write_meta()
@@ -188,7 +194,7 @@
     def finish_reading(self, answers: list[kinds.StoreAnswer]) -> None:
         """Takes over what enough others hold; from here on this store votes."""
         merge_holdings(self.holdings, answers)
-        merge_lives(self.lives, answers)
+        merge_generations(self.known_generations, answers)
         for register, holding in self.holdings.items():
             self._write_register(register, holding)
         self._unproven = find_unproven(self.holdings)
@@ -204,7 +210,7 @@
             return Refusal.VIEW_IS_CHANGING
         return Refusal.NONE
 
-    def _find_past_life(self, call: kinds.StoreCall) -> Refusal:
+    def _find_past_generation(self, call: kinds.StoreCall) -> Refusal:
         """Whether the accept counts on a promise that was lost with a disk.
 
         A later life than the one noted here is no reason: it has read, though
@@ -212,12 +218,13 @@
         """
         if self.address not in call.lives:
             return Refusal.NO_PROMISE
-        if call.lives[self.address] != self.life:
-            return Refusal.PAST_LIFE
+        if call.lives[self.address] != self.generation:
+            return Refusal.PAST_GENERATION
         is_lost = any(
-            is_past(life, self.lives.get(member, NO_LIFE)) for member, life in call.lives.items()
+            is_superseded(life, self.known_generations.get(member, NO_GENERATION))
+            for member, life in call.lives.items()
         )
-        return Refusal.PAST_LIFE if is_lost else Refusal.NONE
+        return Refusal.PAST_GENERATION if is_lost else Refusal.NONE
 
     def _hold(self, register: str, holding: Holding) -> None:
         self._write_register(register, holding)
@@ -228,7 +235,7 @@
         self._records.write(_REGISTER_PREFIX + register, record)
 
     def _begin_first(self, seeds: list[str]) -> None:
-        self.life, self.view = first_life(), first_view(seeds)
+        self.generation, self.view = first_generation(), first_view(seeds)
         # A store that no seed names waits to be swapped in.
         if self.is_member:
             self._change_standing(Standing.VOTING)
@@ -240,21 +247,23 @@
 
     def _write_meta(self) -> None:
         unproven = frozenset(self._unproven)
-        meta = StoreMeta(self.life, self.standing, self.lives, unproven, self.view)
+        meta = StoreMeta(
+            self.generation, self.standing, self.known_generations, unproven, self.view
+        )
         self._records.write(META_RECORD, meta.pack())
 
     def _read_meta(self, data: bytes) -> None:
         meta = StoreMeta.read(data)
-        self.life, self.standing, self.view = meta.life, meta.standing, meta.view
-        self.lives, self._unproven = dict(meta.lives), set(meta.unproven)
+        self.generation, self.standing, self.view = meta.life, meta.standing, meta.view
+        self.known_generations, self._unproven = dict(meta.lives), set(meta.unproven)
 
     def _agree(self, accepted: list[kinds.Accepted]) -> kinds.StoreAnswer:
         return kinds.StoreAnswer(
             agreed=True,
-            life=self.life,
+            life=self.generation,
             view=self.pack_view(),
             accepted=accepted,
-            lives={**self.lives, self.address: self.life},
+            lives={**self.known_generations, self.address: self.generation},
         )
 
     def _refuse(
@@ -266,7 +275,7 @@
         promised = self.holdings.get(register, NOTHING).promised
         return kinds.StoreAnswer(
             reason=reason,
-            life=self.life,
+            life=self.generation,
             view=self.pack_view(),
             lives=lives,
             promised=promised.pack(),
--- a/marblefold/register_store/generations.py
+++ b/marblefold/register_store/generations.py
@@ -8,23 +8,30 @@
 import os
 from collections.abc import Iterable
 
-__all__ = ["NO_LIFE", "first_life", "is_past", "later_life", "life_above", "may_follow"]
+__all__ = [
+    "NO_GENERATION",
+    "first_generation",
+    "is_superseded",
+    "later_generation",
+    "generation_above",
+    "may_succeed",
+]
 
 # Older than every life: of a store that nothing is known about.
-NO_LIFE = ""
+NO_GENERATION = ""
 
 
-def first_life() -> str:
+def first_generation() -> str:
     """The life of a store at the first start of the whole system."""
     return _make(0)
 
 
-def life_above(known: Iterable[str]) -> str:
+def generation_above(known: Iterable[str]) -> str:
     """A fresh life, later than each of the known ones."""
     return _make(max(0, *(_epoch(life) for life in known)) + 1)
 
 
-def is_past(life: str, known: str) -> bool:
+def is_superseded(life: str, known: str) -> bool:
     """Whether the life ended before the known one of the same store began.
 
     Of two lives of one epoch at most one has ever voted: to vote it must have
@@ -33,14 +40,14 @@
     return _epoch(life) < _epoch(known)
 
 
-def may_follow(life: str, known: str) -> bool:
+def may_succeed(life: str, known: str) -> bool:
     """Whether a store may read under the life where the other one is noted for it."""
     return life == known or _epoch(life) > _epoch(known)
 
 
-def later_life(one: str, other: str) -> str:
+def later_generation(one: str, other: str) -> str:
     """The later of two lives of one store."""
-    return other if is_past(one, other) else one
+    return other if is_superseded(one, other) else one
 
 
 def _make(epoch: int) -> str:
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -91,7 +91,7 @@
                 raise MeshError(call.kind, "not for ourselves", peer)
             return answer
         call.sender = own.address
-        call.sender_life = own.life
+        call.sender_life = own.generation
         connection = await self._peers.reach(peer)
         reply: kinds.StoreAnswer = unpack_message(
             await connection.call(pack_message(call), _CALL_SECONDS)
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -51,7 +51,7 @@
         )
         self._peers = StorePeers(self._acceptor, PeerBook(self))
         self._proposer = Proposer(
-            self._peers, f"{self._address}/{self._acceptor.life}/{os.urandom(4).hex()}"
+            self._peers, f"{self._address}/{self._acceptor.generation}/{os.urandom(4).hex()}"
         )
         self._chosen = ChosenRegisters()
         self._upkeep = Upkeep(
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -10,7 +10,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NO_BALLOT, Ballot, Holding, read_holding
 from marblefold.register_store.changes import Change, Held
-from marblefold.register_store.generations import NO_LIFE, is_past, later_life
+from marblefold.register_store.generations import NO_GENERATION, is_superseded, later_generation
 from marblefold.register_store.peer_call_kinds import CallKind
 from marblefold.register_store.view import View, read_view
 
@@ -112,7 +112,7 @@
         call = kinds.StoreCall(
             kind=CallKind.PREPARE, view=view.pack(), register=register, ballot=ballot.pack()
         )
-        answers = _drop_past_lives(await self._ask(list(view.members), call, view.majority))
+        answers = _drop_lost_promises(await self._ask(list(view.members), call, view.majority))
         if len(answers) < view.majority:
             return None
         return _Promises(
@@ -165,7 +165,7 @@
             self._peers.learn_view(read_view(answer.view))
 
 
-def _drop_past_lives(answers: dict[str, kinds.StoreAnswer]) -> dict[str, kinds.StoreAnswer]:
+def _drop_lost_promises(answers: dict[str, kinds.StoreAnswer]) -> dict[str, kinds.StoreAnswer]:
     """Without the promises that were lost with a disk, as another one shows.
 
     Whoever lost its disk has read some member of every majority: either that
@@ -175,11 +175,11 @@
     known: dict[str, str] = {}
     for answer in answers.values():
         for member, life in answer.lives.items():
-            known[member] = later_life(life, known.get(member, NO_LIFE))
+            known[member] = later_generation(life, known.get(member, NO_GENERATION))
     return {
         peer: answer
         for peer, answer in answers.items()
-        if not is_past(answer.life, known.get(peer, NO_LIFE))
+        if not is_superseded(answer.life, known.get(peer, NO_GENERATION))
     }
 
 
--- a/marblefold/register_store/replica.py
+++ b/marblefold/register_store/replica.py
@@ -114,13 +114,13 @@
         """Reads all registers from enough others, then votes."""
         for _ in range(_READING_TRIES):
             acceptor = self._acceptor
-            asked = (acceptor.view, acceptor.life)
+            asked = (acceptor.view, acceptor.generation)
             kind = CallKind.READ if acceptor.is_member else CallKind.JOIN
             answers = await self._ask_all(
                 self._known_stores(), kinds.StoreCall(kind=kind, view=acceptor.pack_view())
             )
             self._learn(answers)
-            if (acceptor.view, acceptor.life) != asked:
+            if (acceptor.view, acceptor.generation) != asked:
                 # Asked under another view or life than ours is now: ask again.
                 continue
             self._finish_reading(kind, answers)
@@ -134,7 +134,7 @@
                 acceptor.take_view(read_view(answer.view))
         if acceptor.standing is Standing.READING:
             for answer in answers.values():
-                acceptor.outlive(answer.lives.get(acceptor.address, ""))
+                acceptor.supersede_generation(answer.lives.get(acceptor.address, ""))
 
     def _finish_reading(self, kind: CallKind, answers: dict[str, kinds.StoreAnswer]) -> None:
         acceptor = self._acceptor
--- a/marblefold/register_store/state_recovery.py
+++ b/marblefold/register_store/state_recovery.py
@@ -4,10 +4,10 @@
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.ballots import NOTHING, Holding, read_holding
-from marblefold.register_store.generations import NO_LIFE, later_life
+from marblefold.register_store.generations import NO_GENERATION, later_generation
 from marblefold.register_store.view import View
 
-__all__ = ["find_unproven", "is_enough", "merge_holdings", "merge_lives"]
+__all__ = ["find_unproven", "is_enough", "merge_holdings", "merge_generations"]
 
 
 def is_enough(view: View, previous: View | None, reader: str, sources: Iterable[str]) -> bool:
@@ -36,11 +36,11 @@
             own[message.register] = newer._replace(promised=max(held.promised, other.promised))
 
 
-def merge_lives(own: dict[str, str], answers: Iterable[kinds.StoreAnswer]) -> None:
+def merge_generations(own: dict[str, str], answers: Iterable[kinds.StoreAnswer]) -> None:
     """Keeps the latest life of each store."""
     for answer in answers:
         for member, life in answer.lives.items():
-            own[member] = later_life(life, own.get(member, NO_LIFE))
+            own[member] = later_generation(life, own.get(member, NO_GENERATION))
 
 
 def find_unproven(holdings: dict[str, Holding]) -> set[str]:
--- a/tests/core_faults.py
+++ b/tests/core_faults.py
@@ -109,8 +109,8 @@
             acceptor = machine.acceptor
             lines.append(
                 f"{machine.address} up={machine.is_up} {acceptor.standing.value} "
-                f"{acceptor.view} life={acceptor.life[:6]} lives="
-                f"{ {k: v[:6] for k, v in acceptor.lives.items()} }"
+                f"{acceptor.view} life={acceptor.generation[:6]} lives="
+                f"{ {k: v[:6] for k, v in acceptor.known_generations.items()} }"
             )
         return "\n".join(lines)
 
--- a/tests/simulated_core.py
+++ b/tests/simulated_core.py
@@ -125,7 +125,7 @@
         self.acceptor = Acceptor(self.address, self.disk, self.seeds, is_first)
         peers = StorePeers(self.acceptor, Book(self), clock)
         self.proposer = Proposer(
-            peers, f"{self.address}/{self.acceptor.life}/{self.run}", clock=clock
+            peers, f"{self.address}/{self.acceptor.generation}/{self.run}", clock=clock
         )
         timing = StoreTiming(clock, asyncio.sleep, core.chance.uniform)
         self.upkeep = Upkeep(
--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -95,7 +95,9 @@
         self.acceptor = Acceptor(self.name, self.records, names, True)
         peers = StorePeers(self.acceptor, Peers(self.world, self.name))
         self.chosen = ChosenRegisters()
-        proposer = Proposer(peers, f"{self.name}/{self.acceptor.life}", clock=self.world.clock)
+        proposer = Proposer(
+            peers, f"{self.name}/{self.acceptor.generation}", clock=self.world.clock
+        )
         self.upkeep = Upkeep(self.acceptor, peers, proposer, self.chosen, names)
         # The real answers of the real program, without its sockets and files.
         self.program = StoreProgram.__new__(StoreProgram)
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -25,7 +25,7 @@
         self.starts += 1
         self.proposer = Proposer(
             self,
-            f"{self.address}/{self.acceptor.life}/{self.starts}",
+            f"{self.address}/{self.acceptor.generation}/{self.starts}",
             sleep=lambda _seconds: asyncio.sleep(0),
             clock=self.system.clock,
         )
@@ -33,7 +33,7 @@
     async def call(self, peer, call):
         copy = kinds.StoreCall.FromString(call.SerializeToString())
         copy.sender = self.address
-        copy.sender_life = self.acceptor.life
+        copy.sender_life = self.acceptor.generation
         if peer == self.address:
             return answer_call(self.acceptor, copy)
         store = self.system.stores[peer]
--- a/tests/simulated_replicas.py
+++ b/tests/simulated_replicas.py
@@ -71,7 +71,7 @@
         self.acceptor = Acceptor(address, records, core.addresses, is_first)
         self.chosen = ChosenRegisters()
         self.proposer = Proposer(
-            self, f"{address}/{self.acceptor.life}/1", sleep=lambda _seconds: asyncio.sleep(0)
+            self, f"{address}/{self.acceptor.generation}/1", sleep=lambda _seconds: asyncio.sleep(0)
         )
         self.upkeep = Upkeep(self.acceptor, self, self.proposer, self.chosen, core.addresses, 2)
 
@@ -98,7 +98,7 @@
             return answer_call(self.acceptor, call)
         if peer in self.core.away or self.address in self.core.away:
             raise MeshError("call", "out of reach", peer)
-        call.sender, call.sender_life = self.address, self.acceptor.life
+        call.sender, call.sender_life = self.address, self.acceptor.generation
         payload = pack_message(call)
         answer = pack_message(self.core.members[peer].answer(unpack_message(payload)))
         self.core.calls[call.kind] += 1
--- a/tests/simulated_stores.py
+++ b/tests/simulated_stores.py
@@ -49,7 +49,7 @@
 
     def restart_proposer(self):
         self.starts += 1
-        name = f"{self.address}/{self.acceptor.life}/{self.starts}"
+        name = f"{self.address}/{self.acceptor.generation}/{self.starts}"
         self.proposer = Proposer(self, name, sleep=lambda _seconds: asyncio.sleep(0))
 
     def lose_power(self):
@@ -69,7 +69,7 @@
     async def call(self, peer, call):
         copy = kinds.StoreCall.FromString(call.SerializeToString())
         copy.sender = self.address
-        copy.sender_life = self.acceptor.life
+        copy.sender_life = self.acceptor.generation
         store = self.system.stores[peer]
         if peer == self.address:
             return answer_call(self.acceptor, copy)
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -10,7 +10,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.acceptor import META_RECORD, Acceptor, Standing
 from marblefold.register_store.ballots import Ballot
-from marblefold.register_store.generations import NO_LIFE, is_past
+from marblefold.register_store.generations import NO_GENERATION, is_superseded
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.program import open_acceptor
 from marblefold.register_store.register_files import RegisterFiles
@@ -47,7 +47,7 @@
             ballot=kinds.Ballot(counter=self.counter, proposer="b:1"),
             number=self.counter,
             value=b"%d" % self.counter,
-            lives={OWN: self.acceptor.life},
+            lives={OWN: self.acceptor.generation},
             sender="b:1",
             sender_life=f"{self.counter // 5}-life",
         )
@@ -92,7 +92,9 @@
             assert self.acceptor.holdings[register].ballot >= ballot
         for reader, life in self.lives.items():
             # That life, or a later one that was noted though not answered.
-            assert not is_past(self.acceptor.lives.get(reader, NO_LIFE), life)
+            assert not is_superseded(
+                self.acceptor.known_generations.get(reader, NO_GENERATION), life
+            )
 
 
 def test_whatever_an_acceptor_said_lasts_through_trouble_and_losses_of_power(monkeypatch):
@@ -124,7 +126,7 @@
     lasting = SimulatedDisk({name: inode.synced for name, inode in disk.durable.items()})
     lasting.install(monkeypatch)
     again = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, False)
-    assert again.lives == {"b:1": "2-second"}
+    assert again.known_generations == {"b:1": "2-second"}
 
 
 def test_a_start_on_a_disk_in_trouble_waits_in_silence_and_then_votes(monkeypatch):
@@ -141,7 +143,7 @@
 
     acceptor = open_acceptor(OWN, FOLDER, PEERS, False, sleep)
     assert len(pauses) == 3
-    assert acceptor.life == first.life and acceptor.standing is Standing.VOTING
+    assert acceptor.generation == first.generation and acceptor.standing is Standing.VOTING
 
 
 def test_a_first_start_on_a_full_disk_refuses_until_there_is_room(monkeypatch):
--- a/tests/test_lost_promises.py
+++ b/tests/test_lost_promises.py
@@ -60,14 +60,14 @@
 def read_on(five, address, sources):
     for _ in range(3):
         reader = five[address]
-        life = reader.life
+        life = reader.generation
         call = kinds.StoreCall(
             kind=CallKind.READ, view=reader.pack_view(), sender=address, sender_life=life
         )
         answers = [answer_call(five[source], call) for source in sources]
         for answer in answers:
-            reader.outlive(answer.lives.get(address, ""))
-        if reader.life == life and all(answer.agreed for answer in answers):
+            reader.supersede_generation(answer.lives.get(address, ""))
+        if reader.generation == life and all(answer.agreed for answer in answers):
             reader.finish_reading(answers)
             return
 
@@ -118,7 +118,7 @@
             number=1,
             value=b"early",
             ballot=kinds.Ballot(counter=1, proposer="early"),
-            lives={peer: five[peer].life for peer in ("w:1", "z:1", "y:1")},
+            lives={peer: five[peer].generation for peer in ("w:1", "z:1", "y:1")},
         )
         assert all(answer_call(five[peer], call).agreed for peer in ("w:1", "z:1"))
         read_anew(five, "x:1", ["w:1", "y:1", "z:1"])
@@ -156,14 +156,14 @@
         kind=CallKind.READ,
         view=five["w:1"].pack_view(),
         sender="x:1",
-        sender_life=five["x:1"].life,
+        sender_life=five["x:1"].generation,
     )
     read_anew(five, "x:1", ["w:1", "y:1", "z:1"])
     assert five["x:1"].standing is Standing.VOTING
-    later = five["x:1"].life
+    later = five["x:1"].generation
     answer = answer_call(five["z:1"], past)
-    assert not answer.agreed and answer.reason == Refusal.READER_OF_PAST_LIFE
-    assert five["z:1"].lives["x:1"] == later
+    assert not answer.agreed and answer.reason == Refusal.READER_OF_PAST_GENERATION
+    assert five["z:1"].known_generations["x:1"] == later
 
 
 def test_a_reader_takes_the_latest_life_whoever_tells_it_first():
@@ -172,18 +172,18 @@
     read_anew(five, "x:1", ["u:1", "w:1", "y:1"])
     for order in (["z:1", "y:1", "u:1"], ["u:1", "y:1", "z:1"]):
         read_anew(five, "w:1", order)
-        assert five["w:1"].lives["x:1"] == five["x:1"].life
+        assert five["w:1"].known_generations["x:1"] == five["x:1"].generation
 
 
 def test_lives_of_stores_outside_the_view_are_forgotten():
     """Replacements without end must not make the record of a store grow."""
     acceptor = Acceptor("w:1", MemoryRecords(), FIVE, True)
     for number in range(50):
-        acceptor.lives[f"n{number}:1"] = f"1-{number}"
+        acceptor.known_generations[f"n{number}:1"] = f"1-{number}"
         acceptor.take_view(
             acceptor.view.swap(acceptor.view.members[0], f"n{number}:1", f"mark {number}")
         )
-    assert set(acceptor.lives) <= {*acceptor.view.members, "w:1"}
+    assert set(acceptor.known_generations) <= {*acceptor.view.members, "w:1"}
     assert read_view(acceptor.pack_view()) == acceptor.view
 
 
@@ -217,5 +217,5 @@
     newcomer.take_view(first)
     newcomer.take_view(first.swap("z:1", "n:1", "second"))
     assert newcomer.previous == first
-    assert newcomer.outlive("7-an earlier life that was noted")
+    assert newcomer.supersede_generation("7-an earlier life that was noted")
     assert newcomer.previous is None
--- a/tests/test_one_number_one_content.py
+++ b/tests/test_one_number_one_content.py
@@ -46,7 +46,7 @@
         # Known at its sending, so never refused afterwards.
         is_known = self.confirmed.get(number) == content
         task = self.loop.create_task(store.proposer.change(REGISTER, read_order(call).change, 0.0))
-        self.tasks.append((task, (call, is_known, self.acknowledged), store.acceptor.life))
+        self.tasks.append((task, (call, is_known, self.acknowledged), store.acceptor.generation))
         self.turn()
 
     @rule(address=st.sampled_from(ALL))
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -74,7 +74,7 @@
         self.next_number += 1
         change = hold_configuration(self.next_number, f"{address} {self.next_number}".encode())
         task = self.loop.create_task(store.proposer.change("configuration", change, 0.0))
-        self.tasks.append((task, self.acknowledged, store.acceptor.life))
+        self.tasks.append((task, self.acknowledged, store.acceptor.generation))
         self.turn()
 
     @rule(address=st.sampled_from(SEEDS), slow=st.sampled_from(SEEDS))
@@ -132,7 +132,7 @@
         acceptor = store.acceptor
         if acceptor.standing is Standing.VOTING:
             return
-        life = acceptor.life
+        life = acceptor.generation
         answers = []
         for peer in ALL:
             if peer == address:
@@ -146,8 +146,8 @@
             if answer.view:
                 acceptor.take_view(read_view(answer.view))
             # A lost disk hears here that an earlier life of its own was noted.
-            acceptor.outlive(answer.lives.get(address, ""))
-        if acceptor.life != life:
+            acceptor.supersede_generation(answer.lives.get(address, ""))
+        if acceptor.generation != life:
             return
         same = {answer.view for answer in answers} == {acceptor.pack_view()}
         if acceptor.is_member and same and len(answers) >= acceptor.view.reading:
@@ -241,7 +241,7 @@
     stores["c:1"] = Acceptor("c:1", MemoryRecords(), SEEDS, False)
     reader = stores["c:1"]
     reader.take_view(read_view(view))
-    read = make_call("read", view, sender="c:1", sender_life=reader.life)
+    read = make_call("read", view, sender="c:1", sender_life=reader.generation)
     reader.finish_reading([answer_call(stores[peer], read) for peer in ("a:1", "b:1")])
     # Only now does the accept reach a: with c's lost one it would be two of three.
     late = answer_call(stores["a:1"], accept)
--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -193,14 +193,14 @@
 
     def _read(self, member: str, sources: tuple[str, ...]) -> None:
         reader = self.acceptors[member]
-        life = reader.life
+        life = reader.generation
         call = kinds.StoreCall(
             kind=CallKind.READ, view=reader.pack_view(), sender=member, sender_life=life
         )
         answers = [_answer(self.acceptors[source], call) for source in sources]
         for answer in answers:
-            reader.outlive(answer.lives.get(member, ""))
-        if reader.life == life and all(answer.agreed for answer in answers):
+            reader.supersede_generation(answer.lives.get(member, ""))
+        if reader.generation == life and all(answer.agreed for answer in answers):
             reader.finish_reading(answers)
 
     def _turn(self) -> None:
@@ -211,9 +211,9 @@
         stores = tuple(
             (
                 a.standing.value,
-                _epoch(a.life),
+                _epoch(a.generation),
                 str(a.holdings.get(REGISTER)),
-                tuple(sorted((m, _epoch(life)) for m, life in a.lives.items())),
+                tuple(sorted((m, _epoch(life)) for m, life in a.known_generations.items())),
                 REGISTER in a._unproven,
             )
             for a in self.acceptors.values()
