--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -7,7 +7,13 @@
 
 from marblefold.errors import DiskError
 from marblefold.inner_protocol.messages import kinds
-from marblefold.register_store.ballots import NOTHING, Ballot, Holding, pack_holding, read_holding
+from marblefold.register_store.ballots import (
+    NO_ACCEPTED_STATE,
+    AcceptedState,
+    Ballot,
+    pack_accepted_state,
+    read_accepted_state,
+)
 from marblefold.register_store.generations import (
     NO_GENERATION,
     first_generation,
@@ -19,8 +25,8 @@
 from marblefold.register_store.records import DoubtfulRecords, Records
 from marblefold.register_store.state_recovery import (
     find_unproven,
+    merge_accepted_states,
     merge_generations,
-    merge_holdings,
 )
 from marblefold.register_store.store_records import Standing, StoreMeta
 from marblefold.register_store.view import View, first_view, read_view
@@ -40,7 +46,7 @@
         self.standing = Standing.READING
         self.generation = NO_GENERATION
         self.known_generations: dict[str, str] = {}
-        self.holdings: dict[str, Holding] = {}
+        self.accepted_states: dict[str, AcceptedState] = {}
         self.view: View | None = None
         # The view before, if we waited outside it in this very life.
         self.previous: View | None = None
@@ -54,7 +60,7 @@
         for name, data in loaded.items():
             if name.startswith(_REGISTER_PREFIX):
                 message = kinds.Accepted.FromString(data)
-                self.holdings[message.register] = read_holding(message)
+                self.accepted_states[message.register] = read_accepted_state(message)
         # What cannot be written now is written before the first answer.
         with contextlib.suppress(DiskError):
             # Empty: the disk lost a record, so this store starts as if wiped.
@@ -73,7 +79,7 @@
     @property
     def has_open_view(self) -> bool:
         """Whether a view was accepted here that may or may not be chosen."""
-        held = self.holdings.get(VIEW_REGISTER, NOTHING)
+        held = self.accepted_states.get(VIEW_REGISTER, NO_ACCEPTED_STATE)
         known = self.view.number if self.view else 0
         return bool(held.value) and read_view(held.value).number > known
 
@@ -87,7 +93,9 @@
             if name == META_RECORD:
                 self._write_meta()
             else:
-                self._write_register(register, self.holdings.get(register, NOTHING))
+                self._write_register(
+                    register, self.accepted_states.get(register, NO_ACCEPTED_STATE)
+                )
 
     def begin_reading(self) -> None:
         """Starts a life that knows nothing: no vote before it has read."""
@@ -113,13 +121,16 @@
         refusal = self._find_refusal(call)
         if refusal:
             return self._refuse(refusal, call.register)
-        held, ballot = self.holdings.get(call.register, NOTHING), Ballot.read(call.ballot)
+        held, ballot = (
+            self.accepted_states.get(call.register, NO_ACCEPTED_STATE),
+            Ballot.read(call.ballot),
+        )
         if ballot <= held.promised:
             return self._refuse(Refusal.PROMISED_HIGHER, call.register)
         self._hold(call.register, held._replace(promised=ballot))
         # A promise above the ballot has the proposer not count it as accepted.
         shown = held if call.register in self._unproven else held._replace(promised=held.ballot)
-        return self._agree([pack_holding(call.register, shown)])
+        return self._agree([pack_accepted_state(call.register, shown)])
 
     def accept(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """Accepts a value under a ballot that is not below the promised one."""
@@ -127,21 +138,21 @@
         if refusal:
             return self._refuse(refusal, call.register)
         ballot = Ballot.read(call.ballot)
-        if ballot < self.holdings.get(call.register, NOTHING).promised:
+        if ballot < self.accepted_states.get(call.register, NO_ACCEPTED_STATE).promised:
             return self._refuse(Refusal.PROMISED_HIGHER, call.register)
         orders = tuple(call.orders)
-        self._hold(call.register, Holding(ballot, ballot, call.number, call.value, orders))
+        self._hold(call.register, AcceptedState(ballot, ballot, call.number, call.value, orders))
         self._unproven.discard(call.register)
         return self._agree([])
 
-    def take_chosen(self, register: str, holding: Holding) -> bool:
+    def take_chosen(self, register: str, holding: AcceptedState) -> bool:
         """Takes in what a majority holds; returns whether it was newer than the one held.
 
         Safe whatever was promised: a higher ballot's majority met this one's.
         """
         if register == VIEW_REGISTER:
             self.take_view(read_view(holding.value))
-        held = self.holdings.get(register, NOTHING)
+        held = self.accepted_states.get(register, NO_ACCEPTED_STATE)
         if holding.ballot <= held.ballot or self.standing is not Standing.VOTING:
             return False
         promised = max(held.promised, holding.ballot)
@@ -189,15 +200,17 @@
             # On disk first: an accept that counts on the past life of the
             # reader must be refused from here on, whatever happens to us.
             self._write_meta()
-        return self._agree([pack_holding(name, holding) for name, holding in self.holdings.items()])
+        return self._agree(
+            [pack_accepted_state(name, holding) for name, holding in self.accepted_states.items()]
+        )
 
     def finish_reading(self, answers: list[kinds.StoreAnswer]) -> None:
         """Takes over what enough others hold; from here on this store votes."""
-        merge_holdings(self.holdings, answers)
+        merge_accepted_states(self.accepted_states, answers)
         merge_generations(self.known_generations, answers)
-        for register, holding in self.holdings.items():
+        for register, holding in self.accepted_states.items():
             self._write_register(register, holding)
-        self._unproven = find_unproven(self.holdings)
+        self._unproven = find_unproven(self.accepted_states)
         self._change_standing(Standing.VOTING)
 
     def _find_refusal(self, call: kinds.StoreCall) -> Refusal:
@@ -226,12 +239,12 @@
         )
         return Refusal.PAST_GENERATION if is_lost else Refusal.NONE
 
-    def _hold(self, register: str, holding: Holding) -> None:
+    def _hold(self, register: str, holding: AcceptedState) -> None:
         self._write_register(register, holding)
-        self.holdings[register] = holding
+        self.accepted_states[register] = holding
 
-    def _write_register(self, register: str, holding: Holding) -> None:
-        record = pack_holding(register, holding).SerializeToString()
+    def _write_register(self, register: str, holding: AcceptedState) -> None:
+        record = pack_accepted_state(register, holding).SerializeToString()
         self._records.write(_REGISTER_PREFIX + register, record)
 
     def _begin_first(self, seeds: list[str]) -> None:
@@ -272,7 +285,7 @@
         register: str,
         lives: dict[str, str] | None = None,
     ) -> kinds.StoreAnswer:
-        promised = self.holdings.get(register, NOTHING).promised
+        promised = self.accepted_states.get(register, NO_ACCEPTED_STATE).promised
         return kinds.StoreAnswer(
             reason=reason,
             life=self.generation,
--- a/marblefold/register_store/anti_entropy.py
+++ b/marblefold/register_store/anti_entropy.py
@@ -12,7 +12,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
 from marblefold.register_store.acceptor import Acceptor
-from marblefold.register_store.ballots import Holding, read_holding
+from marblefold.register_store.ballots import AcceptedState, read_accepted_state
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.peer_call_kinds import CallKind
 from marblefold.register_store.store_timing import REAL_TIMING, StoreTiming
@@ -56,7 +56,7 @@
             await self._catch_up(self._pick(differing))
         self._keep_copies()
 
-    def take(self, register: str, holding: Holding) -> bool:
+    def take(self, register: str, holding: AcceptedState) -> bool:
         """Takes in a holding that is known to be chosen; returns whether it was new here."""
         if not holding.value:
             return False
@@ -68,7 +68,7 @@
     def is_settled(self, register: str) -> bool:
         """Whether what is held here is known to be chosen, or outdone by what is."""
         known = self._chosen.holdings.get(register)
-        held = self._acceptor.holdings.get(register)
+        held = self._acceptor.accepted_states.get(register)
         return known is not None and (held is None or held.ballot <= known.ballot)
 
     def _pick(self, peers: list[str]) -> str:
@@ -92,7 +92,7 @@
     async def _take_all(self, answer: kinds.StoreAnswer) -> bool:
         was_new = False
         for message in answer.accepted:
-            was_new |= self.take(message.register, read_holding(message))
+            was_new |= self.take(message.register, read_accepted_state(message))
             # Each is a write to disk: calls of others are answered in between.
             await asyncio.sleep(0)
         return was_new
@@ -103,7 +103,7 @@
             if not self._keep_copy(register, holding):
                 return
 
-    def _keep_copy(self, register: str, holding: Holding) -> bool:
+    def _keep_copy(self, register: str, holding: AcceptedState) -> bool:
         try:
             self._acceptor.take_chosen(register, holding)
         except DiskError as error:
--- a/marblefold/register_store/ballots.py
+++ b/marblefold/register_store/ballots.py
@@ -4,7 +4,14 @@
 
 from marblefold.inner_protocol.messages import kinds
 
-__all__ = ["Ballot", "Holding", "NO_BALLOT", "NOTHING", "pack_holding", "read_holding"]
+__all__ = [
+    "Ballot",
+    "AcceptedState",
+    "NO_BALLOT",
+    "NO_ACCEPTED_STATE",
+    "pack_accepted_state",
+    "read_accepted_state",
+]
 
 
 class Ballot(NamedTuple):
@@ -26,7 +33,7 @@
 NO_BALLOT = Ballot(0, "")
 
 
-class Holding(NamedTuple):
+class AcceptedState(NamedTuple):
     """What an acceptor promised and accepted for one register."""
 
     promised: Ballot
@@ -37,10 +44,10 @@
     orders: tuple[bytes, ...] = ()
 
 
-NOTHING = Holding(NO_BALLOT, NO_BALLOT, 0, b"")
+NO_ACCEPTED_STATE = AcceptedState(NO_BALLOT, NO_BALLOT, 0, b"")
 
 
-def pack_holding(register: str, holding: Holding) -> kinds.Accepted:
+def pack_accepted_state(register: str, holding: AcceptedState) -> kinds.Accepted:
     """The holding as a message."""
     return kinds.Accepted(
         register=register,
@@ -52,9 +59,9 @@
     )
 
 
-def read_holding(message: kinds.Accepted) -> Holding:
+def read_accepted_state(message: kinds.Accepted) -> AcceptedState:
     """The holding in a message."""
-    return Holding(
+    return AcceptedState(
         Ballot.read(message.promised),
         Ballot.read(message.ballot),
         message.number,
--- a/marblefold/register_store/chosen_registers.py
+++ b/marblefold/register_store/chosen_registers.py
@@ -6,7 +6,7 @@
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message
 from marblefold.inner_protocol.peer_connection import PeerConnection
-from marblefold.register_store.ballots import Ballot, Holding, pack_holding
+from marblefold.register_store.ballots import AcceptedState, Ballot, pack_accepted_state
 
 __all__ = ["ChosenRegisters"]
 
@@ -19,18 +19,18 @@
     """The newest chosen holding of every register, and its watchers."""
 
     def __init__(self) -> None:
-        self.holdings: dict[str, Holding] = {}
+        self.holdings: dict[str, AcceptedState] = {}
         self._watchers: set[PeerConnection] = set()
         self._digest = b""
 
-    def put(self, register: str, holding: Holding) -> bool:
+    def put(self, register: str, holding: AcceptedState) -> bool:
         """Takes in a chosen holding; returns whether it was newer than the one held."""
         held = self.holdings.get(register)
         if not holding.value or (held is not None and holding.ballot <= held.ballot):
             return False
         self.holdings[register] = holding
         self._digest = b""
-        payload = pack_message(pack_holding(register, holding))
+        payload = pack_message(pack_accepted_state(register, holding))
         for connection in self._watchers:
             connection.send(FrameKind.TELL, 0, payload)
         return True
@@ -39,7 +39,7 @@
         """Sends the connection all that is chosen, now and from now on."""
         self._watchers.add(connection)
         for register, holding in self.holdings.items():
-            connection.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
+            connection.send(FrameKind.TELL, 0, pack_message(pack_accepted_state(register, holding)))
 
     def forget(self, connection: PeerConnection) -> None:
         """A watcher is gone."""
@@ -67,7 +67,7 @@
         for register, holding in self.holdings.items():
             if register in theirs and holding.ballot <= theirs[register]:
                 continue
-            message = pack_holding(register, holding)
+            message = pack_accepted_state(register, holding)
             size += message.ByteSize()
             if newer and size > _MOST_BYTES:
                 break
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -8,7 +8,7 @@
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
 from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.register_store.acceptor import Acceptor
-from marblefold.register_store.ballots import Holding, pack_holding
+from marblefold.register_store.ballots import AcceptedState, pack_accepted_state
 from marblefold.register_store.peer_call_kinds import CallKind
 from marblefold.register_store.view import View, read_view
 
@@ -76,11 +76,11 @@
         """For how many seconds the peer has said nothing."""
         return self._clock() - max(self.heard.get(peer, since), since)
 
-    def tell_chosen(self, peer: str, register: str, holding: Holding) -> None:
+    def tell_chosen(self, peer: str, register: str, holding: AcceptedState) -> None:
         """Sends a peer that is in reach what was chosen; comparing does the rest."""
         connection = self._peers.find(peer)
         if connection is not None:
-            connection.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
+            connection.send(FrameKind.TELL, 0, pack_message(pack_accepted_state(register, holding)))
 
     async def call(self, peer: str, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """The peer's answer, or a MeshError."""
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -16,7 +16,7 @@
 from marblefold.logs import log
 from marblefold.node_config.watching import ConfigWatch
 from marblefold.register_store.acceptor import META_RECORD, VIEW_REGISTER, Acceptor
-from marblefold.register_store.ballots import Holding, read_holding
+from marblefold.register_store.ballots import AcceptedState, read_accepted_state
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import Held
 from marblefold.register_store.chosen_registers import ChosenRegisters
@@ -99,7 +99,7 @@
         """A store sends what was just chosen."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Accepted):
-            self._upkeep.take_chosen(message.register, read_holding(message))
+            self._upkeep.take_chosen(message.register, read_accepted_state(message))
 
     def on_lost(self, connection: PeerConnection) -> None:
         """A connection is gone; if a registry was behind it, it watches no more."""
@@ -147,7 +147,7 @@
                 ),
             )
 
-    def _spread(self, register: str, holding: Holding) -> None:
+    def _spread(self, register: str, holding: AcceptedState) -> None:
         self._upkeep.take_chosen(register, holding)
         view = self._acceptor.view
         for peer in view.members if view else ():
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -8,7 +8,7 @@
 
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
-from marblefold.register_store.ballots import NO_BALLOT, Ballot, Holding, read_holding
+from marblefold.register_store.ballots import NO_BALLOT, AcceptedState, Ballot, read_accepted_state
 from marblefold.register_store.changes import Change, Held
 from marblefold.register_store.generations import NO_GENERATION, is_superseded, later_generation
 from marblefold.register_store.peer_call_kinds import CallKind
@@ -34,7 +34,7 @@
     """What a majority promised: their lives and what they hold."""
 
     lives: dict[str, str]
-    holdings: list[Holding]
+    holdings: list[AcceptedState]
 
 
 class Proposer:
@@ -54,7 +54,7 @@
         self._counter = 0
         self._turns: dict[str, asyncio.Lock] = {}
 
-    async def change(self, register: str, change: Change, seconds: float) -> Holding:
+    async def change(self, register: str, change: Change, seconds: float) -> AcceptedState:
         """What a majority holds after the change.
 
         seconds: how long it is tried, at least once.
@@ -76,7 +76,7 @@
                     raise MeshError("propose", f"no majority for {register}")
                 await self._sleep(pause)
 
-    async def _try(self, view: View, register: str, change: Change) -> Holding | None:
+    async def _try(self, view: View, register: str, change: Change) -> AcceptedState | None:
         self._counter += 1
         ballot = Ballot(self._counter, self._name)
         promises = await self._prepare(view, register, ballot)
@@ -106,7 +106,7 @@
         answers = await self._ask(list(promises.lives), call, view.majority)
         if len(answers) < view.majority:
             return None
-        return Holding(NO_BALLOT, ballot, *wanted)
+        return AcceptedState(NO_BALLOT, ballot, *wanted)
 
     async def _prepare(self, view: View, register: str, ballot: Ballot) -> _Promises | None:
         call = kinds.StoreCall(
@@ -117,7 +117,7 @@
             return None
         return _Promises(
             {peer: answer.life for peer, answer in answers.items()},
-            [read_holding(answer.accepted[0]) for answer in answers.values()],
+            [read_accepted_state(answer.accepted[0]) for answer in answers.values()],
         )
 
     async def _ask(
--- a/marblefold/register_store/reconciliation.py
+++ b/marblefold/register_store/reconciliation.py
@@ -2,7 +2,7 @@
 
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.anti_entropy import Comparing
-from marblefold.register_store.ballots import Holding
+from marblefold.register_store.ballots import AcceptedState
 from marblefold.register_store.changes import Change, keep
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.proposer import Proposer
@@ -33,10 +33,10 @@
 
     async def settle_all(self) -> None:
         """Settles every register that is known here; MeshError if one cannot be."""
-        for register in list(self._acceptor.holdings):
+        for register in list(self._acceptor.accepted_states):
             await self.settle(register)
 
-    async def propose(self, register: str, change: Change) -> Holding:
+    async def propose(self, register: str, change: Change) -> AcceptedState:
         """What holds after the change, taken in here and sent to the members.
 
         Raises a MeshError if no majority answers in time.
@@ -50,6 +50,6 @@
                     self._peers.tell_chosen(member, register, holding)
         return holding
 
-    def take_chosen(self, register: str, holding: Holding) -> None:
+    def take_chosen(self, register: str, holding: AcceptedState) -> None:
         """Takes in a holding that is known to be chosen."""
         self._comparing.take(register, holding)
--- a/marblefold/register_store/replica.py
+++ b/marblefold/register_store/replica.py
@@ -9,7 +9,7 @@
 from marblefold.logs import log
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, Standing
 from marblefold.register_store.anti_entropy import Comparing, answer_comparison
-from marblefold.register_store.ballots import NOTHING, Ballot, Holding
+from marblefold.register_store.ballots import NO_ACCEPTED_STATE, AcceptedState, Ballot
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.member_changes import MemberChanges
 from marblefold.register_store.peer_call_kinds import CallKind, Refusal
@@ -79,7 +79,7 @@
         """
         await self._members.hand_over(seconds)
 
-    def take_chosen(self, register: str, holding: Holding) -> None:
+    def take_chosen(self, register: str, holding: AcceptedState) -> None:
         """Takes in a holding that is known to be chosen."""
         self._settler.take_chosen(register, holding)
 
@@ -147,7 +147,7 @@
         counted = {*view.members, *(acceptor.previous or view).members}
         acceptor.finish_reading([agreed[peer] for peer in agreed if peer in counted])
         self._unsettled = None
-        log.info("reading done", registers=len(acceptor.holdings), view=view.number)
+        log.info("reading done", registers=len(acceptor.accepted_states), view=view.number)
 
     def _known_stores(self) -> list[str]:
         """The members known, of the view before too, and the seeds.
@@ -162,7 +162,7 @@
     async def _settle_after_start(self) -> None:
         """After a start, finds out which of the registers held here are chosen."""
         if self._unsettled is None:
-            self._unsettled = set(self._acceptor.holdings)
+            self._unsettled = set(self._acceptor.accepted_states)
         if self._unsettled:
             # Whatever a peer knows to be chosen needs no ballot here.
             with contextlib.suppress(MeshError):
@@ -180,9 +180,9 @@
         """
         unsure = {
             register: holding.ballot
-            for register, holding in self._acceptor.holdings.items()
+            for register, holding in self._acceptor.accepted_states.items()
             if register != VIEW_REGISTER
-            and holding.ballot > self._chosen.holdings.get(register, NOTHING).ballot
+            and holding.ballot > self._chosen.holdings.get(register, NO_ACCEPTED_STATE).ballot
         }
         if self._unsettled is not None:
             self._unsettled |= {register for register, _ in unsure.items() & self._unsure.items()}
--- a/marblefold/register_store/state_recovery.py
+++ b/marblefold/register_store/state_recovery.py
@@ -3,11 +3,11 @@
 from collections.abc import Iterable
 
 from marblefold.inner_protocol.messages import kinds
-from marblefold.register_store.ballots import NOTHING, Holding, read_holding
+from marblefold.register_store.ballots import NO_ACCEPTED_STATE, AcceptedState, read_accepted_state
 from marblefold.register_store.generations import NO_GENERATION, later_generation
 from marblefold.register_store.view import View
 
-__all__ = ["find_unproven", "is_enough", "merge_holdings", "merge_generations"]
+__all__ = ["find_unproven", "is_enough", "merge_accepted_states", "merge_generations"]
 
 
 def is_enough(view: View, previous: View | None, reader: str, sources: Iterable[str]) -> bool:
@@ -26,12 +26,14 @@
     return len(sources.intersection(previous.members)) >= previous.majority
 
 
-def merge_holdings(own: dict[str, Holding], answers: Iterable[kinds.StoreAnswer]) -> None:
+def merge_accepted_states(
+    own: dict[str, AcceptedState], answers: Iterable[kinds.StoreAnswer]
+) -> None:
     """Keeps the newest value of each register and the highest promise."""
     for answer in answers:
         for message in answer.accepted:
-            other = read_holding(message)
-            held = own.get(message.register, NOTHING)
+            other = read_accepted_state(message)
+            held = own.get(message.register, NO_ACCEPTED_STATE)
             newer = other if other.ballot > held.ballot else held
             own[message.register] = newer._replace(promised=max(held.promised, other.promised))
 
@@ -43,7 +45,7 @@
             own[member] = later_generation(life, own.get(member, NO_GENERATION))
 
 
-def find_unproven(holdings: dict[str, Holding]) -> set[str]:
+def find_unproven(holdings: dict[str, AcceptedState]) -> set[str]:
     """The registers whose value was copied although a higher ballot was promised.
 
     Whoever got that promise may not have seen the value: such a copy is no
--- a/tests/many_changes.py
+++ b/tests/many_changes.py
@@ -4,7 +4,7 @@
 import random
 from types import SimpleNamespace
 
-from marblefold.register_store.ballots import pack_holding
+from marblefold.register_store.ballots import pack_accepted_state
 from marblefold.register_store.changes import Held, hold_configuration
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.program import RegistryProgram
@@ -62,7 +62,7 @@
 def held_by(member):
     return {
         register: (holding.number, holding.value)
-        for register, holding in member.acceptor.holdings.items()
+        for register, holding in member.acceptor.accepted_states.items()
     }
 
 
@@ -75,7 +75,7 @@
 
 def bytes_chosen_at(member):
     return sum(
-        pack_holding(register, holding).ByteSize()
+        pack_accepted_state(register, holding).ByteSize()
         for register, holding in member.chosen.holdings.items()
     )
 
--- a/tests/simulated_core.py
+++ b/tests/simulated_core.py
@@ -10,7 +10,7 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import pack_message, unpack_message
 from marblefold.register_store.acceptor import Acceptor, Standing
-from marblefold.register_store.ballots import read_holding
+from marblefold.register_store.ballots import read_accepted_state
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.proposer import Proposer
@@ -167,7 +167,7 @@
         return self._guard(lambda: self.upkeep.answer(call))
 
     def take_tell(self, message):
-        self._guard(lambda: self.upkeep.take_chosen(message.register, read_holding(message)))
+        self._guard(lambda: self.upkeep.take_chosen(message.register, read_accepted_state(message)))
 
     def _guard(self, act):
         if not self.is_up:
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -5,7 +5,7 @@
 
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
-from marblefold.register_store.ballots import NOTHING
+from marblefold.register_store.ballots import NO_ACCEPTED_STATE
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import Held, keep
 from marblefold.register_store.orders import read_order
@@ -167,7 +167,7 @@
 
 def held_of(stores, address, register):
     """What one store accepted, chosen or not."""
-    return stores.stores[address].acceptor.holdings.get(register, NOTHING)
+    return stores.stores[address].acceptor.accepted_states.get(register, NO_ACCEPTED_STATE)
 
 
 __all__ = ["Outcome", "OrderedStores", "StoreClient", "held_of"]
--- a/tests/simulated_replicas.py
+++ b/tests/simulated_replicas.py
@@ -12,7 +12,7 @@
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.anti_entropy import answer_comparison
-from marblefold.register_store.ballots import pack_holding, read_holding
+from marblefold.register_store.ballots import pack_accepted_state, read_accepted_state
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
@@ -109,8 +109,8 @@
     def tell_chosen(self, peer, register, holding):
         if peer == self.address or {peer, self.address} & self.core.away:
             return
-        payload = pack_message(pack_holding(register, holding))
+        payload = pack_message(pack_accepted_state(register, holding))
         self.core.bytes += len(payload)
         message = unpack_message(payload)
         assert isinstance(message, kinds.Accepted)
-        self.core.members[peer].upkeep.take_chosen(message.register, read_holding(message))
+        self.core.members[peer].upkeep.take_chosen(message.register, read_accepted_state(message))
--- a/tests/test_cut_off_registry.py
+++ b/tests/test_cut_off_registry.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from marblefold import wire_names
-from marblefold.register_store.ballots import NOTHING
+from marblefold.register_store.ballots import NO_ACCEPTED_STATE
 from marblefold.registry.quorum_contact import CONTACT_SECONDS
 from tests.mesh_on_loopback import CONFIGURATION
 from tests.simulated_machines import OPERATOR, SLICE, World
@@ -157,7 +157,7 @@
         if self.acknowledged < 0:
             return
         holdings = [
-            machine.acceptor.holdings.get(REGISTER, NOTHING)
+            machine.acceptor.accepted_states.get(REGISTER, NO_ACCEPTED_STATE)
             for machine in self.world.machines.values()
         ]
         for holding in holdings:
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -87,9 +87,9 @@
         """What it said still holds, and it votes on."""
         assert self.acceptor.standing is Standing.VOTING
         for register, ballot in self.promised.items():
-            assert self.acceptor.holdings[register].promised >= ballot
+            assert self.acceptor.accepted_states[register].promised >= ballot
         for register, ballot in self.accepted.items():
-            assert self.acceptor.holdings[register].ballot >= ballot
+            assert self.acceptor.accepted_states[register].ballot >= ballot
         for reader, life in self.lives.items():
             # That life, or a later one that was noted though not answered.
             assert not is_superseded(
@@ -183,11 +183,11 @@
             await core.change(by, register_of(1), put(1, number))
         await core.run_round()
         assert full.chosen.holdings[register_of(1)].number == 3
-        assert register_of(1) not in full.acceptor.holdings
+        assert register_of(1) not in full.acceptor.accepted_states
         # Room again: the copy that is owed is kept with the next round.
         full.records.is_full = False
         await core.run_round()
-        assert full.acceptor.holdings[register_of(1)].number == 3
+        assert full.acceptor.accepted_states[register_of(1)].number == 3
 
     asyncio.run(test())
 
--- a/tests/test_membership_liveness.py
+++ b/tests/test_membership_liveness.py
@@ -93,7 +93,7 @@
             or (kind == CallKind.ACCEPT and peer == "m2:1")
         )
         await core.machines["m0:1"].proposer.change(REGISTER, hold_configuration(1, b"one"), 1.0)
-        assert not core.machines["m2:1"].acceptor.holdings[REGISTER].value
+        assert not core.machines["m2:1"].acceptor.accepted_states[REGISTER].value
         core.is_blocked = lambda sender, peer, kind: (
             kind == CallKind.COMPARE
             or (sender == "n:1" and kind == CallKind.READ)
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor
-from marblefold.register_store.ballots import Ballot, Holding
+from marblefold.register_store.ballots import AcceptedState, Ballot
 from marblefold.register_store.heartbeat import answer_heartbeat
 from marblefold.register_store.view import View, read_view
 from marblefold.registry.quorum_contact import CONTACT_SECONDS, QuorumContact
@@ -116,7 +116,7 @@
     assert read_view(answer_heartbeat(acceptor).value) == acceptor.view
     ballot = Ballot(1, "a")
     following = acceptor.view.swap("a", "d", "x")
-    acceptor.holdings[VIEW_REGISTER] = Holding(ballot, ballot, 2, following.pack())
+    acceptor.accepted_states[VIEW_REGISTER] = AcceptedState(ballot, ballot, 2, following.pack())
     assert answer_heartbeat(acceptor).outcome == "unknown"
     # A wiped disk: it has to read before it votes.
     assert answer_heartbeat(Acceptor("a", MemoryRecords(), seeds, False)).outcome == "unknown"
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -188,8 +188,8 @@
             return
         view = self.stores["a:1"].acceptor.view
         numbers = sorted(
-            self.stores[peer].acceptor.holdings["configuration"].number
-            if "configuration" in self.stores[peer].acceptor.holdings
+            self.stores[peer].acceptor.accepted_states["configuration"].number
+            if "configuration" in self.stores[peer].acceptor.accepted_states
             else 0
             for peer in view.members
         )
--- a/tests/test_thousand_changes.py
+++ b/tests/test_thousand_changes.py
@@ -61,7 +61,9 @@
     expected = asyncio.run(test())
     acceptor = Acceptor("10.0.0.1:7103", RegisterFiles(FOLDER, META_RECORD), [], False)
     assert len(expected) == REGISTERS
-    assert {name: (held.number, held.value) for name, held in acceptor.holdings.items()} == expected
+    assert {
+        name: (held.number, held.value) for name, held in acceptor.accepted_states.items()
+    } == expected
     count, bytes_held, operations, syncs = sizes["many"]
     print("files, bytes, operations and syncs of a start:", sizes)
     # Three files a record, one record a register and one for the store itself.
@@ -82,7 +84,7 @@
         print("bytes held by three stores:", few, many)
         assert few < 3 * 2 * 1024 * 1024 and many < 1.1 * few
         for member in core.members.values():
-            assert len(member.acceptor.holdings) == len(member.chosen.holdings) == REGISTERS
+            assert len(member.acceptor.accepted_states) == len(member.chosen.holdings) == REGISTERS
 
     tracemalloc.start()
     try:
