--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -212,7 +212,7 @@
             (
                 a.standing.value,
                 _epoch(a.generation),
-                str(a.holdings.get(REGISTER)),
+                str(a.accepted_states.get(REGISTER)),
                 tuple(sorted((m, _epoch(life)) for m, life in a.known_generations.items())),
                 REGISTER in a._unproven,
             )
@@ -232,7 +232,7 @@
         number, value = max(chosen.items())
         voters = [a for a in self.acceptors.values() if a.standing is Standing.VOTING]
         for quorum in itertools.combinations(voters, len(self.bounds.members) // 2 + 1):
-            held = [a.holdings[REGISTER] for a in quorum if REGISTER in a.holdings]
+            held = [a.accepted_states[REGISTER] for a in quorum if REGISTER in a.accepted_states]
             newest = max(held, key=lambda holding: holding.ballot, default=None)
             if newest is None or newest.number < number:
                 raise BrokenInvariant(f"{value!r} was acknowledged and a quorum shows {newest}")
