--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -145,13 +145,13 @@
         self._unproven.discard(call.register)
         return self._agree([])
 
-    def take_chosen(self, register: str, holding: AcceptedState) -> bool:
+    def learn_chosen(self, register: str, holding: AcceptedState) -> bool:
         """Takes in what a majority holds; returns whether it was newer than the one held.
 
         Safe whatever was promised: a higher ballot's majority met this one's.
         """
         if register == VIEW_REGISTER:
-            self.take_view(read_view(holding.value))
+            self.learn_view(read_view(holding.value))
         held = self.accepted_states.get(register, NO_ACCEPTED_STATE)
         if holding.ballot <= held.ballot or self.standing is not Standing.VOTING:
             return False
@@ -160,7 +160,7 @@
         self._unproven.discard(register)
         return True
 
-    def take_view(self, view: View) -> bool:
+    def learn_view(self, view: View) -> bool:
         """Takes in a view that is known to be chosen, if it is newer."""
         held = self.view
         if held is not None and view.number <= held.number:
--- a/marblefold/register_store/anti_entropy.py
+++ b/marblefold/register_store/anti_entropy.py
@@ -49,7 +49,7 @@
         answers = await self._ask_all(others, call)
         for answer in answers.values():
             if answer.view:
-                self._acceptor.take_view(read_view(answer.view))
+                self._acceptor.learn_view(read_view(answer.view))
         differing = [peer for peer, answer in answers.items() if not answer.agreed]
         if differing:
             # One at a time: all of them would send the same over one link.
@@ -105,7 +105,7 @@
 
     def _keep_copy(self, register: str, holding: AcceptedState) -> bool:
         try:
-            self._acceptor.take_chosen(register, holding)
+            self._acceptor.learn_chosen(register, holding)
         except DiskError as error:
             log.warning("no copy kept", register=register, reason=error.reason)
             return False
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -35,7 +35,7 @@
 def _answer_from_disk(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
     # Callers name only views that were chosen: a newer one is taken in.
     if call.view:
-        acceptor.take_view(read_view(call.view))
+        acceptor.learn_view(read_view(call.view))
     if call.kind not in _FROM_DISK:
         return None
     acceptor.settle_disk()
@@ -66,7 +66,7 @@
 
     def learn_view(self, view: View) -> None:
         """A peer knows a view that was chosen."""
-        self._acceptor.take_view(view)
+        self._acceptor.learn_view(view)
 
     def note_heard(self, peer: str) -> None:
         """The peer said something."""
@@ -76,7 +76,7 @@
         """For how many seconds the peer has said nothing."""
         return self._clock() - max(self.heard.get(peer, since), since)
 
-    def tell_chosen(self, peer: str, register: str, holding: AcceptedState) -> None:
+    def notify_chosen(self, peer: str, register: str, holding: AcceptedState) -> None:
         """Sends a peer that is in reach what was chosen; comparing does the rest."""
         connection = self._peers.find(peer)
         if connection is not None:
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -99,7 +99,7 @@
         """A store sends what was just chosen."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Accepted):
-            self._upkeep.take_chosen(message.register, read_accepted_state(message))
+            self._upkeep.learn_chosen(message.register, read_accepted_state(message))
 
     def on_lost(self, connection: PeerConnection) -> None:
         """A connection is gone; if a registry was behind it, it watches no more."""
@@ -148,10 +148,10 @@
             )
 
     def _spread(self, register: str, holding: AcceptedState) -> None:
-        self._upkeep.take_chosen(register, holding)
+        self._upkeep.learn_chosen(register, holding)
         view = self._acceptor.view
         for peer in view.members if view else ():
-            self._peers.tell_chosen(peer, register, holding)
+            self._peers.notify_chosen(peer, register, holding)
 
 
 def open_acceptor(
--- a/marblefold/register_store/reconciliation.py
+++ b/marblefold/register_store/reconciliation.py
@@ -42,14 +42,14 @@
         Raises a MeshError if no majority answers in time.
         """
         holding = await self._proposer.change(register, change, _SETTLE_SECONDS)
-        self.take_chosen(register, holding)
+        self.learn_chosen(register, holding)
         # After a start of all, each register is settled by one and not by every one.
         if holding.value and self._acceptor.view:
             for member in self._acceptor.view.members:
                 if member != self._acceptor.address:
-                    self._peers.tell_chosen(member, register, holding)
+                    self._peers.notify_chosen(member, register, holding)
         return holding
 
-    def take_chosen(self, register: str, holding: AcceptedState) -> None:
+    def learn_chosen(self, register: str, holding: AcceptedState) -> None:
         """Takes in a holding that is known to be chosen."""
         self._comparing.take(register, holding)
--- a/marblefold/register_store/replica.py
+++ b/marblefold/register_store/replica.py
@@ -79,9 +79,9 @@
         """
         await self._members.hand_over(seconds)
 
-    def take_chosen(self, register: str, holding: AcceptedState) -> None:
+    def learn_chosen(self, register: str, holding: AcceptedState) -> None:
         """Takes in a holding that is known to be chosen."""
-        self._settler.take_chosen(register, holding)
+        self._settler.learn_chosen(register, holding)
 
     def answer(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """The answer to another store's call of any kind."""
@@ -131,7 +131,7 @@
         acceptor = self._acceptor
         for answer in answers.values():
             if answer.view:
-                acceptor.take_view(read_view(answer.view))
+                acceptor.learn_view(read_view(answer.view))
         if acceptor.standing is Standing.READING:
             for answer in answers.values():
                 acceptor.supersede_generation(answer.lives.get(acceptor.address, ""))
--- a/tests/simulated_core.py
+++ b/tests/simulated_core.py
@@ -157,17 +157,19 @@
 
     async def _change(self, register, change, seconds):
         holding = await self.proposer.change(register, change, seconds)
-        self.upkeep.take_chosen(register, holding)
+        self.upkeep.learn_chosen(register, holding)
         for peer in self.acceptor.view.members:
             if peer != self.address:
-                self.peers.tell_chosen(peer, register, holding)
+                self.peers.notify_chosen(peer, register, holding)
         return holding
 
     def serve(self, call):
         return self._guard(lambda: self.upkeep.answer(call))
 
     def take_tell(self, message):
-        self._guard(lambda: self.upkeep.take_chosen(message.register, read_accepted_state(message)))
+        self._guard(
+            lambda: self.upkeep.learn_chosen(message.register, read_accepted_state(message))
+        )
 
     def _guard(self, act):
         if not self.is_up:
--- a/tests/simulated_replicas.py
+++ b/tests/simulated_replicas.py
@@ -36,9 +36,9 @@
         """A change as an operator has it made: acknowledged, or a MeshError."""
         member = self.members[by]
         holding = await member.proposer.change(register, change, 1.0)
-        member.upkeep.take_chosen(register, holding)
+        member.upkeep.learn_chosen(register, holding)
         for peer in self.addresses:
-            member.tell_chosen(peer, register, holding)
+            member.notify_chosen(peer, register, holding)
         await asyncio.sleep(0)
         return holding
 
@@ -79,7 +79,7 @@
         return self.acceptor.view
 
     def learn_view(self, view):
-        self.acceptor.take_view(view)
+        self.acceptor.learn_view(view)
 
     def silence(self, peer, since):
         return 0.0
@@ -106,11 +106,11 @@
         self.core.largest = max(self.core.largest, len(answer))
         return unpack_message(answer)
 
-    def tell_chosen(self, peer, register, holding):
+    def notify_chosen(self, peer, register, holding):
         if peer == self.address or {peer, self.address} & self.core.away:
             return
         payload = pack_message(pack_accepted_state(register, holding))
         self.core.bytes += len(payload)
         message = unpack_message(payload)
         assert isinstance(message, kinds.Accepted)
-        self.core.members[peer].upkeep.take_chosen(message.register, read_accepted_state(message))
+        self.core.members[peer].upkeep.learn_chosen(message.register, read_accepted_state(message))
--- a/tests/simulated_stores.py
+++ b/tests/simulated_stores.py
@@ -64,7 +64,7 @@
         return self.acceptor.view
 
     def learn_view(self, view):
-        self.acceptor.take_view(view)
+        self.acceptor.learn_view(view)
 
     async def call(self, peer, call):
         copy = kinds.StoreCall.FromString(call.SerializeToString())
--- a/tests/test_lost_promises.py
+++ b/tests/test_lost_promises.py
@@ -53,7 +53,7 @@
 def read_anew(five, address, sources):
     """The member comes back with an empty disk and reads; tells who answered."""
     five[address] = Acceptor(address, MemoryRecords(), FIVE, False)
-    five[address].take_view(five[sources[0]].view)
+    five[address].learn_view(five[sources[0]].view)
     read_on(five, address, sources)
 
 
@@ -180,7 +180,7 @@
     acceptor = Acceptor("w:1", MemoryRecords(), FIVE, True)
     for number in range(50):
         acceptor.known_generations[f"n{number}:1"] = f"1-{number}"
-        acceptor.take_view(
+        acceptor.learn_view(
             acceptor.view.swap(acceptor.view.members[0], f"n{number}:1", f"mark {number}")
         )
     assert set(acceptor.known_generations) <= {*acceptor.view.members, "w:1"}
@@ -190,7 +190,7 @@
 def test_a_member_that_missed_a_view_reads_before_it_votes_again():
     acceptor = Acceptor("w:1", MemoryRecords(), FIVE, True)
     second = acceptor.view.swap("z:1", "n:1", "second")
-    acceptor.take_view(second.swap("y:1", "o:1", "third"))
+    acceptor.learn_view(second.swap("y:1", "o:1", "third"))
     assert acceptor.is_member and acceptor.standing is Standing.READING
 
 
@@ -214,8 +214,8 @@
 def test_a_newcomer_that_lost_its_disk_does_not_count_the_member_that_left():
     newcomer = Acceptor("n:1", MemoryRecords(), FIVE, False)
     first = Acceptor("w:1", MemoryRecords(), FIVE, True).view
-    newcomer.take_view(first)
-    newcomer.take_view(first.swap("z:1", "n:1", "second"))
+    newcomer.learn_view(first)
+    newcomer.learn_view(first.swap("z:1", "n:1", "second"))
     assert newcomer.previous == first
     assert newcomer.supersede_generation("7-an earlier life that was noted")
     assert newcomer.previous is None
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -144,7 +144,7 @@
             if acceptor.view and peer in acceptor.view.members and answer.agreed:
                 answers.append(answer)
             if answer.view:
-                acceptor.take_view(read_view(answer.view))
+                acceptor.learn_view(read_view(answer.view))
             # A lost disk hears here that an earlier life of its own was noted.
             acceptor.supersede_generation(answer.lives.get(address, ""))
         if acceptor.generation != life:
@@ -169,7 +169,7 @@
             holding = await self.stores[by].proposer.change(
                 VIEW_REGISTER, change_view(view, following), 0.0
             )
-            acceptor.take_view(read_view(holding.value))
+            acceptor.learn_view(read_view(holding.value))
 
         self.loop.create_task(run()).add_done_callback(lambda task: task.exception())
         self.turn()
@@ -240,7 +240,7 @@
     assert answer_call(stores["c:1"], accept).agreed
     stores["c:1"] = Acceptor("c:1", MemoryRecords(), SEEDS, False)
     reader = stores["c:1"]
-    reader.take_view(read_view(view))
+    reader.learn_view(read_view(view))
     read = make_call("read", view, sender="c:1", sender_life=reader.generation)
     reader.finish_reading([answer_call(stores[peer], read) for peer in ("a:1", "b:1")])
     # Only now does the accept reach a: with c's lost one it would be two of three.
--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -189,7 +189,7 @@
         self.acceptors[member] = Acceptor(
             member, self.disks[member], list(self.bounds.members), False
         )
-        self.acceptors[member].take_view(view)
+        self.acceptors[member].learn_view(view)
 
     def _read(self, member: str, sources: tuple[str, ...]) -> None:
         reader = self.acceptors[member]
