--- a/marblefold/register_store/anti_entropy.py
+++ b/marblefold/register_store/anti_entropy.py
@@ -18,13 +18,13 @@
 from marblefold.register_store.store_timing import REAL_TIMING, StoreTiming
 from marblefold.register_store.view import read_view
 
-__all__ = ["Comparing", "answer_comparison"]
+__all__ = ["AntiEntropy", "answer_comparison"]
 
 # The answers by peer, of those that answer.
 AskAll = Callable[[list[str], kinds.StoreCall], Awaitable[dict[str, kinds.StoreAnswer]]]
 
 
-class Comparing:
+class AntiEntropy:
     """One store's side of comparing."""
 
     def __init__(
--- a/marblefold/register_store/member_changes.py
+++ b/marblefold/register_store/member_changes.py
@@ -16,7 +16,7 @@
 from marblefold.register_store.changes import change_view
 from marblefold.register_store.peer_call_kinds import CallKind
 from marblefold.register_store.peer_calls import StorePeers
-from marblefold.register_store.reconciliation import Settler
+from marblefold.register_store.reconciliation import Reconciler
 from marblefold.register_store.store_timing import StoreTiming
 from marblefold.register_store.view import View
 
@@ -35,14 +35,14 @@
         self,
         acceptor: Acceptor,
         peers: StorePeers,
-        settler: Settler,
+        settler: Reconciler,
         machine_losses: int,
         timing: StoreTiming,
     ) -> None:
         self.is_leaving = False
         self._acceptor = acceptor
         self._peers = peers
-        self._settler = settler
+        self._reconciler = settler
         # A majority must be left when that many lose their disks at once; the
         # first view has no more members than there are seeds.
         self._wanted_members = 2 * machine_losses + 1
@@ -141,11 +141,11 @@
         if len(agreed) + 1 < view.majority:
             return False
         if self._settled_view != view:
-            await self._settler.settle_all()
+            await self._reconciler.reconcile_all()
             self._settled_view = view
         if self._acceptor.view != view:
             return False
-        holding = await self._settler.propose(VIEW_REGISTER, change_view(view, following))
+        holding = await self._reconciler.propose(VIEW_REGISTER, change_view(view, following))
         # Views only follow one another: one that was known stays known.
         newest = self._acceptor.view or view
         log.info("view changed", gone=gone, members=list(newest.members), view=newest.number)
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -25,7 +25,7 @@
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.register_files import RegisterFiles
-from marblefold.register_store.replica import Upkeep
+from marblefold.register_store.replica import Replica
 
 __all__ = ["StoreProgram", "open_acceptor"]
 
@@ -54,7 +54,7 @@
             self._peers, f"{self._address}/{self._acceptor.generation}/{os.urandom(4).hex()}"
         )
         self._chosen = ChosenRegisters()
-        self._upkeep = Upkeep(
+        self._replica = Replica(
             self._acceptor, self._peers, self._proposer, self._chosen, seeds, config.machine_losses
         )
         self._stop = asyncio.Event()
@@ -73,9 +73,9 @@
             inner=self._address,
             standing=self._acceptor.standing.value,
         )
-        tasks = [loop.create_task(self._watch.run()), loop.create_task(self._upkeep.run())]
+        tasks = [loop.create_task(self._watch.run()), loop.create_task(self._replica.run())]
         await self._stop.wait()
-        await self._upkeep.hand_over(_HAND_OVER_SECONDS)
+        await self._replica.hand_over(_HAND_OVER_SECONDS)
         # What is being proposed comes to its end: a record is worth the wait.
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=1.5)
@@ -86,7 +86,7 @@
         """A store or a registry calls."""
         message = unpack_message(payload)
         if isinstance(message, kinds.StoreCall):
-            answer = self._upkeep.answer(message)
+            answer = self._replica.answer(message)
             connection.send(FrameKind.REPLY, number, pack_message(answer))
         elif isinstance(message, kinds.RegisterCall):
             task = asyncio.get_running_loop().create_task(
@@ -99,7 +99,7 @@
         """A store sends what was just chosen."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Accepted):
-            self._upkeep.learn_chosen(message.register, read_accepted_state(message))
+            self._replica.learn_chosen(message.register, read_accepted_state(message))
 
     def on_lost(self, connection: PeerConnection) -> None:
         """A connection is gone; if a registry was behind it, it watches no more."""
@@ -148,7 +148,7 @@
             )
 
     def _spread(self, register: str, holding: AcceptedState) -> None:
-        self._upkeep.learn_chosen(register, holding)
+        self._replica.learn_chosen(register, holding)
         view = self._acceptor.view
         for peer in view.members if view else ():
             self._peers.notify_chosen(peer, register, holding)
--- a/marblefold/register_store/reconciliation.py
+++ b/marblefold/register_store/reconciliation.py
@@ -1,18 +1,18 @@
 """Finds out by ballot what the registers hold, and takes in what is chosen."""
 
 from marblefold.register_store.acceptor import Acceptor
-from marblefold.register_store.anti_entropy import Comparing
+from marblefold.register_store.anti_entropy import AntiEntropy
 from marblefold.register_store.ballots import AcceptedState
 from marblefold.register_store.changes import Change, keep
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.proposer import Proposer
 
-__all__ = ["Settler"]
+__all__ = ["Reconciler"]
 
 _SETTLE_SECONDS = 1.5
 
 
-class Settler:
+class Reconciler:
     """Proposes on a store's own account, and spreads what comes of it."""
 
     def __init__(
@@ -20,21 +20,21 @@
         acceptor: Acceptor,
         proposer: Proposer,
         peers: StorePeers,
-        comparing: Comparing,
+        anti_entropy: AntiEntropy,
     ) -> None:
         self._acceptor = acceptor
         self._proposer = proposer
         self._peers = peers
-        self._comparing = comparing
+        self._anti_entropy = comparing
 
-    async def settle(self, register: str) -> None:
+    async def reconcile(self, register: str) -> None:
         """A ballot that changes nothing: what the register holds, a majority holds."""
         await self.propose(register, keep)
 
-    async def settle_all(self) -> None:
+    async def reconcile_all(self) -> None:
         """Settles every register that is known here; MeshError if one cannot be."""
         for register in list(self._acceptor.accepted_states):
-            await self.settle(register)
+            await self.reconcile(register)
 
     async def propose(self, register: str, change: Change) -> AcceptedState:
         """What holds after the change, taken in here and sent to the members.
@@ -52,4 +52,4 @@
 
     def learn_chosen(self, register: str, holding: AcceptedState) -> None:
         """Takes in a holding that is known to be chosen."""
-        self._comparing.take(register, holding)
+        self._anti_entropy.take(register, holding)
--- a/marblefold/register_store/replica.py
+++ b/marblefold/register_store/replica.py
@@ -8,26 +8,26 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, Standing
-from marblefold.register_store.anti_entropy import Comparing, answer_comparison
+from marblefold.register_store.anti_entropy import AntiEntropy, answer_comparison
 from marblefold.register_store.ballots import NO_ACCEPTED_STATE, AcceptedState, Ballot
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.member_changes import MemberChanges
 from marblefold.register_store.peer_call_kinds import CallKind, Refusal
 from marblefold.register_store.peer_calls import StorePeers, answer_call
 from marblefold.register_store.proposer import Proposer
-from marblefold.register_store.reconciliation import Settler
+from marblefold.register_store.reconciliation import Reconciler
 from marblefold.register_store.state_recovery import is_enough
 from marblefold.register_store.store_timing import REAL_TIMING, StoreTiming
 from marblefold.register_store.view import read_view
 
-__all__ = ["Upkeep"]
+__all__ = ["Replica"]
 
 _ROUND_SECONDS = 0.3
 # Newer views and lives may be learned several times over before a reading counts.
 _READING_TRIES = 4
 
 
-class Upkeep:
+class Replica:
     """The rounds of one store, and its answers to the other stores."""
 
     def __init__(
@@ -45,9 +45,9 @@
         self._chosen = chosen
         self._seeds = seeds
         self._timing = timing
-        self._comparing = Comparing(acceptor, chosen, self._ask_all, timing)
-        self._settler = Settler(acceptor, proposer, peers, self._comparing)
-        self._members = MemberChanges(acceptor, peers, self._settler, machine_losses, timing)
+        self._anti_entropy = AntiEntropy(acceptor, chosen, self._ask_all, timing)
+        self._reconciler = Reconciler(acceptor, proposer, peers, self._anti_entropy)
+        self._members = MemberChanges(acceptor, peers, self._reconciler, machine_losses, timing)
         self._unsettled: set[str] | None = None
         # Accepted here, but not known to be chosen, as of the round before.
         self._unsure: dict[str, Ballot] = {}
@@ -81,7 +81,7 @@
 
     def learn_chosen(self, register: str, holding: AcceptedState) -> None:
         """Takes in a holding that is known to be chosen."""
-        self._settler.learn_chosen(register, holding)
+        self._reconciler.learn_chosen(register, holding)
 
     def answer(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """The answer to another store's call of any kind."""
@@ -105,7 +105,7 @@
             await self._read()
         if acceptor.standing is Standing.VOTING:
             if acceptor.has_open_view:
-                await self._settler.settle(VIEW_REGISTER)
+                await self._reconciler.reconcile(VIEW_REGISTER)
             self._note_unsure()
             await self._settle_after_start()
             await self._members.make_next()
@@ -169,8 +169,8 @@
                 await self._compare()
         # Each member in an order of its own, or all would try for the same one.
         for register in sorted(self._unsettled, key=lambda _register: self._timing.uniform(0, 1)):
-            if not self._comparing.is_settled(register):
-                await self._settler.settle(register)
+            if not self._anti_entropy.is_settled(register):
+                await self._reconciler.reconcile(register)
             self._unsettled.discard(register)
 
     def _note_unsure(self) -> None:
@@ -191,7 +191,7 @@
     async def _compare(self) -> None:
         """Compares with the other stores; whoever is behind takes what is newer."""
         if self._acceptor.view is not None:
-            await self._comparing.run_round(self._known_stores())
+            await self._anti_entropy.run_round(self._known_stores())
 
     async def _ask_all(
         self,
--- a/tests/simulated_core.py
+++ b/tests/simulated_core.py
@@ -14,7 +14,7 @@
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.proposer import Proposer
-from marblefold.register_store.replica import Upkeep
+from marblefold.register_store.replica import Replica
 from marblefold.register_store.store_timing import StoreTiming
 from tests.simulated_clock import _Selector
 
@@ -128,11 +128,11 @@
             peers, f"{self.address}/{self.acceptor.generation}/{self.run}", clock=clock
         )
         timing = StoreTiming(clock, asyncio.sleep, core.chance.uniform)
-        self.upkeep = Upkeep(
+        self.replica = Replica(
             self.acceptor, peers, self.proposer, ChosenRegisters(), self.seeds, core.losses, timing
         )
         self.peers = peers
-        self._spawn(self.upkeep.run())
+        self._spawn(self.replica.run())
 
     def stop(self):
         """Power or process gone; the disk stays."""
@@ -148,7 +148,7 @@
 
     async def leave(self, seconds=4.0):
         """SIGTERM: hands over and ends; the disk is gone for good."""
-        await self._spawn(self.upkeep.hand_over(seconds))
+        await self._spawn(self.replica.hand_over(seconds))
         self.wipe()
 
     async def change(self, register, change, seconds=1.3):
@@ -157,18 +157,18 @@
 
     async def _change(self, register, change, seconds):
         holding = await self.proposer.change(register, change, seconds)
-        self.upkeep.learn_chosen(register, holding)
+        self.replica.learn_chosen(register, holding)
         for peer in self.acceptor.view.members:
             if peer != self.address:
                 self.peers.notify_chosen(peer, register, holding)
         return holding
 
     def serve(self, call):
-        return self._guard(lambda: self.upkeep.answer(call))
+        return self._guard(lambda: self.replica.answer(call))
 
     def take_tell(self, message):
         self._guard(
-            lambda: self.upkeep.learn_chosen(message.register, read_accepted_state(message))
+            lambda: self.replica.learn_chosen(message.register, read_accepted_state(message))
         )
 
     def _guard(self, act):
--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -15,7 +15,7 @@
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.program import StoreProgram
 from marblefold.register_store.proposer import Proposer
-from marblefold.register_store.replica import Upkeep
+from marblefold.register_store.replica import Replica
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.control_calls import ControlCalls
 from marblefold.registry.feed import FeedKeeper
@@ -88,7 +88,7 @@
         self.records = MemoryRecords()
         self.make_store(list(names))
         self.make_registry(list(names))
-        for run in (self.upkeep.run(), self.client.run(), self.guard.run()):
+        for run in (self.replica.run(), self.client.run(), self.guard.run()):
             self.loop.create_task(run)
 
     def make_store(self, names):
@@ -98,7 +98,7 @@
         proposer = Proposer(
             peers, f"{self.name}/{self.acceptor.generation}", clock=self.world.clock
         )
-        self.upkeep = Upkeep(self.acceptor, peers, proposer, self.chosen, names)
+        self.replica = Replica(self.acceptor, peers, proposer, self.chosen, names)
         # The real answers of the real program, without its sockets and files.
         self.program = StoreProgram.__new__(StoreProgram)
         vars(self.program).update(
@@ -106,7 +106,7 @@
             _peers=peers,
             _proposer=proposer,
             _chosen=self.chosen,
-            _upkeep=self.upkeep,
+            _replica=self.replica,
         )
 
     def make_registry(self, names):
@@ -147,7 +147,7 @@
             self.world.send(self.name, connection.source, lambda: answered(pack_message(answer)))
 
         if isinstance(message, kinds.StoreCall):
-            reply(self.upkeep.answer(message))
+            reply(self.replica.answer(message))
             return
 
         async def answer():
--- a/tests/simulated_replicas.py
+++ b/tests/simulated_replicas.py
@@ -16,7 +16,7 @@
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
-from marblefold.register_store.replica import Upkeep
+from marblefold.register_store.replica import Replica
 from tests.simulated_stores import MemoryRecords
 
 
@@ -36,18 +36,18 @@
         """A change as an operator has it made: acknowledged, or a MeshError."""
         member = self.members[by]
         holding = await member.proposer.change(register, change, 1.0)
-        member.upkeep.learn_chosen(register, holding)
+        member.replica.learn_chosen(register, holding)
         for peer in self.addresses:
             member.notify_chosen(peer, register, holding)
         await asyncio.sleep(0)
         return holding
 
     async def run_round(self, *addresses):
-        """One round of upkeep, of those named or of all that are here."""
+        """One round of replica, of those named or of all that are here."""
         for address in addresses or self.addresses:
             if address not in self.away:
-                upkeep = self.members[address].upkeep
-                for step in (upkeep._act, upkeep._compare):
+                replica = self.members[address].upkeep
+                for step in (replica._act, replica._compare):
                     # As the loops of the store do: one that fails is made again.
                     with contextlib.suppress(MeshError):
                         await step()
@@ -73,7 +73,7 @@
         self.proposer = Proposer(
             self, f"{address}/{self.acceptor.generation}/1", sleep=lambda _seconds: asyncio.sleep(0)
         )
-        self.upkeep = Upkeep(self.acceptor, self, self.proposer, self.chosen, core.addresses, 2)
+        self.replica = Replica(self.acceptor, self, self.proposer, self.chosen, core.addresses, 2)
 
     def current_view(self):
         return self.acceptor.view
@@ -113,4 +113,4 @@
         self.core.bytes += len(payload)
         message = unpack_message(payload)
         assert isinstance(message, kinds.Accepted)
-        self.core.members[peer].upkeep.learn_chosen(message.register, read_accepted_state(message))
+        self.core.members[peer].replica.learn_chosen(message.register, read_accepted_state(message))
--- a/tests/test_membership_liveness.py
+++ b/tests/test_membership_liveness.py
@@ -136,7 +136,7 @@
     async def play():
         await asyncio.sleep(1.0)
         began = core.loop.time()
-        await core.machines["m1:1"].upkeep.hand_over(4.0)
+        await core.machines["m1:1"].replica.hand_over(4.0)
         assert core.loop.time() == began
         core.machines["m1:1"].stop()
         core.machines["m1:1"].start()
--- a/tests/test_thousand_changes.py
+++ b/tests/test_thousand_changes.py
@@ -215,7 +215,7 @@
             await core.run_round(core.addresses[2])
             # The round tells its failures to the log; what it found out is nothing.
             with pytest.raises(MeshError, match="no majority"):
-                await member.upkeep._act()
+                await member.replica._act()
         assert held_by(member) and not member.chosen.holdings and registry.told == 0
 
     asyncio.run(test())
