--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -49,9 +49,9 @@
         self.accepted_states: dict[str, AcceptedState] = {}
         self.view: View | None = None
         # The view before, if we waited outside it in this very life.
-        self.previous: View | None = None
+        self.previous_view: View | None = None
         # The view that swapped us out, while we can still be read.
-        self.left_view: View | None = None
+        self.removing_view: View | None = None
         # Copied while reading although a higher ballot was promised: no proof
         # that a majority accepted the value under its ballot.
         self._unproven: set[str] = set()
@@ -77,13 +77,13 @@
         return self.view is not None and self.address in self.view.members
 
     @property
-    def has_open_view(self) -> bool:
+    def has_pending_view(self) -> bool:
         """Whether a view was accepted here that may or may not be chosen."""
         held = self.accepted_states.get(VIEW_REGISTER, NO_ACCEPTED_STATE)
         known = self.view.number if self.view else 0
         return bool(held.value) and read_view(held.value).number > known
 
-    def settle_disk(self) -> None:
+    def rewrite_uncertain_records(self) -> None:
         """Writes again what a failed write left in doubt; DiskError if it fails again.
 
         To be called before each answer: none may rest on what power loss can change.
@@ -102,7 +102,7 @@
         self.generation = generation_above(
             [self.generation, self.known_generations.get(self.address, NO_GENERATION)]
         )
-        self.previous = self.left_view = None
+        self.previous_view = self.removing_view = None
         self._change_standing(Standing.READING)
 
     def supersede_generation(self, known: str) -> bool:
@@ -180,15 +180,17 @@
         else:
             self._write_meta()
         is_next = before is not None and view.number == before.number + 1
-        self.previous = before if is_next and was is Standing.READING else None
-        self.left_view = view if follows and was is Standing.VOTING and not self.is_member else None
+        self.previous_view = before if is_next and was is Standing.READING else None
+        self.removing_view = (
+            view if follows and was is Standing.VOTING and not self.is_member else None
+        )
         return True
 
     def answer_read(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """Gives all that is held, and knows the reader's new life from then on."""
-        votes = self.standing is Standing.VOTING and not self.has_open_view
+        votes = self.standing is Standing.VOTING and not self.has_pending_view
         # Who was just swapped out votes no more: what it holds is final.
-        if not votes and (self.left_view is None or self.left_view != self.view):
+        if not votes and (self.removing_view is None or self.removing_view != self.view):
             return self._refuse(Refusal.UNREADABLE, "")
         if call.view and read_view(call.view) != self.view:
             return self._refuse(Refusal.ANOTHER_VIEW, "")
@@ -219,7 +221,7 @@
         if read_view(call.view) != self.view:
             return Refusal.ANOTHER_VIEW
         # A view that may be chosen already ends all else in this one.
-        if self.has_open_view and call.register != VIEW_REGISTER:
+        if self.has_pending_view and call.register != VIEW_REGISTER:
             return Refusal.VIEW_IS_CHANGING
         return Refusal.NONE
 
--- a/marblefold/register_store/heartbeat.py
+++ b/marblefold/register_store/heartbeat.py
@@ -14,7 +14,9 @@
     a replaced view a majority did, so they never make a quorum of it again.
     """
     has_vote = (
-        acceptor.standing is Standing.VOTING and acceptor.is_member and not acceptor.has_open_view
+        acceptor.standing is Standing.VOTING
+        and acceptor.is_member
+        and not acceptor.has_pending_view
     )
     return kinds.RegisterAnswer(
         outcome=Outcome.HELD if has_vote else Outcome.UNKNOWN, value=acceptor.pack_view()
--- a/marblefold/register_store/member_changes.py
+++ b/marblefold/register_store/member_changes.py
@@ -64,7 +64,7 @@
         votes = (
             acceptor.standing is Standing.VOTING
             and acceptor.is_member
-            and not acceptor.has_open_view
+            and not acceptor.has_pending_view
         )
         return votes and (not peer or self._is_gone(peer))
 
@@ -81,13 +81,15 @@
         # The duty falls to one live member by key; the view register is the
         # fence that refuses the act of any other.
         if lost and self._has_duty(lost[0], live):
-            await self._change(view.swap(lost[0], waiting[0], _mark()), live, gone=lost[0])
+            await self._change(
+                view.replace_member(lost[0], waiting[0], _mark()), live, gone=lost[0]
+            )
         elif (
             not lost
             and len(view.members) < self._wanted_members
             and self._has_duty(waiting[0], live)
         ):
-            await self._change(view.add(waiting[0], _mark()), live, gone="")
+            await self._change(view.add_member(waiting[0], _mark()), live, gone="")
 
     async def hand_over(self, seconds: float) -> None:
         """Gives our place to a store that waits for one, before we end.
@@ -103,7 +105,7 @@
                 return
             newcomer = self._find_waiting()[0]
             live = [peer for peer in view.members if not self._is_gone(peer)]
-            following = view.swap(self._acceptor.address, newcomer, _mark())
+            following = view.replace_member(self._acceptor.address, newcomer, _mark())
             try:
                 if await self._change(following, live, gone=""):
                     await self._await_vote(newcomer, end)
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -38,7 +38,7 @@
         acceptor.learn_view(read_view(call.view))
     if call.kind not in _FROM_DISK:
         return None
-    acceptor.settle_disk()
+    acceptor.rewrite_uncertain_records()
     if call.kind == CallKind.PREPARE:
         return acceptor.prepare(call)
     if call.kind == CallKind.ACCEPT:
--- a/marblefold/register_store/replica.py
+++ b/marblefold/register_store/replica.py
@@ -16,7 +16,7 @@
 from marblefold.register_store.peer_calls import StorePeers, answer_call
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.reconciliation import Reconciler
-from marblefold.register_store.state_recovery import is_enough
+from marblefold.register_store.state_recovery import is_read_quorum
 from marblefold.register_store.store_timing import REAL_TIMING, StoreTiming
 from marblefold.register_store.view import read_view
 
@@ -104,7 +104,7 @@
         if acceptor.standing is Standing.READING and not self._members.is_leaving:
             await self._read()
         if acceptor.standing is Standing.VOTING:
-            if acceptor.has_open_view:
+            if acceptor.has_pending_view:
                 await self._reconciler.reconcile(VIEW_REGISTER)
             self._note_unsure()
             await self._settle_after_start()
@@ -142,9 +142,11 @@
             return
         agreed = {peer: answer for peer, answer in answers.items() if answer.agreed}
         view = acceptor.view
-        if view is None or not is_enough(view, acceptor.previous, acceptor.address, agreed):
+        if view is None or not is_read_quorum(
+            view, acceptor.previous_view, acceptor.address, agreed
+        ):
             return
-        counted = {*view.members, *(acceptor.previous or view).members}
+        counted = {*view.members, *(acceptor.previous_view or view).members}
         acceptor.finish_reading([agreed[peer] for peer in agreed if peer in counted])
         self._unsettled = None
         log.info("reading done", registers=len(acceptor.accepted_states), view=view.number)
@@ -154,7 +156,7 @@
 
         All of an old view may be gone, and who just left may still be read.
         """
-        views = [view for view in (self._acceptor.view, self._acceptor.previous) if view]
+        views = [view for view in (self._acceptor.view, self._acceptor.previous_view) if view]
         members = [peer for view in views for peer in view.members]
         known = dict.fromkeys([*members, *self._seeds])
         return [peer for peer in known if peer != self._acceptor.address]
--- a/marblefold/register_store/state_recovery.py
+++ b/marblefold/register_store/state_recovery.py
@@ -7,10 +7,10 @@
 from marblefold.register_store.generations import NO_GENERATION, later_generation
 from marblefold.register_store.view import View
 
-__all__ = ["find_unproven", "is_enough", "merge_accepted_states", "merge_generations"]
+__all__ = ["find_unproven", "is_read_quorum", "merge_accepted_states", "merge_generations"]
 
 
-def is_enough(view: View, previous: View | None, reader: str, sources: Iterable[str]) -> bool:
+def is_read_quorum(view: View, previous: View | None, reader: str, sources: Iterable[str]) -> bool:
     """Whether a member may vote after it has read these stores under the view.
 
     Either it met every majority of the view, whoever lost its disk; or it is
@@ -19,7 +19,7 @@
     counts among these: what only that one held is not lost with it.
     """
     sources = set(sources) - {reader}
-    if len(sources.intersection(view.members)) >= view.reading:
+    if len(sources.intersection(view.members)) >= view.read_quorum:
         return True
     if previous is None or reader in previous.members:
         return False
--- a/marblefold/register_store/view.py
+++ b/marblefold/register_store/view.py
@@ -7,10 +7,10 @@
 
 
 class View(NamedTuple):
-    """A numbered set of members; the mark distinguishes views of one number."""
+    """A numbered set of members; the nonce distinguishes views of one number."""
 
     number: int
-    mark: str
+    nonce: str
     members: tuple[str, ...]
 
     @property
@@ -19,7 +19,7 @@
         return len(self.members) // 2 + 1
 
     @property
-    def reading(self) -> int:
+    def read_quorum(self) -> int:
         """How many others a member must read before it may vote.
 
         Whatever a majority holds must meet what is read, and a newcomer's
@@ -29,28 +29,28 @@
         others = size - 1
         return min(others, max(size - size // 2, size // 2 + 1))
 
-    def swap(self, gone: str, newcomer: str, mark: str) -> "View":
+    def replace_member(self, gone: str, newcomer: str, nonce: str) -> "View":
         """The next view, with one member swapped."""
         members = tuple(newcomer if member == gone else member for member in self.members)
-        return View(self.number + 1, mark, members)
+        return View(self.number + 1, nonce, members)
 
-    def add(self, newcomer: str, mark: str) -> "View":
+    def add_member(self, newcomer: str, nonce: str) -> "View":
         """The next view, with one member more.
 
         Any majority of it meets any majority of this one, or the newcomer,
         who read before it voted.
         """
-        return View(self.number + 1, mark, self.members + (newcomer,))
+        return View(self.number + 1, nonce, self.members + (newcomer,))
 
     def pack(self) -> bytes:
         """The view as bytes."""
-        return json.dumps([self.number, self.mark, list(self.members)]).encode()
+        return json.dumps([self.number, self.nonce, list(self.members)]).encode()
 
 
 def read_view(data: bytes) -> View:
     """The view in the bytes."""
-    number, mark, members = json.loads(data)
-    return View(number, mark, tuple(members))
+    number, nonce, members = json.loads(data)
+    return View(number, nonce, tuple(members))
 
 
 def first_view(seeds: list[str]) -> View:
--- a/tests/test_lost_promises.py
+++ b/tests/test_lost_promises.py
@@ -9,7 +9,7 @@
 from marblefold.register_store.peer_call_kinds import CallKind, Refusal
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
-from marblefold.register_store.state_recovery import is_enough
+from marblefold.register_store.state_recovery import is_read_quorum
 from marblefold.register_store.view import View, read_view
 from tests.simulated_stores import MemoryRecords
 
@@ -181,7 +181,7 @@
     for number in range(50):
         acceptor.known_generations[f"n{number}:1"] = f"1-{number}"
         acceptor.learn_view(
-            acceptor.view.swap(acceptor.view.members[0], f"n{number}:1", f"mark {number}")
+            acceptor.view.replace_member(acceptor.view.members[0], f"n{number}:1", f"mark {number}")
         )
     assert set(acceptor.known_generations) <= {*acceptor.view.members, "w:1"}
     assert read_view(acceptor.pack_view()) == acceptor.view
@@ -189,33 +189,33 @@
 
 def test_a_member_that_missed_a_view_reads_before_it_votes_again():
     acceptor = Acceptor("w:1", MemoryRecords(), FIVE, True)
-    second = acceptor.view.swap("z:1", "n:1", "second")
-    acceptor.learn_view(second.swap("y:1", "o:1", "third"))
+    second = acceptor.view.replace_member("z:1", "n:1", "second")
+    acceptor.learn_view(second.replace_member("y:1", "o:1", "third"))
     assert acceptor.is_member and acceptor.standing is Standing.READING
 
 
 def test_a_member_votes_only_after_it_has_met_every_majority():
     three = View(1, "first", ("a:1", "b:1", "c:1"))
-    assert not is_enough(three, None, "a:1", ["b:1"])
-    assert is_enough(three, None, "a:1", ["b:1", "c:1"])
+    assert not is_read_quorum(three, None, "a:1", ["b:1"])
+    assert is_read_quorum(three, None, "a:1", ["b:1", "c:1"])
     five = View(1, "first", tuple(FIVE))
-    assert not is_enough(five, None, "u:1", ["w:1", "x:1"])
-    assert is_enough(five, None, "u:1", ["w:1", "x:1", "y:1"])
+    assert not is_read_quorum(five, None, "u:1", ["w:1", "x:1"])
+    assert is_read_quorum(five, None, "u:1", ["w:1", "x:1", "y:1"])
     # A newcomer may count the member that it replaces, but only in the very
     # life in which it waited for its place.
-    swapped = three.swap("c:1", "n:1", "second")
-    assert is_enough(swapped, three, "n:1", ["b:1", "c:1"])
-    assert not is_enough(swapped, three, "n:1", ["c:1"])
-    assert not is_enough(swapped, None, "n:1", ["b:1", "c:1"])
+    swapped = three.replace_member("c:1", "n:1", "second")
+    assert is_read_quorum(swapped, three, "n:1", ["b:1", "c:1"])
+    assert not is_read_quorum(swapped, three, "n:1", ["c:1"])
+    assert not is_read_quorum(swapped, None, "n:1", ["b:1", "c:1"])
     # A member of both views never counts the one that left.
-    assert not is_enough(swapped, three, "a:1", ["b:1", "c:1"])
+    assert not is_read_quorum(swapped, three, "a:1", ["b:1", "c:1"])
 
 
 def test_a_newcomer_that_lost_its_disk_does_not_count_the_member_that_left():
     newcomer = Acceptor("n:1", MemoryRecords(), FIVE, False)
     first = Acceptor("w:1", MemoryRecords(), FIVE, True).view
     newcomer.learn_view(first)
-    newcomer.learn_view(first.swap("z:1", "n:1", "second"))
-    assert newcomer.previous == first
+    newcomer.learn_view(first.replace_member("z:1", "n:1", "second"))
+    assert newcomer.previous_view == first
     assert newcomer.supersede_generation("7-an earlier life that was noted")
-    assert newcomer.previous is None
+    assert newcomer.previous_view is None
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -115,7 +115,7 @@
     assert answer_heartbeat(acceptor).outcome == "held"
     assert read_view(answer_heartbeat(acceptor).value) == acceptor.view
     ballot = Ballot(1, "a")
-    following = acceptor.view.swap("a", "d", "x")
+    following = acceptor.view.replace_member("a", "d", "x")
     acceptor.accepted_states[VIEW_REGISTER] = AcceptedState(ballot, ballot, 2, following.pack())
     assert answer_heartbeat(acceptor).outcome == "unknown"
     # A wiped disk: it has to read before it votes.
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -150,7 +150,7 @@
         if acceptor.generation != life:
             return
         same = {answer.view for answer in answers} == {acceptor.pack_view()}
-        if acceptor.is_member and same and len(answers) >= acceptor.view.reading:
+        if acceptor.is_member and same and len(answers) >= acceptor.view.read_quorum:
             acceptor.finish_reading(answers)
 
     @rule(by=st.sampled_from(ALL), gone=st.sampled_from(["", *ALL]), newcomer=st.sampled_from(ALL))
@@ -163,7 +163,9 @@
         if gone and gone not in view.members:
             return
         mark = f"{by}{self.next_number}"
-        following = view.swap(gone, newcomer, mark) if gone else view.add(newcomer, mark)
+        following = (
+            view.replace_member(gone, newcomer, mark) if gone else view.add_member(newcomer, mark)
+        )
 
         async def run():
             holding = await self.stores[by].proposer.change(
