--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -43,7 +43,7 @@
 
     def __init__(self, address: str, records: Records, seeds: list[str], is_first: bool) -> None:
         self.address = address
-        self.standing = Standing.READING
+        self.voting_status = Standing.READING
         self.generation = NO_GENERATION
         self.known_generations: dict[str, str] = {}
         self.accepted_states: dict[str, AcceptedState] = {}
@@ -68,7 +68,7 @@
                 self._read_meta(loaded[META_RECORD])
             elif is_first and not loaded:
                 self._begin_first(seeds)
-            if self.standing is Standing.READING:
+            if self.voting_status is Standing.READING:
                 self.begin_reading()
 
     @property
@@ -103,7 +103,7 @@
             [self.generation, self.known_generations.get(self.address, NO_GENERATION)]
         )
         self.previous_view = self.removing_view = None
-        self._change_standing(Standing.READING)
+        self._set_voting_status(Standing.READING)
 
     def supersede_generation(self, known: str) -> bool:
         """Begins a later life if one not before ours is known; returns whether it did.
@@ -153,7 +153,7 @@
         if register == VIEW_REGISTER:
             self.learn_view(read_view(holding.value))
         held = self.accepted_states.get(register, NO_ACCEPTED_STATE)
-        if holding.ballot <= held.ballot or self.standing is not Standing.VOTING:
+        if holding.ballot <= held.ballot or self.voting_status is not Standing.VOTING:
             return False
         promised = max(held.promised, holding.ballot)
         self._hold(register, holding._replace(promised=promised))
@@ -165,7 +165,7 @@
         held = self.view
         if held is not None and view.number <= held.number:
             return False
-        before, was = self.view, self.standing
+        before, was = self.view, self.voting_status
         # Only who was a member all along knows what was held meanwhile.
         follows = held is not None and self.is_member and view.number == held.number + 1
         self.view = view
@@ -175,7 +175,7 @@
             for member, life in self.known_generations.items()
             if member in view.members or member == self.address
         }
-        if self.standing is Standing.VOTING and not (follows and self.is_member):
+        if self.voting_status is Standing.VOTING and not (follows and self.is_member):
             self.begin_reading()
         else:
             self._write_meta()
@@ -188,7 +188,7 @@
 
     def answer_read(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """Gives all that is held, and knows the reader's new life from then on."""
-        votes = self.standing is Standing.VOTING and not self.has_pending_view
+        votes = self.voting_status is Standing.VOTING and not self.has_pending_view
         # Who was just swapped out votes no more: what it holds is final.
         if not votes and (self.removing_view is None or self.removing_view != self.view):
             return self._refuse(Refusal.UNREADABLE, "")
@@ -213,10 +213,10 @@
         for register, holding in self.accepted_states.items():
             self._write_register(register, holding)
         self._unproven = find_unproven(self.accepted_states)
-        self._change_standing(Standing.VOTING)
+        self._set_voting_status(Standing.VOTING)
 
     def _find_refusal(self, call: kinds.StoreCall) -> Refusal:
-        if self.standing is not Standing.VOTING or not self.is_member:
+        if self.voting_status is not Standing.VOTING or not self.is_member:
             return Refusal.DOES_NOT_VOTE
         if read_view(call.view) != self.view:
             return Refusal.ANOTHER_VIEW
@@ -253,23 +253,23 @@
         self.generation, self.view = first_generation(), first_view(seeds)
         # A store that no seed names waits to be swapped in.
         if self.is_member:
-            self._change_standing(Standing.VOTING)
+            self._set_voting_status(Standing.VOTING)
 
-    def _change_standing(self, standing: Standing) -> None:
+    def _set_voting_status(self, voting_status: Standing) -> None:
         """The one place where the standing changes."""
-        self.standing = standing
+        self.voting_status = voting_status
         self._write_meta()
 
     def _write_meta(self) -> None:
         unproven = frozenset(self._unproven)
         meta = StoreMeta(
-            self.generation, self.standing, self.known_generations, unproven, self.view
+            self.generation, self.voting_status, self.known_generations, unproven, self.view
         )
         self._records.write(META_RECORD, meta.pack())
 
     def _read_meta(self, data: bytes) -> None:
         meta = StoreMeta.read(data)
-        self.generation, self.standing, self.view = meta.life, meta.standing, meta.view
+        self.generation, self.voting_status, self.view = meta.life, meta.standing, meta.view
         self.known_generations, self._unproven = dict(meta.lives), set(meta.unproven)
 
     def _agree(self, accepted: list[kinds.Accepted]) -> kinds.StoreAnswer:
--- a/marblefold/register_store/heartbeat.py
+++ b/marblefold/register_store/heartbeat.py
@@ -14,7 +14,7 @@
     a replaced view a majority did, so they never make a quorum of it again.
     """
     has_vote = (
-        acceptor.standing is Standing.VOTING
+        acceptor.voting_status is Standing.VOTING
         and acceptor.is_member
         and not acceptor.has_pending_view
     )
--- a/marblefold/register_store/member_changes.py
+++ b/marblefold/register_store/member_changes.py
@@ -51,24 +51,24 @@
         self._waiting: dict[str, float] = {}
         self._settled_view: View | None = None
 
-    def note_waiting(self, newcomer: str) -> None:
+    def add_waiting_store(self, newcomer: str) -> None:
         """A store outside the view asks for a place in it."""
         self._waiting[newcomer] = self._timing.clock()
 
-    def opinion(self, peer: str) -> bool:
+    def agrees_to_change(self, peer: str) -> bool:
         """Whether a change of members may start as far as is known here.
 
         It may if we vote and the peer, if one is named, is gone.
         """
         acceptor = self._acceptor
         votes = (
-            acceptor.standing is Standing.VOTING
+            acceptor.voting_status is Standing.VOTING
             and acceptor.is_member
             and not acceptor.has_pending_view
         )
         return votes and (not peer or self._is_gone(peer))
 
-    async def make_next(self) -> None:
+    async def start_next_change(self) -> None:
         """Starts the next change of members, if one is due and it is our duty."""
         view = self._acceptor.view
         if view is None:
@@ -117,7 +117,7 @@
     def _can_hand_over(self) -> bool:
         acceptor = self._acceptor
         return (
-            acceptor.standing is Standing.VOTING
+            acceptor.voting_status is Standing.VOTING
             and acceptor.is_member
             and acceptor.view is not None
             and len(acceptor.view.members) >= self._wanted_members
@@ -188,7 +188,7 @@
     def _is_gone(self, peer: str) -> bool:
         return (
             peer != self._acceptor.address
-            and self._peers.silence(peer, self._began) > _GONE_SECONDS
+            and self._peers.silence_seconds(peer, self._began) > _GONE_SECONDS
         )
 
     def _has_duty(self, key: str, live: list[str]) -> bool:
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -55,7 +55,7 @@
         peers: PeerBook,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        self.heard: dict[str, float] = {}
+        self.last_contact: dict[str, float] = {}
         self._acceptor = acceptor
         self._peers = peers
         self._clock = clock
@@ -68,13 +68,13 @@
         """A peer knows a view that was chosen."""
         self._acceptor.learn_view(view)
 
-    def note_heard(self, peer: str) -> None:
+    def record_contact(self, peer: str) -> None:
         """The peer said something."""
-        self.heard[peer] = self._clock()
+        self.last_contact[peer] = self._clock()
 
-    def silence(self, peer: str, since: float) -> float:
+    def silence_seconds(self, peer: str, since: float) -> float:
         """For how many seconds the peer has said nothing."""
-        return self._clock() - max(self.heard.get(peer, since), since)
+        return self._clock() - max(self.last_contact.get(peer, since), since)
 
     def notify_chosen(self, peer: str, register: str, holding: AcceptedState) -> None:
         """Sends a peer that is in reach what was chosen; comparing does the rest."""
@@ -96,5 +96,5 @@
         reply: kinds.StoreAnswer = unpack_message(
             await connection.call(pack_message(call), _CALL_SECONDS)
         )
-        self.note_heard(peer)
+        self.record_contact(peer)
         return reply
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -71,7 +71,7 @@
             "serving",
             node=self._config.node_name,
             inner=self._address,
-            standing=self._acceptor.standing.value,
+            standing=self._acceptor.voting_status.value,
         )
         tasks = [loop.create_task(self._watch.run()), loop.create_task(self._replica.run())]
         await self._stop.wait()
--- a/marblefold/register_store/replica.py
+++ b/marblefold/register_store/replica.py
@@ -85,7 +85,7 @@
 
     def answer(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """The answer to another store's call of any kind."""
-        self._peers.note_heard(call.sender)
+        self._peers.record_contact(call.sender)
         answer = answer_call(self._acceptor, call)
         if answer is not None:
             return answer
@@ -93,22 +93,24 @@
         if call.kind == CallKind.COMPARE:
             return answer_comparison(self._chosen, call, view)
         if call.kind == CallKind.OPINION:
-            return kinds.StoreAnswer(agreed=self._members.opinion(call.register), view=view)
+            return kinds.StoreAnswer(
+                agreed=self._members.agrees_to_change(call.register), view=view
+            )
         if call.kind == CallKind.JOIN:
-            self._members.note_waiting(call.sender)
+            self._members.add_waiting_store(call.sender)
             return kinds.StoreAnswer(view=view, reason=Refusal.WAIT)
         return kinds.StoreAnswer(view=view, reason=Refusal.UNKNOWN_CALL)
 
     async def _act(self) -> None:
         acceptor = self._acceptor
-        if acceptor.standing is Standing.READING and not self._members.is_leaving:
+        if acceptor.voting_status is Standing.READING and not self._members.is_leaving:
             await self._read()
-        if acceptor.standing is Standing.VOTING:
+        if acceptor.voting_status is Standing.VOTING:
             if acceptor.has_pending_view:
                 await self._reconciler.reconcile(VIEW_REGISTER)
             self._note_unsure()
             await self._settle_after_start()
-            await self._members.make_next()
+            await self._members.start_next_change()
 
     async def _read(self) -> None:
         """Reads all registers from enough others, then votes."""
@@ -132,13 +134,13 @@
         for answer in answers.values():
             if answer.view:
                 acceptor.learn_view(read_view(answer.view))
-        if acceptor.standing is Standing.READING:
+        if acceptor.voting_status is Standing.READING:
             for answer in answers.values():
                 acceptor.supersede_generation(answer.lives.get(acceptor.address, ""))
 
     def _finish_reading(self, kind: CallKind, answers: dict[str, kinds.StoreAnswer]) -> None:
         acceptor = self._acceptor
-        if kind is not CallKind.READ or acceptor.standing is not Standing.READING:
+        if kind is not CallKind.READ or acceptor.voting_status is not Standing.READING:
             return
         agreed = {peer: answer for peer, answer in answers.items() if answer.agreed}
         view = acceptor.view
--- a/tests/core_faults.py
+++ b/tests/core_faults.py
@@ -108,7 +108,7 @@
         for machine in self.core.machines.values():
             acceptor = machine.acceptor
             lines.append(
-                f"{machine.address} up={machine.is_up} {acceptor.standing.value} "
+                f"{machine.address} up={machine.is_up} {acceptor.voting_status.value} "
                 f"{acceptor.view} life={acceptor.generation[:6]} lives="
                 f"{ {k: v[:6] for k, v in acceptor.known_generations.items()} }"
             )
--- a/tests/simulated_core.py
+++ b/tests/simulated_core.py
@@ -259,7 +259,7 @@
             for peer in view.members
             if peer in self.machines
             and self.machines[peer].is_up
-            and self.machines[peer].acceptor.standing is Standing.VOTING
+            and self.machines[peer].acceptor.voting_status is Standing.VOTING
             and self.machines[peer].acceptor.view == view
         ]
 
--- a/tests/simulated_replicas.py
+++ b/tests/simulated_replicas.py
@@ -81,7 +81,7 @@
     def learn_view(self, view):
         self.acceptor.learn_view(view)
 
-    def silence(self, peer, since):
+    def silence_seconds(self, peer, since):
         return 0.0
 
     def answer(self, call):
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -85,7 +85,7 @@
 
     def check(self):
         """What it said still holds, and it votes on."""
-        assert self.acceptor.standing is Standing.VOTING
+        assert self.acceptor.voting_status is Standing.VOTING
         for register, ballot in self.promised.items():
             assert self.acceptor.accepted_states[register].promised >= ballot
         for register, ballot in self.accepted.items():
@@ -143,7 +143,7 @@
 
     acceptor = open_acceptor(OWN, FOLDER, PEERS, False, sleep)
     assert len(pauses) == 3
-    assert acceptor.generation == first.generation and acceptor.standing is Standing.VOTING
+    assert acceptor.generation == first.generation and acceptor.voting_status is Standing.VOTING
 
 
 def test_a_first_start_on_a_full_disk_refuses_until_there_is_room(monkeypatch):
--- a/tests/test_lost_promises.py
+++ b/tests/test_lost_promises.py
@@ -141,7 +141,7 @@
         five = begin()
         read_anew(five, "x:1", ["w:1", "y:1", "z:1"])
         read_anew(five, "x:1", ["u:1", "w:1", "y:1"])
-        assert five["x:1"].standing is Standing.VOTING
+        assert five["x:1"].voting_status is Standing.VOTING
         proposer = make_proposer(five, "p", ["w:1", "x:1", "z:1"], 0)
         return await proposer.change(SPEC, hold_configuration(1, b"one"), 0.0)
 
@@ -159,7 +159,7 @@
         sender_life=five["x:1"].generation,
     )
     read_anew(five, "x:1", ["w:1", "y:1", "z:1"])
-    assert five["x:1"].standing is Standing.VOTING
+    assert five["x:1"].voting_status is Standing.VOTING
     later = five["x:1"].generation
     answer = answer_call(five["z:1"], past)
     assert not answer.agreed and answer.reason == Refusal.READER_OF_PAST_GENERATION
@@ -191,7 +191,7 @@
     acceptor = Acceptor("w:1", MemoryRecords(), FIVE, True)
     second = acceptor.view.replace_member("z:1", "n:1", "second")
     acceptor.learn_view(second.replace_member("y:1", "o:1", "third"))
-    assert acceptor.is_member and acceptor.standing is Standing.READING
+    assert acceptor.is_member and acceptor.voting_status is Standing.READING
 
 
 def test_a_member_votes_only_after_it_has_met_every_majority():
--- a/tests/test_membership_liveness.py
+++ b/tests/test_membership_liveness.py
@@ -156,13 +156,13 @@
         )
         back = core.machines["m2:1"]
         back.start()
-        assert back.acceptor.standing is Standing.VOTING and back.acceptor.view.number == 1
+        assert back.acceptor.voting_status is Standing.VOTING and back.acceptor.view.number == 1
         # In its own old view it finds no majority; a call of any other tells it.
         assert await wait_until(
-            core, lambda: back.acceptor.standing is Standing.READING, ANSWER_BOUND
+            core, lambda: back.acceptor.voting_status is Standing.READING, ANSWER_BOUND
         )
         await asyncio.sleep(VOTE_BOUND)
-        assert back.acceptor.standing is Standing.READING
+        assert back.acceptor.voting_status is Standing.READING
         assert "m2:1" not in core.view().members
 
     core.run(play())
@@ -187,6 +187,6 @@
         away.start()
         found = await wait_until(core, lambda: away.acceptor.view == core.view(), ANSWER_BOUND)
         assert found, (away.acceptor.view, core.view(), away.tasks)
-        assert away.acceptor.standing is Standing.READING
+        assert away.acceptor.voting_status is Standing.READING
 
     core.run(play())
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -130,7 +130,7 @@
     def read(self, address):
         store = self.stores[address]
         acceptor = store.acceptor
-        if acceptor.standing is Standing.VOTING:
+        if acceptor.voting_status is Standing.VOTING:
             return
         life = acceptor.generation
         answers = []
@@ -179,7 +179,7 @@
     def all_vote(self):
         views = {store.acceptor.pack_view() for store in self.stores.values()}
         return len(views) == 1 and all(
-            self.stores[peer].acceptor.standing is Standing.VOTING
+            self.stores[peer].acceptor.voting_status is Standing.VOTING
             for peer in self.stores["a:1"].acceptor.view.members
         )
 
--- a/tests/test_thousand_changes.py
+++ b/tests/test_thousand_changes.py
@@ -54,7 +54,7 @@
     def measure(disk):
         disk.operations = disk.syncs = 0
         acceptor = Acceptor("10.0.0.1:7103", RegisterFiles(FOLDER, META_RECORD), [], False)
-        assert acceptor.standing is Standing.VOTING
+        assert acceptor.voting_status is Standing.VOTING
         bytes_held = sum(len(inode.data) for inode in disk.names.values())
         return len(disk.names), bytes_held, disk.operations, disk.syncs
 
@@ -130,7 +130,7 @@
         print("rounds", rounds, "calls", dict(core.calls), "bytes", core.bytes, "held", whole)
         # A wiped one learns the members in one more round.
         assert rounds <= 1 + is_wiped
-        assert member.acceptor.standing is Standing.VOTING
+        assert member.acceptor.voting_status is Standing.VOTING
         assert registry.numbers() == numbers_of(expected)
         # It took what others know: it proposed nothing.
         assert core.calls["prepare"] == core.calls["accept"] == 0
--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -137,7 +137,7 @@
         ]
         for member in self.bounds.troubled:
             acceptor = self.acceptors[member]
-            if acceptor.standing is Standing.READING:
+            if acceptor.voting_status is Standing.READING:
                 found += self._readings(member, acceptor)
                 continue
             if self.counts["wipe"] < self.bounds.wipes:
@@ -158,7 +158,7 @@
         return [
             Action("read", member, sources=chosen)
             for chosen in sets
-            if all(self.acceptors[p].standing is Standing.VOTING for p in chosen)
+            if all(self.acceptors[p].voting_status is Standing.VOTING for p in chosen)
         ]
 
     def act(self, action: Action) -> None:
@@ -210,7 +210,7 @@
         """What distinguishes this state from others; marks of lives are left out."""
         stores = tuple(
             (
-                a.standing.value,
+                a.voting_status.value,
                 _epoch(a.generation),
                 str(a.accepted_states.get(REGISTER)),
                 tuple(sorted((m, _epoch(life)) for m, life in a.known_generations.items())),
@@ -230,7 +230,7 @@
         if not chosen:
             return
         number, value = max(chosen.items())
-        voters = [a for a in self.acceptors.values() if a.standing is Standing.VOTING]
+        voters = [a for a in self.acceptors.values() if a.voting_status is Standing.VOTING]
         for quorum in itertools.combinations(voters, len(self.bounds.members) // 2 + 1):
             held = [a.accepted_states[REGISTER] for a in quorum if REGISTER in a.accepted_states]
             newest = max(held, key=lambda holding: holding.ballot, default=None)
