--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -16,7 +16,7 @@
 
 __all__ = ["PeerCaller", "Proposer"]
 
-_PHASE_SECONDS = 0.7
+_PHASE_TIMEOUT_SECONDS = 0.7
 _PAUSE_SECONDS = (0.005, 0.04)
 
 
@@ -131,7 +131,7 @@
         tasks = {loop.create_task(self._peers.call(peer, call)): peer for peer in peers}
         agreed: dict[str, kinds.StoreAnswer] = {}
         pending = set(tasks)
-        end = self._clock() + _PHASE_SECONDS
+        end = self._clock() + _PHASE_TIMEOUT_SECONDS
         while pending and len(agreed) < enough and len(agreed) + len(pending) >= enough:
             left = end - self._clock()
             if left <= 0:
--- a/tests/core_faults.py
+++ b/tests/core_faults.py
@@ -17,7 +17,7 @@
 VOTE_BOUND = 5.0
 
 
-class Troubles:
+class FaultInjection:
     """One run: orders all the time, troubles within the budget, then calm."""
 
     def __init__(self, seed, losses, must_answer=True):
--- a/tests/test_membership_safety.py
+++ b/tests/test_membership_safety.py
@@ -8,19 +8,19 @@
 
 import pytest
 
-from tests.core_faults import Troubles
+from tests.core_faults import FaultInjection
 
 
 @pytest.mark.parametrize("seed", range(16))
 def test_a_view_of_three_bears_one_loss_at_once(seed):
-    Troubles(seed, losses=1).play()
+    FaultInjection(seed, losses=1).play()
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_view_of_five_loses_and_forks_nothing_under_two_losses(seed):
-    Troubles(seed, losses=2, must_answer=False).play()
+    FaultInjection(seed, losses=2, must_answer=False).play()
 
 
 @pytest.mark.parametrize("seed", range(10))
 def test_a_view_of_five_answers_in_time_after_two_losses(seed):
-    Troubles(seed, losses=2).play()
+    FaultInjection(seed, losses=2).play()
