--- a/marblefold/register_store/anti_entropy.py
+++ b/marblefold/register_store/anti_entropy.py
@@ -56,7 +56,7 @@
             await self._catch_up(self._pick(differing))
         self._keep_copies()
 
-    def take(self, register: str, holding: AcceptedState) -> bool:
+    def learn_chosen(self, register: str, holding: AcceptedState) -> bool:
         """Takes in a holding that is known to be chosen; returns whether it was new here."""
         if not holding.value:
             return False
@@ -65,7 +65,7 @@
         self._keep_copy(register, holding)
         return was_new
 
-    def is_settled(self, register: str) -> bool:
+    def is_known_chosen(self, register: str) -> bool:
         """Whether what is held here is known to be chosen, or outdone by what is."""
         known = self._chosen.holdings.get(register)
         held = self._acceptor.accepted_states.get(register)
@@ -92,7 +92,7 @@
     async def _take_all(self, answer: kinds.StoreAnswer) -> bool:
         was_new = False
         for message in answer.accepted:
-            was_new |= self.take(message.register, read_accepted_state(message))
+            was_new |= self.learn_chosen(message.register, read_accepted_state(message))
             # Each is a write to disk: calls of others are answered in between.
             await asyncio.sleep(0)
         return was_new
--- a/marblefold/register_store/member_changes.py
+++ b/marblefold/register_store/member_changes.py
@@ -35,14 +35,14 @@
         self,
         acceptor: Acceptor,
         peers: StorePeers,
-        settler: Reconciler,
+        reconciler: Reconciler,
         machine_losses: int,
         timing: StoreTiming,
     ) -> None:
         self.is_leaving = False
         self._acceptor = acceptor
         self._peers = peers
-        self._reconciler = settler
+        self._reconciler = reconciler
         # A majority must be left when that many lose their disks at once; the
         # first view has no more members than there are seeds.
         self._wanted_members = 2 * machine_losses + 1
--- a/marblefold/register_store/reconciliation.py
+++ b/marblefold/register_store/reconciliation.py
@@ -25,7 +25,7 @@
         self._acceptor = acceptor
         self._proposer = proposer
         self._peers = peers
-        self._anti_entropy = comparing
+        self._anti_entropy = anti_entropy
 
     async def reconcile(self, register: str) -> None:
         """A ballot that changes nothing: what the register holds, a majority holds."""
@@ -52,4 +52,4 @@
 
     def learn_chosen(self, register: str, holding: AcceptedState) -> None:
         """Takes in a holding that is known to be chosen."""
-        self._anti_entropy.take(register, holding)
+        self._anti_entropy.learn_chosen(register, holding)
--- a/marblefold/register_store/replica.py
+++ b/marblefold/register_store/replica.py
@@ -173,7 +173,7 @@
                 await self._compare()
         # Each member in an order of its own, or all would try for the same one.
         for register in sorted(self._unsettled, key=lambda _register: self._timing.uniform(0, 1)):
-            if not self._anti_entropy.is_settled(register):
+            if not self._anti_entropy.is_known_chosen(register):
                 await self._reconciler.reconcile(register)
             self._unsettled.discard(register)
 
--- a/tests/simulated_replicas.py
+++ b/tests/simulated_replicas.py
@@ -43,10 +43,10 @@
         return holding
 
     async def run_round(self, *addresses):
-        """One round of replica, of those named or of all that are here."""
+        """One round of upkeep, of those named or of all that are here."""
         for address in addresses or self.addresses:
             if address not in self.away:
-                replica = self.members[address].upkeep
+                replica = self.members[address].replica
                 for step in (replica._act, replica._compare):
                     # As the loops of the store do: one that fails is made again.
                     with contextlib.suppress(MeshError):
--- a/tests/test_cut_off_registry.py
+++ b/tests/test_cut_off_registry.py
@@ -1,6 +1,6 @@
 """A registry that was frozen or cut off neither acknowledges, serves nor forgets wrongly.
 
-Three core machines run the real acceptors, proposers, store replica, store clients,
+Three core machines run the real acceptors, proposers, store replicas, store clients,
 contact, gate and control calls.  Operators send one order after the other, go on to
 another machine after a second of silence, and lose answers.  The plain model is the
 list of orders: once one was acknowledged, no earlier one may show.
--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -148,7 +148,7 @@
 
     def _readings(self, member: str, acceptor: Acceptor) -> list[Action]:
         sources = [peer for peer in self.bounds.members if peer != member]
-        enough = _known_view(acceptor).reading
+        enough = _known_view(acceptor).read_quorum
         # Leaving one out or none: the views here have up to five members.
         sets = (
             [tuple(sources)]
