--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -1,6 +1,6 @@
-"""The voting side of a store: promises and accepts, on disk before it says so.
+"""The Paxos acceptor of a store: makes promises and accepts durable before it answers.
 
-Pure but for the records it writes, so that tests can lose power anywhere.
+Its only side effect is writing records, so that tests can cut the power at any write.
 """
 
 import contextlib
@@ -39,7 +39,7 @@
 
 
 class Acceptor:
-    """Holds the registers of one store."""
+    """The acceptor of all registers of one store."""
 
     def __init__(self, address: str, records: Records, seeds: list[str], is_first: bool) -> None:
         self.address = address
@@ -48,12 +48,12 @@
         self.known_generations: dict[str, str] = {}
         self.accepted_states: dict[str, AcceptedState] = {}
         self.view: View | None = None
-        # The view before, if we waited outside it in this very life.
+        # The preceding view, if this store was outside it in its present generation.
         self.previous_view: View | None = None
-        # The view that swapped us out, while we can still be read.
+        # The view that removed this store, while its state may still be read.
         self.removing_view: View | None = None
-        # Copied while reading although a higher ballot was promised: no proof
-        # that a majority accepted the value under its ballot.
+        # Registers copied during recovery although a higher ballot was promised:
+        # no proof that a majority accepted the value under its ballot.
         self._unproven: set[str] = set()
         self._records = DoubtfulRecords(records)
         loaded = records.load()
@@ -61,32 +61,33 @@
             if name.startswith(_REGISTER_PREFIX):
                 message = kinds.Accepted.FromString(data)
                 self.accepted_states[message.register] = read_accepted_state(message)
-        # What cannot be written now is written before the first answer.
+        # A record that cannot be written now is written before the first answer.
         with contextlib.suppress(DiskError):
-            # Empty: the disk lost a record, so this store starts as if wiped.
+            # An empty record means that the disk lost one: start as after a lost disk.
             if loaded.get(META_RECORD):
                 self._read_meta(loaded[META_RECORD])
             elif is_first and not loaded:
-                self._begin_first(seeds)
+                self._initialize_first_start(seeds)
             if self.voting_status is Standing.READING:
                 self.begin_reading()
 
     @property
     def is_member(self) -> bool:
-        """Whether the newest chosen view known here counts this store in."""
+        """Whether this store is a member of the newest chosen view known here."""
         return self.view is not None and self.address in self.view.members
 
     @property
     def has_pending_view(self) -> bool:
-        """Whether a view was accepted here that may or may not be chosen."""
-        held = self.accepted_states.get(VIEW_REGISTER, NO_ACCEPTED_STATE)
+        """Whether a newer view was accepted here that may or may not be chosen."""
+        current = self.accepted_states.get(VIEW_REGISTER, NO_ACCEPTED_STATE)
         known = self.view.number if self.view else 0
-        return bool(held.value) and read_view(held.value).number > known
+        return bool(current.value) and read_view(current.value).number > known
 
     def rewrite_uncertain_records(self) -> None:
-        """Writes again what a failed write left in doubt; DiskError if it fails again.
+        """Rewrites the records whose last write failed; raises DiskError if that fails again.
 
-        To be called before each answer: none may rest on what power loss can change.
+        Must be called before each answer: no answer may depend on state that a
+        power loss can change.
         """
         for name in sorted(self._records.in_doubt):
             register = name.removeprefix(_REGISTER_PREFIX)
@@ -98,7 +99,7 @@
                 )
 
     def begin_reading(self) -> None:
-        """Starts a life that knows nothing: no vote before it has read."""
+        """Starts a new generation, which may not vote before it has read from other members."""
         self.generation = generation_above(
             [self.generation, self.known_generations.get(self.address, NO_GENERATION)]
         )
@@ -106,9 +107,10 @@
         self._set_voting_status(Standing.READING)
 
     def supersede_generation(self, known: str) -> bool:
-        """Begins a later life if one not before ours is known; returns whether it did.
+        """Starts a later generation unless this one may succeed the known one.
 
-        A lost disk does not know its epoch: those that noted it say so.
+        After a disk loss a store does not know its epoch; the members that
+        recorded it report it. Returns whether a new generation started.
         """
         if may_succeed(self.generation, known):
             return False
@@ -117,23 +119,28 @@
         return True
 
     def prepare(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
-        """Promises to take no lower ballot, if none higher was promised."""
+        """Promises to accept no lower ballot, unless this or a higher one was promised."""
         refusal = self._find_refusal(call)
         if refusal:
             return self._refuse(refusal, call.register)
-        held, ballot = (
+        current, ballot = (
             self.accepted_states.get(call.register, NO_ACCEPTED_STATE),
             Ballot.read(call.ballot),
         )
-        if ballot <= held.promised:
+        if ballot <= current.promised:
             return self._refuse(Refusal.PROMISED_HIGHER, call.register)
-        self._hold(call.register, held._replace(promised=ballot))
-        # A promise above the ballot has the proposer not count it as accepted.
-        shown = held if call.register in self._unproven else held._replace(promised=held.ballot)
-        return self._agree([pack_accepted_state(call.register, shown)])
+        self._store_accepted(call.register, current._replace(promised=ballot))
+        # A promise above the accepted ballot tells the proposer not to count
+        # the value as accepted.
+        reported = (
+            current
+            if call.register in self._unproven
+            else current._replace(promised=current.ballot)
+        )
+        return self._agree([pack_accepted_state(call.register, reported)])
 
     def accept(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
-        """Accepts a value under a ballot that is not below the promised one."""
+        """Accepts a value if its ballot is not below the promised one."""
         refusal = self._find_refusal(call) or self._find_past_generation(call)
         if refusal:
             return self._refuse(refusal, call.register)
@@ -141,56 +148,64 @@
         if ballot < self.accepted_states.get(call.register, NO_ACCEPTED_STATE).promised:
             return self._refuse(Refusal.PROMISED_HIGHER, call.register)
         orders = tuple(call.orders)
-        self._hold(call.register, AcceptedState(ballot, ballot, call.number, call.value, orders))
+        self._store_accepted(
+            call.register, AcceptedState(ballot, ballot, call.number, call.value, orders)
+        )
         self._unproven.discard(call.register)
         return self._agree([])
 
-    def learn_chosen(self, register: str, holding: AcceptedState) -> bool:
-        """Takes in what a majority holds; returns whether it was newer than the one held.
+    def learn_chosen(self, register: str, state: AcceptedState) -> bool:
+        """Stores a chosen state; returns whether it was newer than the accepted one.
 
-        Safe whatever was promised: a higher ballot's majority met this one's.
+        Safe whatever was promised: the majority of any higher ballot overlaps
+        with the majority of this one.
         """
         if register == VIEW_REGISTER:
-            self.learn_view(read_view(holding.value))
-        held = self.accepted_states.get(register, NO_ACCEPTED_STATE)
-        if holding.ballot <= held.ballot or self.voting_status is not Standing.VOTING:
+            self.learn_view(read_view(state.value))
+        current = self.accepted_states.get(register, NO_ACCEPTED_STATE)
+        if state.ballot <= current.ballot or self.voting_status is not Standing.VOTING:
             return False
-        promised = max(held.promised, holding.ballot)
-        self._hold(register, holding._replace(promised=promised))
+        promised = max(current.promised, state.ballot)
+        self._store_accepted(register, state._replace(promised=promised))
         self._unproven.discard(register)
         return True
 
     def learn_view(self, view: View) -> bool:
-        """Takes in a view that is known to be chosen, if it is newer."""
-        held = self.view
-        if held is not None and view.number <= held.number:
+        """Adopts a view that is known to be chosen; returns whether it was newer."""
+        current = self.view
+        if current is not None and view.number <= current.number:
             return False
-        before, was = self.view, self.voting_status
-        # Only who was a member all along knows what was held meanwhile.
-        follows = held is not None and self.is_member and view.number == held.number + 1
+        preceding, previous_status = self.view, self.voting_status
+        # Only a member of two consecutive views has missed no accepted state.
+        is_consecutive = (
+            current is not None and self.is_member and view.number == current.number + 1
+        )
         self.view = view
-        # Calls of earlier views are refused as such, whatever life they count on.
+        # Calls of earlier views are refused for their view, so the generations
+        # of former members need not be kept.
         self.known_generations = {
-            member: life
-            for member, life in self.known_generations.items()
+            member: generation
+            for member, generation in self.known_generations.items()
             if member in view.members or member == self.address
         }
-        if self.voting_status is Standing.VOTING and not (follows and self.is_member):
+        if self.voting_status is Standing.VOTING and not (is_consecutive and self.is_member):
             self.begin_reading()
         else:
             self._write_meta()
-        is_next = before is not None and view.number == before.number + 1
-        self.previous_view = before if is_next and was is Standing.READING else None
+        is_next = preceding is not None and view.number == preceding.number + 1
+        self.previous_view = preceding if is_next and previous_status is Standing.READING else None
         self.removing_view = (
-            view if follows and was is Standing.VOTING and not self.is_member else None
+            view
+            if is_consecutive and previous_status is Standing.VOTING and not self.is_member
+            else None
         )
         return True
 
     def answer_read(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
-        """Gives all that is held, and knows the reader's new life from then on."""
-        votes = self.voting_status is Standing.VOTING and not self.has_pending_view
-        # Who was just swapped out votes no more: what it holds is final.
-        if not votes and (self.removing_view is None or self.removing_view != self.view):
+        """Returns all accepted states and records the reader's new generation."""
+        is_voting = self.voting_status is Standing.VOTING and not self.has_pending_view
+        # A store that was just removed no longer votes: its state is final.
+        if not is_voting and (self.removing_view is None or self.removing_view != self.view):
             return self._refuse(Refusal.UNREADABLE, "")
         if call.view and read_view(call.view) != self.view:
             return self._refuse(Refusal.ANOTHER_VIEW, "")
@@ -199,19 +214,19 @@
             return self._refuse(Refusal.READER_OF_PAST_GENERATION, "", {call.sender: known})
         if known != call.sender_life:
             self.known_generations[call.sender] = call.sender_life
-            # On disk first: an accept that counts on the past life of the
-            # reader must be refused from here on, whatever happens to us.
+            # Durable before the answer: from here on an accept that counts on an
+            # earlier generation of the reader must be refused, even after a restart.
             self._write_meta()
         return self._agree(
-            [pack_accepted_state(name, holding) for name, holding in self.accepted_states.items()]
+            [pack_accepted_state(name, state) for name, state in self.accepted_states.items()]
         )
 
     def finish_reading(self, answers: list[kinds.StoreAnswer]) -> None:
-        """Takes over what enough others hold; from here on this store votes."""
+        """Adopts the states read from a read quorum; from here on this store votes."""
         merge_accepted_states(self.accepted_states, answers)
         merge_generations(self.known_generations, answers)
-        for register, holding in self.accepted_states.items():
-            self._write_register(register, holding)
+        for register, state in self.accepted_states.items():
+            self._write_register(register, state)
         self._unproven = find_unproven(self.accepted_states)
         self._set_voting_status(Standing.VOTING)
 
@@ -220,43 +235,43 @@
             return Refusal.DOES_NOT_VOTE
         if read_view(call.view) != self.view:
             return Refusal.ANOTHER_VIEW
-        # A view that may be chosen already ends all else in this one.
+        # A pending view may be chosen already, so this one accepts nothing else.
         if self.has_pending_view and call.register != VIEW_REGISTER:
             return Refusal.VIEW_IS_CHANGING
         return Refusal.NONE
 
     def _find_past_generation(self, call: kinds.StoreCall) -> Refusal:
-        """Whether the accept counts on a promise that was lost with a disk.
+        """Returns the refusal of an accept that counts on a promise lost with a disk.
 
-        A later life than the one noted here is no reason: it has read, though
-        not from us.
+        A later generation than the one recorded here is no reason to refuse: its
+        store has recovered, only without reading from this one.
         """
         if self.address not in call.lives:
             return Refusal.NO_PROMISE
         if call.lives[self.address] != self.generation:
             return Refusal.PAST_GENERATION
         is_lost = any(
-            is_superseded(life, self.known_generations.get(member, NO_GENERATION))
-            for member, life in call.lives.items()
+            is_superseded(generation, self.known_generations.get(member, NO_GENERATION))
+            for member, generation in call.lives.items()
         )
         return Refusal.PAST_GENERATION if is_lost else Refusal.NONE
 
-    def _hold(self, register: str, holding: AcceptedState) -> None:
-        self._write_register(register, holding)
-        self.accepted_states[register] = holding
+    def _store_accepted(self, register: str, state: AcceptedState) -> None:
+        self._write_register(register, state)
+        self.accepted_states[register] = state
 
-    def _write_register(self, register: str, holding: AcceptedState) -> None:
-        record = pack_accepted_state(register, holding).SerializeToString()
+    def _write_register(self, register: str, state: AcceptedState) -> None:
+        record = pack_accepted_state(register, state).SerializeToString()
         self._records.write(_REGISTER_PREFIX + register, record)
 
-    def _begin_first(self, seeds: list[str]) -> None:
+    def _initialize_first_start(self, seeds: list[str]) -> None:
         self.generation, self.view = first_generation(), first_view(seeds)
-        # A store that no seed names waits to be swapped in.
+        # A store outside the seed list waits until it is added to a view.
         if self.is_member:
             self._set_voting_status(Standing.VOTING)
 
     def _set_voting_status(self, voting_status: Standing) -> None:
-        """The one place where the standing changes."""
+        """Changes the voting status and writes it to disk; no other method may change it."""
         self.voting_status = voting_status
         self._write_meta()
 
@@ -285,17 +300,17 @@
         self,
         reason: Refusal,
         register: str,
-        lives: dict[str, str] | None = None,
+        generations: dict[str, str] | None = None,
     ) -> kinds.StoreAnswer:
         promised = self.accepted_states.get(register, NO_ACCEPTED_STATE).promised
         return kinds.StoreAnswer(
             reason=reason,
             life=self.generation,
             view=self.pack_view(),
-            lives=lives,
+            lives=generations,
             promised=promised.pack(),
         )
 
     def pack_view(self) -> bytes:
-        """The newest chosen view known, or nothing."""
+        """Returns the newest chosen view known as bytes, or empty bytes."""
         return self.view.pack() if self.view else b""
--- a/marblefold/register_store/anti_entropy.py
+++ b/marblefold/register_store/anti_entropy.py
@@ -1,8 +1,8 @@
-"""Brings a store that missed changes up to what the others know to be chosen.
+"""Anti-entropy: brings a store that missed changes up to date with the others.
 
-Each round a store sends every other member 16 bytes that stand for all it knows
-to be chosen.  Only where they differ are ballots sent, to one member, which
-answers with what is newer there: answer after answer, each of a bounded size.
+Each round a store sends every other member a 16-byte digest of all states that it
+knows to be chosen. Only if a digest differs, the store sends its ballots to one
+member, which answers with its newer states in several answers of bounded size.
 """
 
 import asyncio
@@ -20,12 +20,12 @@
 
 __all__ = ["AntiEntropy", "answer_comparison"]
 
-# The answers by peer, of those that answer.
+# Calls all peers named; returns the answers by peer, of those that answered.
 AskAll = Callable[[list[str], kinds.StoreCall], Awaitable[dict[str, kinds.StoreAnswer]]]
 
 
 class AntiEntropy:
-    """One store's side of comparing."""
+    """The anti-entropy of one store with its peers."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._timing = timing
 
     async def run_round(self, others: list[str]) -> None:
-        """Compares with the stores named, and catches up with one that differs."""
+        """Compares digests with the stores named, and catches up with one that differs."""
         call = kinds.StoreCall(
             kind=CallKind.COMPARE,
             view=self._acceptor.pack_view(),
@@ -52,30 +52,30 @@
                 self._acceptor.learn_view(read_view(answer.view))
         differing = [peer for peer, answer in answers.items() if not answer.agreed]
         if differing:
-            # One at a time: all of them would send the same over one link.
-            await self._catch_up(self._pick(differing))
-        self._keep_copies()
+            # One at a time: several would send the same states over one link.
+            await self._catch_up(self._choose_peer(differing))
+        self._store_copies()
 
-    def learn_chosen(self, register: str, holding: AcceptedState) -> bool:
-        """Takes in a holding that is known to be chosen; returns whether it was new here."""
-        if not holding.value:
+    def learn_chosen(self, register: str, state: AcceptedState) -> bool:
+        """Stores a state that is known to be chosen; returns whether it was new here."""
+        if not state.value:
             return False
-        # It is chosen whatever our own disk says: watchers receive it.
-        was_new = self._chosen.put(register, holding)
-        self._keep_copy(register, holding)
+        # It is chosen even if the local disk fails, so watchers receive it first.
+        was_new = self._chosen.put(register, state)
+        self._store_copy(register, state)
         return was_new
 
     def is_known_chosen(self, register: str) -> bool:
-        """Whether what is held here is known to be chosen, or outdone by what is."""
+        """Whether the state accepted here, or a newer one, is known to be chosen."""
         known = self._chosen.holdings.get(register)
-        held = self._acceptor.accepted_states.get(register)
-        return known is not None and (held is None or held.ballot <= known.ballot)
+        accepted = self._acceptor.accepted_states.get(register)
+        return known is not None and (accepted is None or accepted.ballot <= known.ballot)
 
-    def _pick(self, peers: list[str]) -> str:
+    def _choose_peer(self, peers: list[str]) -> str:
         return min(peers, key=lambda _peer: self._timing.uniform(0, 1))
 
     async def _catch_up(self, peer: str) -> None:
-        """Takes answer after answer until one holds nothing new; MeshError if one is missing."""
+        """Fetches newer states until none is left; raises MeshError if an answer is missing."""
         is_behind = True
         while is_behind:
             call = kinds.StoreCall(
@@ -85,29 +85,29 @@
             )
             answer = (await self._ask_all([peer], call)).get(peer)
             if answer is None:
-                # The next round asks another, before anything is settled here.
+                # The next round asks another peer, before anything is reconciled here.
                 raise MeshError("compare", "no answer", peer)
-            is_behind = await self._take_all(answer)
+            is_behind = await self._learn_all(answer)
 
-    async def _take_all(self, answer: kinds.StoreAnswer) -> bool:
+    async def _learn_all(self, answer: kinds.StoreAnswer) -> bool:
         was_new = False
         for message in answer.accepted:
             was_new |= self.learn_chosen(message.register, read_accepted_state(message))
-            # Each is a write to disk: calls of others are answered in between.
+            # Each state is a disk write: lets the calls of other stores be answered in between.
             await asyncio.sleep(0)
         return was_new
 
-    def _keep_copies(self) -> None:
-        """Holds what is chosen here too, also what the disk refused, or came while reading."""
-        for register, holding in list(self._chosen.holdings.items()):
-            if not self._keep_copy(register, holding):
+    def _store_copies(self) -> None:
+        """Accepts the chosen states that the disk refused, or that arrived during recovery."""
+        for register, state in list(self._chosen.holdings.items()):
+            if not self._store_copy(register, state):
                 return
 
-    def _keep_copy(self, register: str, holding: AcceptedState) -> bool:
+    def _store_copy(self, register: str, state: AcceptedState) -> bool:
         try:
-            self._acceptor.learn_chosen(register, holding)
+            self._acceptor.learn_chosen(register, state)
         except DiskError as error:
-            log.warning("no copy kept", register=register, reason=error.reason)
+            log.warning("could not store a chosen register", register=register, reason=error.reason)
             return False
         return True
 
@@ -115,9 +115,9 @@
 def answer_comparison(
     chosen: ChosenRegisters, call: kinds.StoreCall, view: bytes
 ) -> kinds.StoreAnswer:
-    """Whether the caller knows the same, or what is newer here than its ballots.
+    """Answers a digest with whether it matches, and ballots with the newer states.
 
-    The view goes along where the caller named another one.
+    The answer includes the view if the caller sent another one.
     """
     if call.view == view:
         view = b""
--- a/marblefold/register_store/ballots.py
+++ b/marblefold/register_store/ballots.py
@@ -1,4 +1,4 @@
-"""Ballots and what a register holds, as tuples that compare."""
+"""Ballots and the accepted state of a register, as comparable tuples."""
 
 from typing import NamedTuple
 
@@ -15,18 +15,18 @@
 
 
 class Ballot(NamedTuple):
-    """The order of proposals; the proposer makes it unique."""
+    """A proposal number: ordered by its counter, made unique by the proposer's name."""
 
     counter: int
     proposer: str
 
     def pack(self) -> kinds.Ballot:
-        """The ballot as a message."""
+        """Returns the ballot as a message."""
         return kinds.Ballot(counter=self.counter, proposer=self.proposer)
 
     @classmethod
     def read(cls, message: kinds.Ballot) -> "Ballot":
-        """The ballot in a message."""
+        """Returns the ballot in a message."""
         return cls(message.counter, message.proposer)
 
 
@@ -34,33 +34,33 @@
 
 
 class AcceptedState(NamedTuple):
-    """What an acceptor promised and accepted for one register."""
+    """The ballot that an acceptor promised for one register, and the value it accepted."""
 
     promised: Ballot
     ballot: Ballot
     number: int
     value: bytes
-    # The ids of the last orders that changed the register, oldest first.
+    # Ids of the last orders that changed the register, oldest first.
     orders: tuple[bytes, ...] = ()
 
 
 NO_ACCEPTED_STATE = AcceptedState(NO_BALLOT, NO_BALLOT, 0, b"")
 
 
-def pack_accepted_state(register: str, holding: AcceptedState) -> kinds.Accepted:
-    """The holding as a message."""
+def pack_accepted_state(register: str, state: AcceptedState) -> kinds.Accepted:
+    """Returns the state of a register as a message."""
     return kinds.Accepted(
         register=register,
-        ballot=holding.ballot.pack(),
-        number=holding.number,
-        value=holding.value,
-        promised=holding.promised.pack(),
-        orders=holding.orders,
+        ballot=state.ballot.pack(),
+        number=state.number,
+        value=state.value,
+        promised=state.promised.pack(),
+        orders=state.orders,
     )
 
 
 def read_accepted_state(message: kinds.Accepted) -> AcceptedState:
-    """The holding in a message."""
+    """Returns the accepted state in a message."""
     return AcceptedState(
         Ballot.read(message.promised),
         Ballot.read(message.ballot),
--- a/marblefold/register_store/generations.py
+++ b/marblefold/register_store/generations.py
@@ -1,8 +1,8 @@
-"""Lives: each empty disk of a store begins a new one, and lives are ordered.
+"""Generations of a store: a new, later one begins whenever it may have lost its state.
 
-A life is written as its epoch and a random part.  A store whose disk was lost
-chooses an epoch above each one that the members it reads have noted for it, so
-the later of two lives of a store can always be determined.
+A generation is written as its epoch and a random part. A store that lost its disk
+takes an epoch above each one that the members it reads from have recorded for it,
+so that any two generations of a store can be ordered.
 """
 
 import os
@@ -12,48 +12,48 @@
     "NO_GENERATION",
     "first_generation",
     "is_superseded",
-    "later_generation",
     "generation_above",
+    "later_generation",
     "may_succeed",
 ]
 
-# Older than every life: of a store that nothing is known about.
+# Earlier than every generation: for a store of which nothing is known.
 NO_GENERATION = ""
 
 
 def first_generation() -> str:
-    """The life of a store at the first start of the whole system."""
-    return _make(0)
+    """Returns the generation of a store at the first start of the whole system."""
+    return _new_generation(0)
 
 
 def generation_above(known: Iterable[str]) -> str:
-    """A fresh life, later than each of the known ones."""
-    return _make(max(0, *(_epoch(life) for life in known)) + 1)
+    """Returns a new generation, later than each of the known ones."""
+    return _new_generation(max(0, *(_epoch(generation) for generation in known)) + 1)
 
 
-def is_superseded(life: str, known: str) -> bool:
-    """Whether the life ended before the known one of the same store began.
+def is_superseded(generation: str, known: str) -> bool:
+    """Whether the generation is earlier than the known one of the same store.
 
-    Of two lives of one epoch at most one has ever voted: to vote it must have
-    been noted by so many members that the other one is refused by one of them.
+    Of two generations of one epoch at most one has ever voted: to vote, it must
+    have been recorded by so many members that one of them refuses the other.
     """
-    return _epoch(life) < _epoch(known)
+    return _epoch(generation) < _epoch(known)
 
 
-def may_succeed(life: str, known: str) -> bool:
-    """Whether a store may read under the life where the other one is noted for it."""
-    return life == known or _epoch(life) > _epoch(known)
+def may_succeed(generation: str, known: str) -> bool:
+    """Whether a member that recorded `known` for a store may serve its generation."""
+    return generation == known or _epoch(generation) > _epoch(known)
 
 
 def later_generation(one: str, other: str) -> str:
-    """The later of two lives of one store."""
+    """Returns the later of two generations of one store."""
     return other if is_superseded(one, other) else one
 
 
-def _make(epoch: int) -> str:
+def _new_generation(epoch: int) -> str:
     return f"{epoch}-{os.urandom(16).hex()}"
 
 
-def _epoch(life: str) -> int:
-    epoch, sign, _mark = life.partition("-")
-    return int(epoch) if sign else -1
+def _epoch(generation: str) -> int:
+    epoch, separator, _nonce = generation.partition("-")
+    return int(epoch) if separator else -1
--- a/marblefold/register_store/heartbeat.py
+++ b/marblefold/register_store/heartbeat.py
@@ -1,4 +1,4 @@
-"""The cheap call by which a registry finds out whether it reaches a majority."""
+"""Answers the heartbeats with which a registry checks whether it reaches a majority."""
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.acceptor import Acceptor, Standing
@@ -8,10 +8,10 @@
 
 
 def answer_heartbeat(acceptor: Acceptor) -> kinds.RegisterAnswer:
-    """Whether this store has a vote now, and in which view; costs no write.
+    """Reports whether this store may vote now, and in which view; writes nothing.
 
-    A store that accepted a view which may be chosen has none: of the members of
-    a replaced view a majority did, so they never make a quorum of it again.
+    A store with a pending view may not vote: a majority of the members of a
+    replaced view accepted its successor, so they never form a quorum of it again.
     """
     has_vote = (
         acceptor.voting_status is Standing.VOTING
--- a/marblefold/register_store/member_changes.py
+++ b/marblefold/register_store/member_changes.py
@@ -1,8 +1,8 @@
-"""Changes the members of the view: grows it, swaps a lost member, hands a place over.
+"""Changes the members of the view: adds, replaces and hands over members.
 
-One change at a time: none starts before each member in reach votes in
-the present view and each register is settled in it, so that every register
-has the copies that the view promises before the next member goes.
+One change at a time: none starts before each reachable member votes in the
+present view and each register is reconciled in it, so that every register has a
+majority of copies before the next member leaves.
 """
 
 import asyncio
@@ -22,14 +22,14 @@
 
 __all__ = ["MemberChanges"]
 
-_GONE_SECONDS = 2.0
-# A round that asks stores out of reach may take two call times and more.
-_WAITING_SECONDS = 5.0
-_HAND_OVER_PAUSE = 0.1
+_UNREACHABLE_AFTER_SECONDS = 2.0
+# A round that calls unreachable stores may take more than two call timeouts.
+_JOIN_REQUEST_LIFETIME_SECONDS = 5.0
+_HAND_OVER_POLL_SECONDS = 0.1
 
 
 class MemberChanges:
-    """What one store does about the members of the view."""
+    """Starts the member changes that are due at one store, and answers those of others."""
 
     def __init__(
         self,
@@ -43,59 +43,59 @@
         self._acceptor = acceptor
         self._peers = peers
         self._reconciler = reconciler
-        # A majority must be left when that many lose their disks at once; the
-        # first view has no more members than there are seeds.
+        # A majority must be left when so many machines lose their disks at once; the
+        # first view has only as many members as there are seeds.
         self._wanted_members = 2 * machine_losses + 1
         self._timing = timing
-        self._began = timing.clock()
-        self._waiting: dict[str, float] = {}
-        self._settled_view: View | None = None
+        self._started_at = timing.clock()
+        self._join_requests: dict[str, float] = {}
+        self._reconciled_view: View | None = None
 
     def add_waiting_store(self, newcomer: str) -> None:
-        """A store outside the view asks for a place in it."""
-        self._waiting[newcomer] = self._timing.clock()
+        """Records that a store outside the view asks to become a member."""
+        self._join_requests[newcomer] = self._timing.clock()
 
     def agrees_to_change(self, peer: str) -> bool:
-        """Whether a change of members may start as far as is known here.
+        """Whether this store agrees to a change of members.
 
-        It may if we vote and the peer, if one is named, is gone.
+        It does if it votes and the peer, if one is named, is unreachable from here.
         """
         acceptor = self._acceptor
-        votes = (
+        is_voting = (
             acceptor.voting_status is Standing.VOTING
             and acceptor.is_member
             and not acceptor.has_pending_view
         )
-        return votes and (not peer or self._is_gone(peer))
+        return is_voting and (not peer or self._is_unreachable(peer))
 
     async def start_next_change(self) -> None:
-        """Starts the next change of members, if one is due and it is our duty."""
+        """Starts the next change of members, if one is due and this store is responsible."""
         view = self._acceptor.view
         if view is None:
             return
         waiting = self._find_waiting()
         if not waiting or not self._acceptor.is_member:
             return
-        lost = [peer for peer in view.members if self._is_gone(peer)]
+        lost = [peer for peer in view.members if self._is_unreachable(peer)]
         live = [peer for peer in view.members if peer not in lost]
-        # The duty falls to one live member by key; the view register is the
-        # fence that refuses the act of any other.
-        if lost and self._has_duty(lost[0], live):
+        # Rendezvous hashing picks one live member for each change; should two
+        # act, the view register takes only one of the changes.
+        if lost and self._is_responsible(lost[0], live):
             await self._change(
-                view.replace_member(lost[0], waiting[0], _mark()), live, gone=lost[0]
+                view.replace_member(lost[0], waiting[0], _new_nonce()), live, removed=lost[0]
             )
         elif (
             not lost
             and len(view.members) < self._wanted_members
-            and self._has_duty(waiting[0], live)
+            and self._is_responsible(waiting[0], live)
         ):
-            await self._change(view.add_member(waiting[0], _mark()), live, gone="")
+            await self._change(view.add_member(waiting[0], _new_nonce()), live, removed="")
 
     async def hand_over(self, seconds: float) -> None:
-        """Gives our place to a store that waits for one, before we end.
+        """Replaces this store by one that waits to join, before the process ends.
 
-        Without one that waits nothing is done: a restart in place is cheap.
-        seconds: no try begins later than that.
+        Does nothing if no store waits: a restart in place is cheap.
+        seconds: the time after which no further attempt starts.
         """
         self.is_leaving = True
         end = self._timing.clock() + seconds
@@ -104,15 +104,15 @@
             if view is None:
                 return
             newcomer = self._find_waiting()[0]
-            live = [peer for peer in view.members if not self._is_gone(peer)]
-            following = view.replace_member(self._acceptor.address, newcomer, _mark())
+            live = [peer for peer in view.members if not self._is_unreachable(peer)]
+            following = view.replace_member(self._acceptor.address, newcomer, _new_nonce())
             try:
-                if await self._change(following, live, gone=""):
-                    await self._await_vote(newcomer, end)
+                if await self._change(following, live, removed=""):
+                    await self._wait_until_voting(newcomer, end)
                     return
             except MeshError as error:
-                log.info("hand-over", step=error.step, reason=error.reason)
-            await self._timing.sleep(_HAND_OVER_PAUSE)
+                log.info("member hand-over failed; retrying", step=error.step, reason=error.reason)
+            await self._timing.sleep(_HAND_OVER_POLL_SECONDS)
 
     def _can_hand_over(self) -> bool:
         acceptor = self._acceptor
@@ -124,49 +124,49 @@
             and bool(self._find_waiting())
         )
 
-    async def _await_vote(self, newcomer: str, end: float) -> None:
+    async def _wait_until_voting(self, newcomer: str, end: float) -> None:
         while self._timing.clock() < end:
-            if await self._ask_opinions([newcomer], ""):
+            if await self._collect_agreement([newcomer], ""):
                 return
-            await self._timing.sleep(_HAND_OVER_PAUSE)
+            await self._timing.sleep(_HAND_OVER_POLL_SECONDS)
 
-    async def _change(self, following: View, live: list[str], gone: str) -> bool:
-        """Proposes the view unless the change before is unfinished; returns whether it holds."""
+    async def _change(self, following: View, live: list[str], removed: str) -> bool:
+        """Proposes the view if the last change is finished; returns whether it was chosen."""
         view = self._acceptor.view
         if view is None:
             return False
-        others = [peer for peer in live if peer != self._acceptor.address]
-        agreed = await self._ask_opinions(others, gone)
+        peers = [peer for peer in live if peer != self._acceptor.address]
+        agreed = await self._collect_agreement(peers, removed)
         if agreed is None:
             return False
-        # Fewer could neither choose the view nor let the newcomer read.
+        # With fewer the view could not be chosen, nor could the newcomer read.
         if len(agreed) + 1 < view.majority:
             return False
-        if self._settled_view != view:
+        if self._reconciled_view != view:
             await self._reconciler.reconcile_all()
-            self._settled_view = view
+            self._reconciled_view = view
         if self._acceptor.view != view:
             return False
-        holding = await self._reconciler.propose(VIEW_REGISTER, change_view(view, following))
-        # Views only follow one another: one that was known stays known.
+        state = await self._reconciler.propose(VIEW_REGISTER, change_view(view, following))
+        # Views are only ever replaced by later ones, so the known view is never None again.
         newest = self._acceptor.view or view
-        log.info("view changed", gone=gone, members=list(newest.members), view=newest.number)
-        return holding.value == following.pack()
+        log.info("view changed", gone=removed, members=list(newest.members), view=newest.number)
+        return state.value == following.pack()
 
-    async def _ask_opinions(self, others: list[str], gone: str) -> list[str] | None:
-        """Those that agree; None if one that answers does not."""
+    async def _collect_agreement(self, peers: list[str], removed: str) -> list[str] | None:
+        """Returns the peers that agree; None if one of those that answer does not."""
         view = self._acceptor.pack_view()
         results = await asyncio.gather(
             *(
                 self._peers.call(
-                    peer, kinds.StoreCall(kind=CallKind.OPINION, view=view, register=gone)
+                    peer, kinds.StoreCall(kind=CallKind.OPINION, view=view, register=removed)
                 )
-                for peer in others
+                for peer in peers
             ),
             return_exceptions=True,
         )
         agreed = []
-        for peer, result in zip(others, results, strict=True):
+        for peer, result in zip(peers, results, strict=True):
             if isinstance(result, MeshError):
                 continue
             if isinstance(result, BaseException):
@@ -178,26 +178,28 @@
 
     def _find_waiting(self) -> list[str]:
         now = self._timing.clock()
-        self._waiting = {
-            peer: at for peer, at in self._waiting.items() if now - at < _WAITING_SECONDS
+        self._join_requests = {
+            peer: at
+            for peer, at in self._join_requests.items()
+            if now - at < _JOIN_REQUEST_LIFETIME_SECONDS
         }
         view = self._acceptor.view
         members = view.members if view is not None else ()
-        return sorted(peer for peer in self._waiting if peer not in members)
+        return sorted(peer for peer in self._join_requests if peer not in members)
 
-    def _is_gone(self, peer: str) -> bool:
+    def _is_unreachable(self, peer: str) -> bool:
         return (
             peer != self._acceptor.address
-            and self._peers.silence_seconds(peer, self._began) > _GONE_SECONDS
+            and self._peers.silence_seconds(peer, self._started_at) > _UNREACHABLE_AFTER_SECONDS
         )
 
-    def _has_duty(self, key: str, live: list[str]) -> bool:
-        return max(live, key=lambda peer: _rank(key, peer)) == self._acceptor.address
+    def _is_responsible(self, key: str, live: list[str]) -> bool:
+        return max(live, key=lambda peer: _hash_rank(key, peer)) == self._acceptor.address
 
 
-def _mark() -> str:
+def _new_nonce() -> str:
     return os.urandom(16).hex()
 
 
-def _rank(key: str, peer: str) -> tuple[int, str]:
+def _hash_rank(key: str, peer: str) -> tuple[int, str]:
     return zlib.crc32(f"{key}|{peer}".encode()), peer
--- a/marblefold/register_store/peer_call_kinds.py
+++ b/marblefold/register_store/peer_call_kinds.py
@@ -6,23 +6,23 @@
 
 
 class CallKind(enum.StrEnum):
-    """What one store asks of another; the text goes over the wire."""
+    """The kind of a call between stores; its value is sent over the wire."""
 
-    # Phase one and phase two of a ballot.
+    # Phase one and phase two of a ballot (Paxos prepare and accept).
     PREPARE = "prepare"
     ACCEPT = "accept"
-    # A member that may have lost its disk asks for everything that is held.
+    # A member that may have lost its disk asks for all accepted states.
     READ = "read"
-    # A store outside the view asks for a place in it.
+    # A store outside the view asks to become a member.
     JOIN = "join"
-    # Exchanges the chosen registers; agreed: the callee votes in the caller's view.
+    # Anti-entropy over the chosen registers; `agreed` to a digest: both know the same.
     COMPARE = "compare"
-    # Whether a change of members may start, and whether a member is gone.
+    # Asks whether a change of members may start, and whether a member is unreachable.
     OPINION = "opinion"
 
 
 class Refusal(enum.StrEnum):
-    """Why a store refuses a call; the text goes over the wire and into logs."""
+    """Why a store refuses a call; the value is sent over the wire and logged."""
 
     NONE = ""
     PROMISED_HIGHER = "promised higher"
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -1,4 +1,4 @@
-"""Carries calls between stores, our own acceptor among those called."""
+"""Carries calls between stores, including those to the local acceptor."""
 
 import time
 from collections.abc import Callable
@@ -14,29 +14,29 @@
 
 __all__ = ["StorePeers", "answer_call"]
 
-_CALL_SECONDS = 1.0
-# The calls whose answers rest on what lasts.
-_FROM_DISK = (CallKind.PREPARE, CallKind.ACCEPT, CallKind.READ)
+_CALL_TIMEOUT_SECONDS = 1.0
+# The calls whose answers depend on durable records.
+_DURABLE_CALL_KINDS = (CallKind.PREPARE, CallKind.ACCEPT, CallKind.READ)
 
 
 def answer_call(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
-    """The acceptor's answer to a call; None for calls that are not for it.
+    """Returns the acceptor's answer to a call, or None for calls that it does not serve.
 
-    A disk in trouble makes it a refusal: nothing is promised from memory alone.
+    A disk error becomes a refusal: nothing is promised from memory alone.
     """
     try:
-        return _answer_from_disk(acceptor, call)
+        return _answer_durably(acceptor, call)
     except DiskError as error:
         return kinds.StoreAnswer(reason=f"disk: {error.reason}")
     except MeshError as error:
         return kinds.StoreAnswer(reason=str(error))
 
 
-def _answer_from_disk(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
-    # Callers name only views that were chosen: a newer one is taken in.
+def _answer_durably(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
+    # Callers send only chosen views, so a newer one is adopted.
     if call.view:
         acceptor.learn_view(read_view(call.view))
-    if call.kind not in _FROM_DISK:
+    if call.kind not in _DURABLE_CALL_KINDS:
         return None
     acceptor.rewrite_uncertain_records()
     if call.kind == CallKind.PREPARE:
@@ -47,7 +47,7 @@
 
 
 class StorePeers:
-    """The other stores, and when each last answered or called."""
+    """The other stores, and the time at which each last answered or called."""
 
     def __init__(
         self,
@@ -61,40 +61,40 @@
         self._clock = clock
 
     def current_view(self) -> View | None:
-        """The newest chosen view known."""
+        """Returns the newest chosen view known."""
         return self._acceptor.view
 
     def learn_view(self, view: View) -> None:
-        """A peer knows a view that was chosen."""
+        """Adopts a chosen view that a peer reported, if it is newer."""
         self._acceptor.learn_view(view)
 
     def record_contact(self, peer: str) -> None:
-        """The peer said something."""
+        """Records that the peer answered or called just now."""
         self.last_contact[peer] = self._clock()
 
     def silence_seconds(self, peer: str, since: float) -> float:
-        """For how many seconds the peer has said nothing."""
+        """Returns the seconds since the peer last answered or called, or since `since` if later."""
         return self._clock() - max(self.last_contact.get(peer, since), since)
 
-    def notify_chosen(self, peer: str, register: str, holding: AcceptedState) -> None:
-        """Sends a peer that is in reach what was chosen; comparing does the rest."""
+    def notify_chosen(self, peer: str, register: str, state: AcceptedState) -> None:
+        """Sends a chosen state to a connected peer; anti-entropy covers all others."""
         connection = self._peers.find(peer)
         if connection is not None:
-            connection.send(FrameKind.TELL, 0, pack_message(pack_accepted_state(register, holding)))
+            connection.send(FrameKind.TELL, 0, pack_message(pack_accepted_state(register, state)))
 
     async def call(self, peer: str, call: kinds.StoreCall) -> kinds.StoreAnswer:
-        """The peer's answer, or a MeshError."""
-        own = self._acceptor
-        if peer == own.address:
-            answer = answer_call(own, call)
+        """Returns the peer's answer; raises MeshError if there is none in time."""
+        local = self._acceptor
+        if peer == local.address:
+            answer = answer_call(local, call)
             if answer is None:
                 raise MeshError(call.kind, "not for ourselves", peer)
             return answer
-        call.sender = own.address
-        call.sender_life = own.generation
+        call.sender = local.address
+        call.sender_life = local.generation
         connection = await self._peers.reach(peer)
         reply: kinds.StoreAnswer = unpack_message(
-            await connection.call(pack_message(call), _CALL_SECONDS)
+            await connection.call(pack_message(call), _CALL_TIMEOUT_SECONDS)
         )
         self.record_contact(peer)
         return reply
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -1,4 +1,4 @@
-"""Changes a register by ballot over a majority of the view."""
+"""The Paxos proposer: changes a register by a ballot over a majority of the view."""
 
 import asyncio
 import random
@@ -17,11 +17,11 @@
 __all__ = ["PeerCaller", "Proposer"]
 
 _PHASE_TIMEOUT_SECONDS = 0.7
-_PAUSE_SECONDS = (0.005, 0.04)
+_RETRY_DELAY_RANGE_SECONDS = (0.005, 0.04)
 
 
 class PeerCaller(Protocol):
-    """How a proposer reaches the acceptors, its own among them."""
+    """How a proposer reaches the acceptors, including the local one."""
 
     async def call(self, peer: str, call: kinds.StoreCall) -> kinds.StoreAnswer: ...
 
@@ -31,14 +31,14 @@
 
 
 class _Promises(NamedTuple):
-    """What a majority promised: their lives and what they hold."""
+    """The promises of a majority: their generations by peer and their accepted states."""
 
-    lives: dict[str, str]
-    holdings: list[AcceptedState]
+    generations: dict[str, str]
+    states: list[AcceptedState]
 
 
 class Proposer:
-    """Proposes changes one after the other for each register."""
+    """Proposes the changes of each register one after the other."""
 
     def __init__(
         self,
@@ -52,67 +52,69 @@
         self._sleep = sleep
         self._clock = clock
         self._counter = 0
-        self._turns: dict[str, asyncio.Lock] = {}
+        self._register_locks: dict[str, asyncio.Lock] = {}
 
     async def change(self, register: str, change: Change, seconds: float) -> AcceptedState:
-        """What a majority holds after the change.
+        """Applies the change and returns the state that a majority accepted.
 
-        seconds: how long it is tried, at least once.
+        seconds: how long to retry; at least one ballot is run.
         Raises a MeshError if no majority answers in time, or no view is known.
         """
         end = self._clock() + seconds
-        turn = self._turns.setdefault(register, asyncio.Lock())
-        # Two changes of our own would only outbid each other.
-        async with turn:
+        lock = self._register_locks.setdefault(register, asyncio.Lock())
+        # Concurrent ballots of one proposer would only outbid each other.
+        async with lock:
             while True:
                 view = self._peers.current_view()
                 if view is None:
                     raise MeshError("propose", "no view known")
-                held = await self._try(view, register, change)
-                if held is not None:
-                    return held
-                pause = random.uniform(*_PAUSE_SECONDS)
-                if self._clock() + pause >= end:
+                state = await self._run_ballot(view, register, change)
+                if state is not None:
+                    return state
+                delay = random.uniform(*_RETRY_DELAY_RANGE_SECONDS)
+                if self._clock() + delay >= end:
                     raise MeshError("propose", f"no majority for {register}")
-                await self._sleep(pause)
+                await self._sleep(delay)
 
-    async def _try(self, view: View, register: str, change: Change) -> AcceptedState | None:
+    async def _run_ballot(self, view: View, register: str, change: Change) -> AcceptedState | None:
         self._counter += 1
         ballot = Ballot(self._counter, self._name)
         promises = await self._prepare(view, register, ballot)
         if promises is None:
             return None
-        newest = max(promises.holdings, key=lambda holding: holding.ballot)
-        held = Held(newest.number, newest.value, newest.orders)
-        wanted = change(held)
-        # Held by a whole majority under one ballot already: nothing to settle.
-        # One that was copied below a promise is no acceptance that counts.
-        is_settled = all(
-            holding.ballot == newest.ballot and holding.promised <= holding.ballot
-            for holding in promises.holdings
+        newest = max(promises.states, key=lambda state: state.ballot)
+        current = Held(newest.number, newest.value, newest.orders)
+        proposed = change(current)
+        # A majority that accepted the value under one ballot needs no second phase.
+        # A copy made below a higher promise does not count as accepted.
+        is_accepted_by_majority = all(
+            state.ballot == newest.ballot and state.promised <= state.ballot
+            for state in promises.states
         )
-        if wanted == held and is_settled:
+        if proposed == current and is_accepted_by_majority:
             return newest
         call = kinds.StoreCall(
             kind=CallKind.ACCEPT,
             view=view.pack(),
             register=register,
             ballot=ballot.pack(),
-            number=wanted.number,
-            value=wanted.value,
-            orders=wanted.orders,
-            lives=promises.lives,
+            number=proposed.number,
+            value=proposed.value,
+            orders=proposed.orders,
+            lives=promises.generations,
         )
-        answers = await self._ask(list(promises.lives), call, view.majority)
+        answers = await self._collect_answers(list(promises.generations), call, view.majority)
         if len(answers) < view.majority:
             return None
-        return AcceptedState(NO_BALLOT, ballot, *wanted)
+        return AcceptedState(NO_BALLOT, ballot, *proposed)
 
     async def _prepare(self, view: View, register: str, ballot: Ballot) -> _Promises | None:
         call = kinds.StoreCall(
             kind=CallKind.PREPARE, view=view.pack(), register=register, ballot=ballot.pack()
         )
-        answers = _drop_lost_promises(await self._ask(list(view.members), call, view.majority))
+        answers = _drop_lost_promises(
+            await self._collect_answers(list(view.members), call, view.majority)
+        )
         if len(answers) < view.majority:
             return None
         return _Promises(
@@ -120,35 +122,35 @@
             [read_accepted_state(answer.accepted[0]) for answer in answers.values()],
         )
 
-    async def _ask(
+    async def _collect_answers(
         self,
         peers: list[str],
         call: kinds.StoreCall,
-        enough: int,
+        quorum: int,
     ) -> dict[str, kinds.StoreAnswer]:
-        """The agreeing answers, as soon as they are enough or cannot be."""
+        """Returns the agreeing answers, once they are enough or can no longer be."""
         loop = asyncio.get_running_loop()
         tasks = {loop.create_task(self._peers.call(peer, call)): peer for peer in peers}
         agreed: dict[str, kinds.StoreAnswer] = {}
         pending = set(tasks)
         end = self._clock() + _PHASE_TIMEOUT_SECONDS
-        while pending and len(agreed) < enough and len(agreed) + len(pending) >= enough:
-            left = end - self._clock()
-            if left <= 0:
+        while pending and len(agreed) < quorum and len(agreed) + len(pending) >= quorum:
+            remaining = end - self._clock()
+            if remaining <= 0:
                 break
             done, pending = await asyncio.wait(
-                pending, timeout=left, return_when=asyncio.FIRST_COMPLETED
+                pending, timeout=remaining, return_when=asyncio.FIRST_COMPLETED
             )
-            # In the order of peers, so that a test repeats itself.
+            # Processed in the order of peers, so that simulated runs are reproducible.
             for task, peer in tasks.items():
                 if task in done:
-                    self._sort(peer, task, agreed)
-        # The others still get to hold it: theirs is a copy more.
+                    self._process_answer(peer, task, agreed)
+        # The remaining calls go on: each that arrives makes one more copy.
         for task in pending:
-            task.add_done_callback(_forget)
+            task.add_done_callback(_retrieve_exception)
         return agreed
 
-    def _sort(
+    def _process_answer(
         self,
         peer: str,
         task: asyncio.Task[kinds.StoreAnswer],
@@ -166,16 +168,16 @@
 
 
 def _drop_lost_promises(answers: dict[str, kinds.StoreAnswer]) -> dict[str, kinds.StoreAnswer]:
-    """Without the promises that were lost with a disk, as another one shows.
+    """Drops the promises that were lost with a disk, according to the other answers.
 
-    Whoever lost its disk has read some member of every majority: either that
-    one promised first, and the reader knows the ballot, or its answer names
-    the reader's later life.
+    A store that lost its disk has read from a member of every majority. Either
+    that member promised before, and the store knows the ballot, or the member's
+    answer names the later generation of the store.
     """
     known: dict[str, str] = {}
     for answer in answers.values():
-        for member, life in answer.lives.items():
-            known[member] = later_generation(life, known.get(member, NO_GENERATION))
+        for member, generation in answer.lives.items():
+            known[member] = later_generation(generation, known.get(member, NO_GENERATION))
     return {
         peer: answer
         for peer, answer in answers.items()
@@ -183,6 +185,6 @@
     }
 
 
-def _forget(task: asyncio.Task[kinds.StoreAnswer]) -> None:
+def _retrieve_exception(task: asyncio.Task[kinds.StoreAnswer]) -> None:
     if not task.cancelled():
         task.exception()
--- a/marblefold/register_store/reconciliation.py
+++ b/marblefold/register_store/reconciliation.py
@@ -1,4 +1,4 @@
-"""Finds out by ballot what the registers hold, and takes in what is chosen."""
+"""Determines by ballot which states are chosen, and distributes them."""
 
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.anti_entropy import AntiEntropy
@@ -9,11 +9,11 @@
 
 __all__ = ["Reconciler"]
 
-_SETTLE_SECONDS = 1.5
+_CHANGE_TIMEOUT_SECONDS = 1.5
 
 
 class Reconciler:
-    """Proposes on a store's own account, and spreads what comes of it."""
+    """Proposes on behalf of the store itself, and sends the chosen states to the members."""
 
     def __init__(
         self,
@@ -28,28 +28,28 @@
         self._anti_entropy = anti_entropy
 
     async def reconcile(self, register: str) -> None:
-        """A ballot that changes nothing: what the register holds, a majority holds."""
+        """Runs a ballot that changes nothing, so that a majority accepts the newest state."""
         await self.propose(register, keep)
 
     async def reconcile_all(self) -> None:
-        """Settles every register that is known here; MeshError if one cannot be."""
+        """Reconciles every register known here; raises MeshError if one fails."""
         for register in list(self._acceptor.accepted_states):
             await self.reconcile(register)
 
     async def propose(self, register: str, change: Change) -> AcceptedState:
-        """What holds after the change, taken in here and sent to the members.
+        """Applies the change, then stores the chosen state here and sends it to the members.
 
         Raises a MeshError if no majority answers in time.
         """
-        holding = await self._proposer.change(register, change, _SETTLE_SECONDS)
-        self.learn_chosen(register, holding)
-        # After a start of all, each register is settled by one and not by every one.
-        if holding.value and self._acceptor.view:
+        state = await self._proposer.change(register, change, _CHANGE_TIMEOUT_SECONDS)
+        self.learn_chosen(register, state)
+        # When all members start at once, one of them reconciles a register for all.
+        if state.value and self._acceptor.view:
             for member in self._acceptor.view.members:
                 if member != self._acceptor.address:
-                    self._peers.notify_chosen(member, register, holding)
-        return holding
+                    self._peers.notify_chosen(member, register, state)
+        return state
 
-    def learn_chosen(self, register: str, holding: AcceptedState) -> None:
-        """Takes in a holding that is known to be chosen."""
-        self._anti_entropy.learn_chosen(register, holding)
+    def learn_chosen(self, register: str, state: AcceptedState) -> None:
+        """Stores a state that is known to be chosen."""
+        self._anti_entropy.learn_chosen(register, state)
--- a/marblefold/register_store/replica.py
+++ b/marblefold/register_store/replica.py
@@ -1,4 +1,4 @@
-"""What a store does of its own accord: reads, settles, compares, changes members."""
+"""One replica of the store: its background work, and its answers to the other stores."""
 
 import asyncio
 import contextlib
@@ -22,13 +22,13 @@
 
 __all__ = ["Replica"]
 
-_ROUND_SECONDS = 0.3
-# Newer views and lives may be learned several times over before a reading counts.
-_READING_TRIES = 4
+_ROUND_INTERVAL_SECONDS = 0.3
+# Each attempt may learn of a newer view or generation, which invalidates its answers.
+_MAX_READ_ATTEMPTS = 4
 
 
 class Replica:
-    """The rounds of one store, and its answers to the other stores."""
+    """Recovers, reconciles and compares the registers, and changes the members, in rounds."""
 
     def __init__(
         self,
@@ -48,43 +48,48 @@
         self._anti_entropy = AntiEntropy(acceptor, chosen, self._ask_all, timing)
         self._reconciler = Reconciler(acceptor, proposer, peers, self._anti_entropy)
         self._members = MemberChanges(acceptor, peers, self._reconciler, machine_losses, timing)
-        self._unsettled: set[str] | None = None
-        # Accepted here, but not known to be chosen, as of the round before.
-        self._unsure: dict[str, Ballot] = {}
+        self._unreconciled: set[str] | None = None
+        # Ballots accepted here but not known to be chosen, as of the previous round.
+        self._unconfirmed: dict[str, Ballot] = {}
 
     async def run(self) -> None:
-        """Acts and compares for ever, each by itself.
+        """Runs recovery with member changes, and anti-entropy, in two independent loops.
 
-        Neither waits for the other: a store that finds no majority in an old
-        view learns the newer one by comparing, and stores out of reach, which
-        comparing waits for, delay no change of members.
+        Neither waits for the other: a store that finds no majority in an old view
+        learns the newer one by anti-entropy, and unreachable stores, for which
+        anti-entropy waits, delay no change of members.
         """
         async with asyncio.TaskGroup() as group:
             group.create_task(self._repeat(self._act))
             group.create_task(self._repeat(self._compare))
 
     async def _repeat(self, step: Callable[[], Awaitable[None]]) -> None:
-        """Makes rounds of the step for ever; one that fails is made again."""
+        """Runs the step in rounds without end; a failed round is logged and repeated."""
         while True:
             try:
                 await step()
             except MeshError as error:
-                log.info("round", step=error.step, peer=error.peer, reason=error.reason)
-            await self._timing.sleep(_ROUND_SECONDS * self._timing.uniform(0.8, 1.2))
+                log.info(
+                    "background round failed; retrying",
+                    step=error.step,
+                    peer=error.peer,
+                    reason=error.reason,
+                )
+            await self._timing.sleep(_ROUND_INTERVAL_SECONDS * self._timing.uniform(0.8, 1.2))
 
     async def hand_over(self, seconds: float) -> None:
-        """Before a planned end: gives our place to a store that waits, if one does.
+        """Replaces this store by one that waits to join, if any, before a planned stop.
 
-        seconds: no try begins later than that.
+        seconds: the time after which no further attempt starts.
         """
         await self._members.hand_over(seconds)
 
-    def learn_chosen(self, register: str, holding: AcceptedState) -> None:
-        """Takes in a holding that is known to be chosen."""
-        self._reconciler.learn_chosen(register, holding)
+    def learn_chosen(self, register: str, state: AcceptedState) -> None:
+        """Stores a state that is known to be chosen."""
+        self._reconciler.learn_chosen(register, state)
 
     def answer(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
-        """The answer to another store's call of any kind."""
+        """Returns the answer to another store's call of any kind."""
         self._peers.record_contact(call.sender)
         answer = answer_call(self._acceptor, call)
         if answer is not None:
@@ -108,28 +113,28 @@
         if acceptor.voting_status is Standing.VOTING:
             if acceptor.has_pending_view:
                 await self._reconciler.reconcile(VIEW_REGISTER)
-            self._note_unsure()
-            await self._settle_after_start()
+            self._note_unconfirmed()
+            await self._reconcile_after_start()
             await self._members.start_next_change()
 
     async def _read(self) -> None:
-        """Reads all registers from enough others, then votes."""
-        for _ in range(_READING_TRIES):
+        """Reads all registers from a read quorum, then starts to vote."""
+        for _ in range(_MAX_READ_ATTEMPTS):
             acceptor = self._acceptor
-            asked = (acceptor.view, acceptor.generation)
+            sent_with = (acceptor.view, acceptor.generation)
             kind = CallKind.READ if acceptor.is_member else CallKind.JOIN
             answers = await self._ask_all(
                 self._known_stores(), kinds.StoreCall(kind=kind, view=acceptor.pack_view())
             )
-            self._learn(answers)
-            if (acceptor.view, acceptor.generation) != asked:
-                # Asked under another view or life than ours is now: ask again.
+            self._learn_from_answers(answers)
+            if (acceptor.view, acceptor.generation) != sent_with:
+                # The view or generation changed since the calls were sent: ask again.
                 continue
             self._finish_reading(kind, answers)
             return
 
-    def _learn(self, answers: dict[str, kinds.StoreAnswer]) -> None:
-        """Takes in newer views, and a later life than ours that was noted for us."""
+    def _learn_from_answers(self, answers: dict[str, kinds.StoreAnswer]) -> None:
+        """Adopts newer views, and starts a later generation if peers recorded a later one."""
         acceptor = self._acceptor
         for answer in answers.values():
             if answer.view:
@@ -148,52 +153,62 @@
             view, acceptor.previous_view, acceptor.address, agreed
         ):
             return
-        counted = {*view.members, *(acceptor.previous_view or view).members}
-        acceptor.finish_reading([agreed[peer] for peer in agreed if peer in counted])
-        self._unsettled = None
-        log.info("reading done", registers=len(acceptor.accepted_states), view=view.number)
+        sources = {*view.members, *(acceptor.previous_view or view).members}
+        acceptor.finish_reading([agreed[peer] for peer in agreed if peer in sources])
+        self._unreconciled = None
+        log.info(
+            "recovery finished; voting starts",
+            registers=len(acceptor.accepted_states),
+            view=view.number,
+        )
 
     def _known_stores(self) -> list[str]:
-        """The members known, of the view before too, and the seeds.
+        """Returns the members of the present and the previous view, and the seeds.
 
-        All of an old view may be gone, and who just left may still be read.
+        All members of an old view may be gone, and one that just left can still be
+        read from.
         """
         views = [view for view in (self._acceptor.view, self._acceptor.previous_view) if view]
         members = [peer for view in views for peer in view.members]
         known = dict.fromkeys([*members, *self._seeds])
         return [peer for peer in known if peer != self._acceptor.address]
 
-    async def _settle_after_start(self) -> None:
-        """After a start, finds out which of the registers held here are chosen."""
-        if self._unsettled is None:
-            self._unsettled = set(self._acceptor.accepted_states)
-        if self._unsettled:
-            # Whatever a peer knows to be chosen needs no ballot here.
+    async def _reconcile_after_start(self) -> None:
+        """After a start, determines which of the states accepted here are chosen."""
+        if self._unreconciled is None:
+            self._unreconciled = set(self._acceptor.accepted_states)
+        if self._unreconciled:
+            # A state that a peer knows to be chosen needs no ballot here.
             with contextlib.suppress(MeshError):
                 await self._compare()
-        # Each member in an order of its own, or all would try for the same one.
-        for register in sorted(self._unsettled, key=lambda _register: self._timing.uniform(0, 1)):
+        # In random order, so that the members do not all propose for the same register.
+        for register in sorted(
+            self._unreconciled, key=lambda _register: self._timing.uniform(0, 1)
+        ):
             if not self._anti_entropy.is_known_chosen(register):
                 await self._reconciler.reconcile(register)
-            self._unsettled.discard(register)
+            self._unreconciled.discard(register)
 
-    def _note_unsure(self) -> None:
-        """What was accepted a round ago and is not yet known to be chosen may well be.
+    def _note_unconfirmed(self) -> None:
+        """Marks states accepted a round ago and still not known to be chosen for reconciling.
 
-        Its proposer sends that once; if it was lost just then, nobody else knows.
+        They may be chosen: the proposer announces that only once, and if it failed
+        just then, no other store knows.
         """
-        unsure = {
-            register: holding.ballot
-            for register, holding in self._acceptor.accepted_states.items()
+        unconfirmed = {
+            register: state.ballot
+            for register, state in self._acceptor.accepted_states.items()
             if register != VIEW_REGISTER
-            and holding.ballot > self._chosen.holdings.get(register, NO_ACCEPTED_STATE).ballot
+            and state.ballot > self._chosen.holdings.get(register, NO_ACCEPTED_STATE).ballot
         }
-        if self._unsettled is not None:
-            self._unsettled |= {register for register, _ in unsure.items() & self._unsure.items()}
-        self._unsure = unsure
+        if self._unreconciled is not None:
+            self._unreconciled |= {
+                register for register, _ in unconfirmed.items() & self._unconfirmed.items()
+            }
+        self._unconfirmed = unconfirmed
 
     async def _compare(self) -> None:
-        """Compares with the other stores; whoever is behind takes what is newer."""
+        """Runs a round of anti-entropy with the other stores."""
         if self._acceptor.view is not None:
             await self._anti_entropy.run_round(self._known_stores())
 
@@ -202,7 +217,7 @@
         peers: list[str],
         call: kinds.StoreCall,
     ) -> dict[str, kinds.StoreAnswer]:
-        """The answers by peer, of those that answer."""
+        """Calls all peers named; returns the answers by peer, of those that answered."""
         results = await asyncio.gather(
             *(
                 self._peers.call(peer, kinds.StoreCall.FromString(call.SerializeToString()))
--- a/marblefold/register_store/state_recovery.py
+++ b/marblefold/register_store/state_recovery.py
@@ -1,4 +1,4 @@
-"""What a store takes over from the members it reads: pure functions."""
+"""Pure functions that merge the states which a recovering store reads from others."""
 
 from collections.abc import Iterable
 
@@ -11,12 +11,13 @@
 
 
 def is_read_quorum(view: View, previous: View | None, reader: str, sources: Iterable[str]) -> bool:
-    """Whether a member may vote after it has read these stores under the view.
+    """Whether a member may vote after it has read from these stores under the view.
 
-    Either it met every majority of the view, whoever lost its disk; or it is
-    new in the view, has never voted in it, and met every majority of the view
-    before, whose members vote there no more.  The member that it replaces
-    counts among these: what only that one held is not lost with it.
+    Either the stores overlap with every majority of the view, whichever member
+    lost its disk; or the reader is new in the view, has never voted in it, and
+    the stores overlap with every majority of the previous view, whose members
+    no longer vote there. The member that it replaces counts among these, so that
+    state which only that one accepted is not lost.
     """
     sources = set(sources) - {reader}
     if len(sources.intersection(view.members)) >= view.read_quorum:
@@ -29,26 +30,26 @@
 def merge_accepted_states(
     own: dict[str, AcceptedState], answers: Iterable[kinds.StoreAnswer]
 ) -> None:
-    """Keeps the newest value of each register and the highest promise."""
+    """Keeps the newest accepted value and the highest promise of each register."""
     for answer in answers:
         for message in answer.accepted:
             other = read_accepted_state(message)
-            held = own.get(message.register, NO_ACCEPTED_STATE)
-            newer = other if other.ballot > held.ballot else held
-            own[message.register] = newer._replace(promised=max(held.promised, other.promised))
+            current = own.get(message.register, NO_ACCEPTED_STATE)
+            newer = other if other.ballot > current.ballot else current
+            own[message.register] = newer._replace(promised=max(current.promised, other.promised))
 
 
 def merge_generations(own: dict[str, str], answers: Iterable[kinds.StoreAnswer]) -> None:
-    """Keeps the latest life of each store."""
+    """Keeps the latest generation of each store."""
     for answer in answers:
-        for member, life in answer.lives.items():
-            own[member] = later_generation(life, own.get(member, NO_GENERATION))
+        for member, generation in answer.lives.items():
+            own[member] = later_generation(generation, own.get(member, NO_GENERATION))
 
 
-def find_unproven(holdings: dict[str, AcceptedState]) -> set[str]:
-    """The registers whose value was copied although a higher ballot was promised.
+def find_unproven(states: dict[str, AcceptedState]) -> set[str]:
+    """Returns the registers whose value was copied although a higher ballot was promised.
 
-    Whoever got that promise may not have seen the value: such a copy is no
-    proof that a majority accepted the value under its ballot.
+    The proposer that received the promise may not have seen the value, so such a
+    copy does not prove that a majority accepted the value under its ballot.
     """
-    return {register for register, holding in holdings.items() if holding.promised > holding.ballot}
+    return {register for register, state in states.items() if state.promised > state.ballot}
