--- a/tests/simulated_core.py
+++ b/tests/simulated_core.py
@@ -1,7 +1,7 @@
-"""Whole stores, rounds and all, on a simulated clock, network and disks.
+"""Complete stores on a simulated clock, network and disks.
 
-The acceptor, proposer, rounds and member changes are the real ones; messages
-are delayed, lost, cut or delivered long after their sender is gone.
+The acceptor, proposer, background rounds and member changes are the real ones.
+Messages are delayed, lost, cut off, or delivered long after their sender stopped.
 """
 
 import asyncio
@@ -18,11 +18,11 @@
 from marblefold.register_store.store_timing import StoreTiming
 from tests.simulated_clock import _Selector
 
-START = 1000.0
+START_SECONDS = 1000.0
 
 
 class PowerLost(BaseException):
-    """The machine's power went in the midst of a write."""
+    """The machine lost power during a write."""
 
 
 def _is_power_lost(error):
@@ -32,7 +32,7 @@
 
 
 class Disk:
-    """Records that last; power can fail at a write, which is then kept or lost."""
+    """A durable disk; power can fail at a write, which is then kept or lost."""
 
     def __init__(self):
         self.records = {}
@@ -53,8 +53,8 @@
         self.records[name] = data
 
 
-class Wire:
-    """Stands for the connections of one run of a store."""
+class SimulatedConnection:
+    """Simulates the connection from one run of a store to a peer."""
 
     def __init__(self, machine, run, peer):
         self.machine, self.run, self.peer = machine, run, peer
@@ -63,7 +63,7 @@
         core, machine = self.machine.core, self.machine
         answer = core.loop.create_future()
         if not core.is_blocked(machine.address, self.peer, unpack_message(payload).kind):
-            core.carry(machine.address, self.peer, lambda: self._serve(payload, answer))
+            core.deliver(machine.address, self.peer, lambda: self._serve(payload, answer))
         try:
             async with asyncio.timeout(seconds):
                 return await answer
@@ -72,8 +72,10 @@
 
     def send(self, _kind, _number, payload):
         target = self.machine.core.machines[self.peer]
-        self.machine.core.carry(
-            self.machine.address, self.peer, lambda: target.take_tell(unpack_message(payload))
+        self.machine.core.deliver(
+            self.machine.address,
+            self.peer,
+            lambda: target.receive_notification(unpack_message(payload)),
         )
 
     def _serve(self, payload, answer):
@@ -83,32 +85,36 @@
             return
         data = pack_message(reply)
 
-        def give():
+        def deliver_answer():
             if self.machine.run == self.run and not answer.done():
                 answer.set_result(data)
 
-        core.carry(self.peer, self.machine.address, give, may_be_late=False)
+        core.deliver(self.peer, self.machine.address, deliver_answer, may_be_late=False)
 
 
-class Book:
-    """Stands for the book of outgoing connections."""
+class SimulatedPeerBook:
+    """Simulates the peer book, which holds the outgoing connections."""
 
     def __init__(self, machine):
         self.machine, self.run = machine, machine.run
 
     def find(self, peer):
-        return Wire(self.machine, self.run, peer) if peer in self.machine.core.machines else None
+        return (
+            SimulatedConnection(self.machine, self.run, peer)
+            if peer in self.machine.core.machines
+            else None
+        )
 
     async def reach(self, peer):
         target = self.machine.core.machines.get(peer)
         if target is None or not target.is_up:
             await asyncio.sleep(0.01)
             raise MeshError("connect", "refused", peer)
-        return Wire(self.machine, self.run, peer)
+        return SimulatedConnection(self.machine, self.run, peer)
 
 
 class Machine:
-    """One machine that keeps a store."""
+    """One machine that runs a store."""
 
     def __init__(self, core, address):
         self.core, self.address = core, address
@@ -123,11 +129,11 @@
         self.is_up = True
         core, clock = self.core, self.core.loop.time
         self.acceptor = Acceptor(self.address, self.disk, self.seeds, is_first)
-        peers = StorePeers(self.acceptor, Book(self), clock)
+        peers = StorePeers(self.acceptor, SimulatedPeerBook(self), clock)
         self.proposer = Proposer(
             peers, f"{self.address}/{self.acceptor.generation}/{self.run}", clock=clock
         )
-        timing = StoreTiming(clock, asyncio.sleep, core.chance.uniform)
+        timing = StoreTiming(clock, asyncio.sleep, core.random.uniform)
         self.replica = Replica(
             self.acceptor, peers, self.proposer, ChosenRegisters(), self.seeds, core.losses, timing
         )
@@ -135,7 +141,7 @@
         self._spawn(self.replica.run())
 
     def stop(self):
-        """Power or process gone; the disk stays."""
+        """Ends the process, as a power loss or a kill does; the disk stays."""
         self.is_up = False
         self.run += 1
         for task in self.tasks:
@@ -147,35 +153,35 @@
         self.disk = Disk()
 
     async def leave(self, seconds=4.0):
-        """SIGTERM: hands over and ends; the disk is gone for good."""
+        """Hands over and ends, as on SIGTERM, and drops the disk."""
         await self._spawn(self.replica.hand_over(seconds))
         self.wipe()
 
     async def change(self, register, change, seconds=1.3):
-        """An order as the program serves it: proposed, taken in, told to the others."""
+        """Serves an order as the program does: proposes, learns the result, notifies the others."""
         return await self._spawn(self._change(register, change, seconds))
 
     async def _change(self, register, change, seconds):
-        holding = await self.proposer.change(register, change, seconds)
-        self.replica.learn_chosen(register, holding)
+        state = await self.proposer.change(register, change, seconds)
+        self.replica.learn_chosen(register, state)
         for peer in self.acceptor.view.members:
             if peer != self.address:
-                self.peers.notify_chosen(peer, register, holding)
-        return holding
+                self.peers.notify_chosen(peer, register, state)
+        return state
 
     def serve(self, call):
-        return self._guard(lambda: self.replica.answer(call))
+        return self._run_while_up(lambda: self.replica.answer(call))
 
-    def take_tell(self, message):
-        self._guard(
+    def receive_notification(self, message):
+        self._run_while_up(
             lambda: self.replica.learn_chosen(message.register, read_accepted_state(message))
         )
 
-    def _guard(self, act):
+    def _run_while_up(self, action):
         if not self.is_up:
             return None
         try:
-            return act()
+            return action()
         except PowerLost:
             self.stop()
             return None
@@ -195,7 +201,7 @@
 
 class _Loop(asyncio.SelectorEventLoop):
     def __init__(self):
-        self.clock = [START]
+        self.clock = [START_SECONDS]
         super().__init__(_Selector(self.clock))
 
     def time(self):
@@ -203,19 +209,19 @@
 
 
 class Core:
-    """All machines that may keep a store, and the network between them."""
+    """All machines that may run a store, and the network between them."""
 
     def __init__(self, seed, losses, first_machines):
         self.loop = _Loop()
-        self.chance = random.Random(seed)
-        # The proposer pauses by the common source of chance.
+        self.random = random.Random(seed)
+        # The proposer draws its retry delays from the global random generator.
         random.seed(seed)
         self.losses = losses
         self.seeds = [f"m{index}:1" for index in range(3)]
         self.machines = {}
         self.cuts = set()
         self.late_share = self.loss_share = self.slow_share = 0.0
-        # Tests may lose calls of one kind; of sender, receiver and kind.
+        # Tests may replace it to drop calls by sender, receiver and kind.
         self.is_blocked = lambda _sender, _receiver, _kind: False
         for index in range(first_machines):
             self.add(f"m{index}:1").start(is_first=True)
@@ -224,18 +230,18 @@
         self.machines[address] = Machine(self, address)
         return self.machines[address]
 
-    def carry(self, sender, receiver, act, may_be_late=True):
-        """Delivers after a while, or never across a cut, or seconds late."""
+    def deliver(self, sender, receiver, action, may_be_late=True):
+        """Delivers after a delay, seconds late, or, across a cut or by chance, never."""
         if (sender, receiver) in self.cuts:
             return
-        if may_be_late and self.chance.random() < self.loss_share:
+        if may_be_late and self.random.random() < self.loss_share:
             return
-        delay = self.chance.uniform(0.0005, 0.015)
-        if self.chance.random() < self.slow_share:
-            delay = self.chance.uniform(0.015, 0.3)
-        if may_be_late and self.chance.random() < self.late_share:
-            delay = self.chance.uniform(0.5, 2.5)
-        self.loop.call_later(delay, act)
+        delay = self.random.uniform(0.0005, 0.015)
+        if self.random.random() < self.slow_share:
+            delay = self.random.uniform(0.015, 0.3)
+        if may_be_late and self.random.random() < self.late_share:
+            delay = self.random.uniform(0.5, 2.5)
+        self.loop.call_later(delay, action)
 
     def cut(self, address, one_way=False):
         for other in self.machines:
@@ -247,12 +253,16 @@
         self.cuts = {pair for pair in self.cuts if address not in pair}
 
     def view(self):
-        """The newest view that any running store knows."""
-        views = [m.acceptor.view for m in self.machines.values() if m.is_up and m.acceptor.view]
+        """Returns the newest view that any running store knows."""
+        views = [
+            machine.acceptor.view
+            for machine in self.machines.values()
+            if machine.is_up and machine.acceptor.view
+        ]
         return max(views, key=lambda view: view.number)
 
     def voters(self):
-        """The members of the newest view that vote in it."""
+        """Returns the members of the newest view that vote in it."""
         view = self.view()
         return [
             peer
--- a/tests/simulated_replicas.py
+++ b/tests/simulated_replicas.py
@@ -1,7 +1,7 @@
-"""Whole stores in memory: the real acceptor, proposer, upkeep and comparing.
+"""Complete stores in memory: the real acceptor, proposer, replica and anti-entropy.
 
-Calls reach a peer at once or not at all; rounds of upkeep are run by the test.
-Every byte that goes between stores, and every call by its kind, is counted.
+Calls reach a peer at once or not at all, and the test runs the background rounds.
+Counts the bytes sent between stores, and the calls by kind.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
 
 
 class Core:
-    """The machines of the core, and the link between them."""
+    """The store machines, and the network between them."""
 
     def __init__(self, size, make_records=MemoryRecords):
         self.addresses = [f"10.0.0.{number}:7103" for number in range(1, size + 1)]
@@ -33,27 +33,27 @@
         }
 
     async def change(self, by, register, change):
-        """A change as an operator has it made: acknowledged, or a MeshError."""
+        """Makes a change as an operator's order does; raises MeshError if not acknowledged."""
         member = self.members[by]
-        holding = await member.proposer.change(register, change, 1.0)
-        member.replica.learn_chosen(register, holding)
+        state = await member.proposer.change(register, change, 1.0)
+        member.replica.learn_chosen(register, state)
         for peer in self.addresses:
-            member.notify_chosen(peer, register, holding)
+            member.notify_chosen(peer, register, state)
         await asyncio.sleep(0)
-        return holding
+        return state
 
     async def run_round(self, *addresses):
-        """One round of upkeep, of those named or of all that are here."""
+        """Runs one background round, on the machines named or on all reachable ones."""
         for address in addresses or self.addresses:
             if address not in self.away:
                 replica = self.members[address].replica
                 for step in (replica._act, replica._compare):
-                    # As the loops of the store do: one that fails is made again.
+                    # A failed step is run again in the next round, as in the store's own loops.
                     with contextlib.suppress(MeshError):
                         await step()
 
     def restart(self, address, records=None, is_first=False):
-        """The process starts again, on its disk or on another one."""
+        """Restarts the process, on its disk or on the given one."""
         old = self.members[address]
         self.members[address] = Member(self, address, records or old.records, is_first)
         return self.members[address]
@@ -64,7 +64,7 @@
 
 
 class Member:
-    """One store, and the calls it makes."""
+    """One store, and the calls that it makes and answers."""
 
     def __init__(self, core, address, records, is_first):
         self.core, self.address, self.records = core, address, records
@@ -106,10 +106,10 @@
         self.core.largest = max(self.core.largest, len(answer))
         return unpack_message(answer)
 
-    def notify_chosen(self, peer, register, holding):
+    def notify_chosen(self, peer, register, state):
         if peer == self.address or {peer, self.address} & self.core.away:
             return
-        payload = pack_message(pack_accepted_state(register, holding))
+        payload = pack_message(pack_accepted_state(register, state))
         self.core.bytes += len(payload)
         message = unpack_message(payload)
         assert isinstance(message, kinds.Accepted)
--- a/tests/simulated_stores.py
+++ b/tests/simulated_stores.py
@@ -1,4 +1,4 @@
-"""Stores on simulated disks and a network that holds every message."""
+"""Stores on in-memory disks, and a network that delivers only on the test's command."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 class MemoryRecords:
-    """A disk that keeps what was written, until it is wiped."""
+    """An in-memory disk."""
 
     def __init__(self):
         self.records = {}
@@ -25,7 +25,7 @@
 
 
 class Network:
-    """Holds every message until the test delivers or loses it."""
+    """Queues every message until the test delivers or drops it."""
 
     def __init__(self):
         self.waiting = []
@@ -37,7 +37,7 @@
 
 
 class Store:
-    """One store of the simulated system."""
+    """One store: its disk, acceptor and proposer."""
 
     def __init__(self, system, address, is_first):
         self.system = system
@@ -79,5 +79,5 @@
 
         deliver.peer = peer
         answer = await self.system.network.send(deliver)
-        # The way back may be lost too, after the peer has acted.
+        # The answer may be lost too, after the peer has acted.
         return await self.system.network.send(lambda: answer)
--- a/tests/test_one_number_one_content.py
+++ b/tests/test_one_number_one_content.py
@@ -1,8 +1,8 @@
-"""One number never has two contents that were both confirmed.
+"""Two contents are never both confirmed under one number.
 
-The real acceptors, proposers and orders under races, cuts, losses of power,
-wipes and swaps.  The plain model: a content confirmed under a number stays
-the only one ever confirmed under it, and is never refused from then on.
+Runs the real acceptors, proposers and orders under races, lost messages, power and
+disk losses and member changes. In the reference model, a content confirmed under a
+number stays the only one confirmed under it, and is never refused afterwards.
 """
 
 from hypothesis import HealthCheck, settings
@@ -28,7 +28,7 @@
 
 
 class NumberMachine(StoreMachine):
-    """Operators that send few numbers with few contents, again and again."""
+    """Operators that repeatedly send a few contents under a few numbers."""
 
     def __init__(self):
         super().__init__()
@@ -43,23 +43,23 @@
         number = max(1, self.next_number + step)
         self.next_number = max(self.next_number, number)
         call = make_call(number, content)
-        # Known at its sending, so never refused afterwards.
+        # Confirmed before it is sent again, so it must not be refused.
         is_known = self.confirmed.get(number) == content
         task = self.loop.create_task(store.proposer.change(REGISTER, read_order(call).change, 0.0))
         self.tasks.append((task, (call, is_known, self.acknowledged), store.acceptor.generation))
-        self.turn()
+        self.run_loop_turns()
 
     @rule(address=st.sampled_from(ALL))
     def propose(self, address):
         self.order(address, 1, CONTENTS[self.next_number % len(CONTENTS)])
 
-    def judge(self, task, sent):
+    def check_result(self, task, sent):
         call, is_known, floor = sent
-        super().judge(task, floor)
+        super().check_result(task, floor)
         if task.exception() is not None:
             return
-        holding = task.result()
-        outcome = read_order(call).judge(Held(holding.number, holding.value))
+        state = task.result()
+        outcome = read_order(call).judge(Held(state.number, state.value))
         if outcome is Outcome.HELD:
             assert self.confirmed.setdefault(call.number, call.value) == call.value
             assert (call.number, call.value) not in self.refused
@@ -68,7 +68,7 @@
             assert self.confirmed.get(call.number) != call.value
             self.refused.add((call.number, call.value))
         if outcome is Outcome.OVERTAKEN:
-            assert holding.number > call.number
+            assert state.number > call.number
 
 
 NumberMachine.TestCase.settings = settings(
@@ -80,12 +80,12 @@
 TestOneNumber = NumberMachine.TestCase
 
 
-def test_a_content_left_at_a_minority_gives_way_and_is_told_so():
+def test_a_content_accepted_by_a_minority_is_replaced_and_reported_as_a_conflict():
     stores = OrderedStores(lambda: 0.0)
     first = stores.propose("a:1", make_call(4, CONTENTS[0]))
     stores.deliver_until(lambda: held_of(stores, "a:1", REGISTER).value == CONTENTS[0])
     stores.lose_all()
-    # Nothing but a's own disk holds it: b and c choose the other content.
+    # Only the disk of a holds it: b and c choose the other content.
     assert stores.do("b:1", make_call(4, CONTENTS[1]), but="a:1") is Outcome.HELD
     stores.deliver_all("", stores.turn)
     assert first.result() is Outcome.CONFLICT
@@ -94,7 +94,7 @@
     stores.close()
 
 
-def test_a_content_whose_answer_was_lost_is_confirmed_wherever_it_is_sent_again():
+def test_a_content_whose_answer_was_lost_is_confirmed_by_any_store_on_retry():
     stores = OrderedStores(lambda: 0.0)
     first = stores.propose("a:1", make_call(4, CONTENTS[0]))
     stores.deliver_until(
@@ -108,7 +108,7 @@
     for address in SEEDS:
         assert stores.do(address, make_call(4, CONTENTS[0])) is Outcome.HELD
     assert stores.do("b:1", make_call(9, CONTENTS[1])) is Outcome.HELD
-    # Overtaken by now, but taken: acknowledged, and nothing goes back.
+    # Overtaken by a newer number: still acknowledged, and the newer content stays.
     for content in CONTENTS:
         assert stores.do("a:1", make_call(4, content)) is Outcome.OVERTAKEN
     assert stores.read("a:1", REGISTER)[:2] == (9, CONTENTS[1])
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -1,8 +1,8 @@
-"""Stores under every mix of races, cuts, losses of power, wipes and swaps.
+"""Model-based safety test of stores under races, lost messages, power and disk losses.
 
-The plain model is one number: the highest that was acknowledged.  Whatever is
-delivered, lost or wiped, a later acknowledged word is never older, and two
-words of one number are never different.
+Members are also added and replaced. The reference model is one number, the highest
+that was acknowledged: a value acknowledged later never has a lower number, and two
+values with one number are never different.
 """
 
 import asyncio
@@ -29,10 +29,11 @@
 
     def __init__(self):
         super().__init__()
-        # A run must repeat itself: lives order ballots of one store, so they are
-        # counted; and no phase of a ballot may end by the real time that it took.
-        lives = itertools.count()
-        counted = SimpleNamespace(urandom=lambda size: next(lives).to_bytes(size, "big"))
+        # Runs must be reproducible: generations are part of proposer names, which
+        # order ballots, so their random part is counted; and no phase of a ballot
+        # may end by the real time that it took.
+        nonces = itertools.count()
+        counted = SimpleNamespace(urandom=lambda size: next(nonces).to_bytes(size, "big"))
         self.patches = contextlib.ExitStack()
         self.patches.enter_context(mock.patch("marblefold.register_store.generations.os", counted))
         self.patches.enter_context(
@@ -47,24 +48,24 @@
         self.tasks = []
         self.wiped = None
 
-    def turn(self):
+    def run_loop_turns(self):
         for _ in range(6):
             self.loop.run_until_complete(asyncio.sleep(0))
         for entry in list(self.tasks):
-            task, floor, life = entry
+            task, floor, _generation = entry
             if task.done():
                 self.tasks.remove(entry)
-                self.judge(task, floor)
+                self.check_result(task, floor)
 
-    def judge(self, task, floor):
+    def check_result(self, task, floor):
         if task.exception() is not None:
             assert isinstance(task.exception(), MeshError)
             return
-        holding = task.result()
-        assert holding.number >= floor, "an acknowledged word was lost"
-        known = self.values.setdefault(holding.number, holding.value)
-        assert known == holding.value, "the register forked"
-        self.acknowledged = max(self.acknowledged, holding.number)
+        state = task.result()
+        assert state.number >= floor, "an acknowledged value was lost"
+        first = self.values.setdefault(state.number, state.value)
+        assert first == state.value, "two values were acknowledged under one number"
+        self.acknowledged = max(self.acknowledged, state.number)
 
     @rule(address=st.sampled_from(ALL))
     def propose(self, address):
@@ -75,11 +76,11 @@
         change = hold_configuration(self.next_number, f"{address} {self.next_number}".encode())
         task = self.loop.create_task(store.proposer.change("configuration", change, 0.0))
         self.tasks.append((task, self.acknowledged, store.acceptor.generation))
-        self.turn()
+        self.run_loop_turns()
 
     @rule(address=st.sampled_from(SEEDS), slow=st.sampled_from(SEEDS))
-    def propose_past(self, address, slow):
-        """Proposes, and delivers all but what goes to one slow store."""
+    def propose_around_slow_store(self, address, slow):
+        """Proposes, and delivers all messages except those to one slow store."""
         self.propose(address)
         for _ in range(12):
             for entry in list(self.network.waiting):
@@ -89,10 +90,10 @@
                 self.network.waiting.remove(entry)
                 if not future.done():
                     future.set_result(deliver())
-                self.turn()
+                self.run_loop_turns()
 
     @rule(address=st.sampled_from(SEEDS))
-    @precondition(lambda self: self.all_vote())
+    @precondition(lambda self: self.all_members_vote())
     def wipe_and_read(self, address):
         self.stores[address].wipe()
         self.read(address)
@@ -106,7 +107,7 @@
             deliver, future = self.network.waiting.pop(index % len(self.network.waiting))
             if not future.done():
                 future.set_result(deliver())
-            self.turn()
+            self.run_loop_turns()
 
     @rule(index=st.integers(0, 30))
     def lose(self, index):
@@ -114,16 +115,16 @@
             _deliver, future = self.network.waiting.pop(index % len(self.network.waiting))
             if not future.done():
                 future.set_exception(MeshError("network", "lost"))
-            self.turn()
+            self.run_loop_turns()
 
     @rule(address=st.sampled_from(ALL))
     def lose_power(self, address):
         self.stores[address].lose_power()
 
     @rule(address=st.sampled_from(SEEDS))
-    @precondition(lambda self: self.all_vote())
+    @precondition(lambda self: self.all_members_vote())
     def wipe(self, address):
-        # One lost disk at a time is what the system is to bear.
+        # The system must tolerate one lost disk at a time.
         self.stores[address].wipe()
 
     @rule(address=st.sampled_from(ALL))
@@ -132,51 +133,55 @@
         acceptor = store.acceptor
         if acceptor.voting_status is Standing.VOTING:
             return
-        life = acceptor.generation
+        generation = acceptor.generation
         answers = []
         for peer in ALL:
             if peer == address:
                 continue
             call = kinds.StoreCall(
-                kind="read", view=acceptor.pack_view(), sender=address, sender_life=life
+                kind="read", view=acceptor.pack_view(), sender=address, sender_life=generation
             )
             answer = answer_call(self.stores[peer].acceptor, call)
             if acceptor.view and peer in acceptor.view.members and answer.agreed:
                 answers.append(answer)
             if answer.view:
                 acceptor.learn_view(read_view(answer.view))
-            # A lost disk hears here that an earlier life of its own was noted.
+            # After a disk loss the store learns here of an earlier generation that was recorded.
             acceptor.supersede_generation(answer.lives.get(address, ""))
-        if acceptor.generation != life:
+        if acceptor.generation != generation:
             return
         same = {answer.view for answer in answers} == {acceptor.pack_view()}
         if acceptor.is_member and same and len(answers) >= acceptor.view.read_quorum:
             acceptor.finish_reading(answers)
 
-    @rule(by=st.sampled_from(ALL), gone=st.sampled_from(["", *ALL]), newcomer=st.sampled_from(ALL))
-    @precondition(lambda self: self.all_vote())
-    def swap_or_grow(self, by, gone, newcomer):
+    @rule(
+        by=st.sampled_from(ALL), removed=st.sampled_from(["", *ALL]), newcomer=st.sampled_from(ALL)
+    )
+    @precondition(lambda self: self.all_members_vote())
+    def replace_or_add_member(self, by, removed, newcomer):
         acceptor = self.stores[by].acceptor
         view = acceptor.view
         if not acceptor.is_member or newcomer in view.members:
             return
-        if gone and gone not in view.members:
+        if removed and removed not in view.members:
             return
-        mark = f"{by}{self.next_number}"
+        nonce = f"{by}{self.next_number}"
         following = (
-            view.replace_member(gone, newcomer, mark) if gone else view.add_member(newcomer, mark)
+            view.replace_member(removed, newcomer, nonce)
+            if removed
+            else view.add_member(newcomer, nonce)
         )
 
         async def run():
-            holding = await self.stores[by].proposer.change(
+            state = await self.stores[by].proposer.change(
                 VIEW_REGISTER, change_view(view, following), 0.0
             )
-            acceptor.learn_view(read_view(holding.value))
+            acceptor.learn_view(read_view(state.value))
 
         self.loop.create_task(run()).add_done_callback(lambda task: task.exception())
-        self.turn()
+        self.run_loop_turns()
 
-    def all_vote(self):
+    def all_members_vote(self):
         views = {store.acceptor.pack_view() for store in self.stores.values()}
         return len(views) == 1 and all(
             self.stores[peer].acceptor.voting_status is Standing.VOTING
@@ -184,9 +189,9 @@
         )
 
     @invariant()
-    def settled_calm_system_holds_the_word(self):
-        """In calm, a majority shows what was acknowledged."""
-        if not self.all_vote() or self.acknowledged == 0:
+    def majority_holds_acknowledged_value(self):
+        """Once all members vote, every majority includes a holder of the acknowledged value."""
+        if not self.all_members_vote() or self.acknowledged == 0:
             return
         view = self.stores["a:1"].acceptor.view
         numbers = sorted(
@@ -195,13 +200,13 @@
             else 0
             for peer in view.members
         )
-        # Each majority meets a holder, so few enough may lack the word.
+        # Every majority includes a holder, so fewer than a majority may lack the value.
         assert numbers[view.majority - 1] >= self.acknowledged
 
     def teardown(self):
         for _deliver, future in self.network.waiting:
             if not future.done():
-                future.set_exception(MeshError("network", "over"))
+                future.set_exception(MeshError("network", "test ended"))
         self.network.waiting.clear()
         for task in asyncio.all_tasks(self.loop):
             task.cancel()
@@ -218,18 +223,18 @@
 
 
 def make_call(kind, acceptor_view, **fields):
-    """A call between stores of the first view."""
+    """Makes a call between stores of the first view."""
     return kinds.StoreCall(kind=kind, view=acceptor_view, **fields)
 
 
-def test_an_accept_that_counts_on_a_wiped_life_is_refused():
-    """The proposer d got c's accept before c lost its disk and read anew."""
+def test_an_accept_that_counts_on_a_superseded_generation_is_refused():
+    """The proposer d has c's accept from before c lost its disk and recovered."""
     disks = {address: MemoryRecords() for address in SEEDS}
     stores = {address: Acceptor(address, disks[address], SEEDS, True) for address in SEEDS}
     view = stores["a:1"].pack_view()
     ballot = kinds.Ballot(counter=5, proposer="d:1")
     prepare = make_call("prepare", view, register="configuration", ballot=ballot)
-    lives = {peer: answer_call(stores[peer], prepare).life for peer in SEEDS}
+    generations = {peer: answer_call(stores[peer], prepare).life for peer in SEEDS}
     accept = make_call(
         "accept",
         view,
@@ -237,7 +242,7 @@
         ballot=ballot,
         number=9,
         value=b"nine",
-        lives=lives,
+        lives=generations,
     )
     assert answer_call(stores["c:1"], accept).agreed
     stores["c:1"] = Acceptor("c:1", MemoryRecords(), SEEDS, False)
@@ -245,9 +250,9 @@
     reader.learn_view(read_view(view))
     read = make_call("read", view, sender="c:1", sender_life=reader.generation)
     reader.finish_reading([answer_call(stores[peer], read) for peer in ("a:1", "b:1")])
-    # Only now does the accept reach a: with c's lost one it would be two of three.
+    # Only now does the accept reach a: with the lost one of c it would make two of three.
     late = answer_call(stores["a:1"], accept)
     assert not late.agreed and late.reason == "counts on a past life"
-    # The same must hold after a itself lost power.
+    # The same must hold after a power loss of a itself.
     stores["a:1"] = Acceptor("a:1", disks["a:1"], SEEDS, False)
     assert not answer_call(stores["a:1"], accept).agreed
