--- a/marblefold/register_store/ballots.py
+++ b/marblefold/register_store/ballots.py
@@ -5,10 +5,10 @@
 from marblefold.inner_protocol.messages import kinds
 
 __all__ = [
-    "Ballot",
     "AcceptedState",
-    "NO_BALLOT",
+    "Ballot",
     "NO_ACCEPTED_STATE",
+    "NO_BALLOT",
     "pack_accepted_state",
     "read_accepted_state",
 ]
--- a/marblefold/register_store/generations.py
+++ b/marblefold/register_store/generations.py
@@ -11,8 +11,8 @@
 __all__ = [
     "NO_GENERATION",
     "first_generation",
-    "is_superseded",
     "generation_above",
+    "is_superseded",
     "later_generation",
     "may_succeed",
 ]
--- a/marblefold/register_store/state_recovery.py
+++ b/marblefold/register_store/state_recovery.py
@@ -28,22 +28,22 @@
 
 
 def merge_accepted_states(
-    own: dict[str, AcceptedState], answers: Iterable[kinds.StoreAnswer]
+    local: dict[str, AcceptedState], answers: Iterable[kinds.StoreAnswer]
 ) -> None:
     """Keeps the newest accepted value and the highest promise of each register."""
     for answer in answers:
         for message in answer.accepted:
             other = read_accepted_state(message)
-            current = own.get(message.register, NO_ACCEPTED_STATE)
+            current = local.get(message.register, NO_ACCEPTED_STATE)
             newer = other if other.ballot > current.ballot else current
-            own[message.register] = newer._replace(promised=max(current.promised, other.promised))
+            local[message.register] = newer._replace(promised=max(current.promised, other.promised))
 
 
-def merge_generations(own: dict[str, str], answers: Iterable[kinds.StoreAnswer]) -> None:
+def merge_generations(local: dict[str, str], answers: Iterable[kinds.StoreAnswer]) -> None:
     """Keeps the latest generation of each store."""
     for answer in answers:
         for member, generation in answer.lives.items():
-            own[member] = later_generation(generation, own.get(member, NO_GENERATION))
+            local[member] = later_generation(generation, local.get(member, NO_GENERATION))
 
 
 def find_unproven(states: dict[str, AcceptedState]) -> set[str]:
--- a/tests/core_faults.py
+++ b/tests/core_faults.py
@@ -127,7 +127,7 @@
 
     async def order_once(self, seconds=1.3):
         """Sends an order to a random machine; returns whether it was acknowledged."""
-        up = [m for m in self.core.machines.values() if m.is_up and m.acceptor.view]
+        up = [each for each in self.core.machines.values() if each.is_up and each.acceptor.view]
         if not up:
             return False
         self.next_number += 1
@@ -153,7 +153,9 @@
     # -- faults
 
     def _count_lost(self):
-        self.lost_until = {a: t for a, t in self.lost_until.items() if t > self.now}
+        self.lost_until = {
+            address: end for address, end in self.lost_until.items() if end > self.now
+        }
         return len(self.lost_until)
 
     def _inject_fault(self):
@@ -161,9 +163,11 @@
             return
         core = self.core
         healthy = [
-            a
-            for a in core.view().members
-            if a not in self.lost_until and core.machines[a].is_up and a not in self.pending
+            member
+            for member in core.view().members
+            if member not in self.lost_until
+            and core.machines[member].is_up
+            and member not in self.pending
         ]
         if not healthy:
             return
