--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -15,7 +15,7 @@
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.program import StoreProgram
 from marblefold.register_store.proposer import Proposer
-from marblefold.register_store.upkeep import Upkeep
+from marblefold.register_store.replica import Replica
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.command_router import CommandRouter
 from marblefold.registry.control_calls import ControlCalls
@@ -88,15 +88,17 @@
         self.records = MemoryRecords()
         self.make_store(list(names))
         self.make_registry(list(names))
-        for coroutine in (self.upkeep.run(), self.client.run(), self.stall_detector.run()):
+        for coroutine in (self.replica.run(), self.client.run(), self.stall_detector.run()):
             self.loop.create_task(coroutine)
 
     def make_store(self, names):
         self.acceptor = Acceptor(self.name, self.records, names, True)
         peers = StorePeers(self.acceptor, SimulatedPeers(self.cluster, self.name))
         self.chosen = ChosenRegisters()
-        proposer = Proposer(peers, f"{self.name}/{self.acceptor.life}", clock=self.cluster.clock)
-        self.upkeep = Upkeep(self.acceptor, peers, proposer, self.chosen, names)
+        proposer = Proposer(
+            peers, f"{self.name}/{self.acceptor.generation}", clock=self.cluster.clock
+        )
+        self.replica = Replica(self.acceptor, peers, proposer, self.chosen, names)
         # The real program answers, without its sockets and files.
         self.program = StoreProgram.__new__(StoreProgram)
         vars(self.program).update(
@@ -104,7 +106,7 @@
             _peers=peers,
             _proposer=proposer,
             _chosen=self.chosen,
-            _upkeep=self.upkeep,
+            _replica=self.replica,
         )
 
     def make_registry(self, names):
@@ -145,11 +147,11 @@
             self.cluster.send(self.name, connection.source, lambda: on_answer(pack_message(answer)))
 
         if isinstance(message, kinds.StoreCall):
-            reply(self.upkeep.answer(message))
+            reply(self.replica.answer(message))
             return
 
         async def answer():
-            reply(await self.program._make_answer(connection, message))
+            reply(await self.program._execute_call(connection, message))
 
         self.loop.create_task(answer())
 
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -5,7 +5,7 @@
 
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
-from marblefold.register_store.ballots import NOTHING
+from marblefold.register_store.ballots import NO_ACCEPTED_STATE
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import RegisterContent, leave_unchanged
 from marblefold.register_store.orders import read_order
@@ -25,7 +25,7 @@
         self.starts += 1
         self.proposer = Proposer(
             self,
-            f"{self.address}/{self.acceptor.life}/{self.starts}",
+            f"{self.address}/{self.acceptor.generation}/{self.starts}",
             sleep=lambda _seconds: asyncio.sleep(0),
             clock=self.system.clock,
         )
@@ -33,7 +33,7 @@
     async def call(self, peer, call):
         copy = kinds.StoreCall.FromString(call.SerializeToString())
         copy.sender = self.address
-        copy.sender_life = self.acceptor.life
+        copy.sender_life = self.acceptor.generation
         if peer == self.address:
             return answer_call(self.acceptor, copy)
         store = self.system.stores[peer]
@@ -170,7 +170,7 @@
 
 def accepted_content(stores, address, register):
     """Returns what one store accepted, whether chosen or not."""
-    return stores.stores[address].acceptor.holdings.get(register, NOTHING)
+    return stores.stores[address].acceptor.accepted_states.get(register, NO_ACCEPTED_STATE)
 
 
 __all__ = ["OrderedStores", "Outcome", "StoreClient", "accepted_content"]
--- a/tests/simulated_replicas.py
+++ b/tests/simulated_replicas.py
@@ -1,7 +1,7 @@
-"""Whole stores in memory: the real acceptor, proposer, upkeep and comparing.
+"""Complete stores in memory: the real acceptor, proposer, replica and anti-entropy.
 
-Calls reach a peer at once or not at all; rounds of upkeep are run by the test.
-Every byte that goes between stores, and every call by its kind, is counted.
+Calls reach a peer at once or not at all, and the test runs the background rounds.
+Counts the bytes sent between stores, and the calls by kind.
 """
 
 import asyncio
@@ -11,17 +11,17 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
 from marblefold.register_store.acceptor import Acceptor
-from marblefold.register_store.ballots import pack_holding, read_holding
+from marblefold.register_store.anti_entropy import answer_comparison
+from marblefold.register_store.ballots import pack_accepted_state, read_accepted_state
 from marblefold.register_store.chosen_registers import ChosenRegisters
-from marblefold.register_store.comparing import answer_comparison
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
-from marblefold.register_store.upkeep import Upkeep
+from marblefold.register_store.replica import Replica
 from tests.simulated_stores import MemoryRecords
 
 
 class Core:
-    """The machines of the core, and the link between them."""
+    """The store machines, and the network between them."""
 
     def __init__(self, size, make_records=MemoryRecords):
         self.addresses = [f"10.0.0.{number}:7103" for number in range(1, size + 1)]
@@ -33,27 +33,27 @@
         }
 
     async def change(self, by, register, change):
-        """A change as an operator has it made: acknowledged, or a MeshError."""
+        """Makes a change as an operator's order does; raises MeshError if not acknowledged."""
         member = self.members[by]
-        holding = await member.proposer.change(register, change, 1.0)
-        member.upkeep.take_chosen(register, holding)
+        state = await member.proposer.change(register, change, 1.0)
+        member.replica.learn_chosen(register, state)
         for peer in self.addresses:
-            member.tell_chosen(peer, register, holding)
+            member.notify_chosen(peer, register, state)
         await asyncio.sleep(0)
-        return holding
+        return state
 
     async def run_round(self, *addresses):
-        """One round of upkeep, of those named or of all that are here."""
+        """Runs one background round, on the machines named or on all reachable ones."""
         for address in addresses or self.addresses:
             if address not in self.away:
-                upkeep = self.members[address].upkeep
-                for step in (upkeep._act, upkeep._compare):
-                    # As the loops of the store do: one that fails is made again.
+                replica = self.members[address].replica
+                for step in (replica._act, replica._compare):
+                    # A failed step is run again in the next round, as in the store's own loops.
                     with contextlib.suppress(MeshError):
                         await step()
 
     def restart(self, address, records=None, is_first=False):
-        """The process starts again, on its disk or on another one."""
+        """Restarts the process, on its disk or on the given one."""
         old = self.members[address]
         self.members[address] = Member(self, address, records or old.records, is_first)
         return self.members[address]
@@ -64,24 +64,24 @@
 
 
 class Member:
-    """One store, and the calls it makes."""
+    """One store, and the calls that it makes and answers."""
 
     def __init__(self, core, address, records, is_first):
         self.core, self.address, self.records = core, address, records
         self.acceptor = Acceptor(address, records, core.addresses, is_first)
         self.chosen = ChosenRegisters()
         self.proposer = Proposer(
-            self, f"{address}/{self.acceptor.life}/1", sleep=lambda _seconds: asyncio.sleep(0)
+            self, f"{address}/{self.acceptor.generation}/1", sleep=lambda _seconds: asyncio.sleep(0)
         )
-        self.upkeep = Upkeep(self.acceptor, self, self.proposer, self.chosen, core.addresses, 2)
+        self.replica = Replica(self.acceptor, self, self.proposer, self.chosen, core.addresses, 2)
 
     def current_view(self):
         return self.acceptor.view
 
     def learn_view(self, view):
-        self.acceptor.take_view(view)
+        self.acceptor.learn_view(view)
 
-    def silence(self, peer, since):
+    def silence_seconds(self, peer, since):
         return 0.0
 
     def answer(self, call):
@@ -98,7 +98,7 @@
             return answer_call(self.acceptor, call)
         if peer in self.core.away or self.address in self.core.away:
             raise MeshError("call", "out of reach", peer)
-        call.sender, call.sender_life = self.address, self.acceptor.life
+        call.sender, call.sender_life = self.address, self.acceptor.generation
         payload = pack_message(call)
         answer = pack_message(self.core.members[peer].answer(unpack_message(payload)))
         self.core.calls[call.kind] += 1
@@ -106,11 +106,11 @@
         self.core.largest = max(self.core.largest, len(answer))
         return unpack_message(answer)
 
-    def tell_chosen(self, peer, register, holding):
+    def notify_chosen(self, peer, register, state):
         if peer == self.address or {peer, self.address} & self.core.away:
             return
-        payload = pack_message(pack_holding(register, holding))
+        payload = pack_message(pack_accepted_state(register, state))
         self.core.bytes += len(payload)
         message = unpack_message(payload)
         assert isinstance(message, kinds.Accepted)
-        self.core.members[peer].upkeep.take_chosen(message.register, read_holding(message))
+        self.core.members[peer].replica.learn_chosen(message.register, read_accepted_state(message))
--- a/tests/test_cut_off_registry.py
+++ b/tests/test_cut_off_registry.py
@@ -17,7 +17,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from marblefold import wire_names
-from marblefold.register_store.ballots import NOTHING
+from marblefold.register_store.ballots import NO_ACCEPTED_STATE
 from marblefold.registry.quorum_contact import CONTACT_SECONDS
 from tests.mesh_on_loopback import CONFIGURATION
 from tests.simulated_machines import OPERATOR, TIME_STEP_SECONDS, Cluster
@@ -158,7 +158,7 @@
         if self.acknowledged < 0:
             return
         holdings = [
-            machine.acceptor.holdings.get(REGISTER, NOTHING)
+            machine.acceptor.accepted_states.get(REGISTER, NO_ACCEPTED_STATE)
             for machine in self.cluster.machines.values()
         ]
         for holding in holdings:
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -13,7 +13,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.acceptor import META_RECORD, Acceptor, VotingStatus
 from marblefold.register_store.ballots import Ballot
-from marblefold.register_store.lives import NO_LIFE, is_past
+from marblefold.register_store.generations import NO_GENERATION, is_superseded
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.program import open_acceptor
 from marblefold.register_store.register_files import RegisterFiles
@@ -50,7 +50,7 @@
             ballot=kinds.Ballot(counter=self.counter, proposer="b:1"),
             number=self.counter,
             value=b"%d" % self.counter,
-            lives={OWN: self.acceptor.life},
+            lives={OWN: self.acceptor.generation},
             sender="b:1",
             sender_life=f"{self.counter // 5}-life",
         )
@@ -89,14 +89,16 @@
 
     def check(self):
         """Asserts that all earlier answers still hold, and that the acceptor votes."""
-        assert self.acceptor.standing is VotingStatus.VOTING
+        assert self.acceptor.voting_status is VotingStatus.VOTING
         for register, ballot in self.promised.items():
-            assert self.acceptor.holdings[register].promised >= ballot
+            assert self.acceptor.accepted_states[register].promised >= ballot
         for register, ballot in self.accepted.items():
-            assert self.acceptor.holdings[register].ballot >= ballot
+            assert self.acceptor.accepted_states[register].ballot >= ballot
         for reader, generation in self.generations.items():
             # That generation, or a later one that was recorded without an answer.
-            assert not is_past(self.acceptor.lives.get(reader, NO_LIFE), generation)
+            assert not is_superseded(
+                self.acceptor.known_generations.get(reader, NO_GENERATION), generation
+            )
 
 
 def test_all_answers_of_an_acceptor_survive_disk_errors_and_power_losses(monkeypatch):
@@ -128,7 +130,7 @@
     durable_disk = SimulatedDisk({name: inode.synced for name, inode in disk.durable.items()})
     durable_disk.install(monkeypatch)
     restarted = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, False)
-    assert restarted.lives == {"b:1": "2-second"}
+    assert restarted.known_generations == {"b:1": "2-second"}
 
 
 def test_a_start_on_a_failing_disk_waits_without_answering_and_then_votes(monkeypatch):
@@ -145,7 +147,7 @@
 
     acceptor = open_acceptor(OWN, FOLDER, PEERS, False, sleep)
     assert len(pauses) == 3
-    assert acceptor.life == first.life and acceptor.standing is VotingStatus.VOTING
+    assert acceptor.generation == first.generation and acceptor.voting_status is VotingStatus.VOTING
 
 
 def test_a_first_start_on_a_full_disk_refuses_until_there_is_room(monkeypatch):
@@ -185,11 +187,11 @@
             await core.change(proposing, register_name(1), change_of(1, number))
         await core.run_round()
         assert full.chosen.holdings[register_name(1)].number == 3
-        assert register_name(1) not in full.acceptor.holdings
+        assert register_name(1) not in full.acceptor.accepted_states
         # Once there is space again, the next round writes the missing copy.
         full.records.is_full = False
         await core.run_round()
-        assert full.acceptor.holdings[register_name(1)].number == 3
+        assert full.acceptor.accepted_states[register_name(1)].number == 3
 
     asyncio.run(test())
 
--- a/tests/test_quorum_contact.py
+++ b/tests/test_quorum_contact.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor
-from marblefold.register_store.ballots import Ballot, Holding
+from marblefold.register_store.ballots import AcceptedState, Ballot
 from marblefold.register_store.heartbeat import answer_heartbeat
 from marblefold.register_store.view import View, read_view
 from marblefold.registry.quorum_contact import CONTACT_SECONDS, QuorumContact
@@ -115,8 +115,8 @@
     assert answer_heartbeat(acceptor).outcome == "held"
     assert read_view(answer_heartbeat(acceptor).value) == acceptor.view
     ballot = Ballot(1, "a")
-    following = acceptor.view.swap("a", "d", "x")
-    acceptor.holdings[VIEW_REGISTER] = Holding(ballot, ballot, 2, following.pack())
+    following = acceptor.view.replace_member("a", "d", "x")
+    acceptor.accepted_states[VIEW_REGISTER] = AcceptedState(ballot, ballot, 2, following.pack())
     assert answer_heartbeat(acceptor).outcome == "unknown"
     # A store with a wiped disk must read from the others before it votes.
     assert answer_heartbeat(Acceptor("a", MemoryRecords(), seeds, False)).outcome == "unknown"
--- a/tests/test_thousand_changes.py
+++ b/tests/test_thousand_changes.py
@@ -52,14 +52,16 @@
     def measure(disk):
         disk.operations = disk.syncs = 0
         acceptor = Acceptor("10.0.0.1:7103", RegisterFiles(FOLDER, META_RECORD), [], False)
-        assert acceptor.standing is VotingStatus.VOTING
+        assert acceptor.voting_status is VotingStatus.VOTING
         bytes_held = sum(len(inode.data) for inode in disk.names.values())
         return len(disk.names), bytes_held, disk.operations, disk.syncs
 
     expected = asyncio.run(test())
     acceptor = Acceptor("10.0.0.1:7103", RegisterFiles(FOLDER, META_RECORD), [], False)
     assert len(expected) == REGISTERS
-    assert {name: (held.number, held.value) for name, held in acceptor.holdings.items()} == expected
+    assert {
+        name: (held.number, held.value) for name, held in acceptor.accepted_states.items()
+    } == expected
     count, bytes_held, operations, syncs = sizes["many"]
     print("files, bytes, operations and syncs of a start:", sizes)
     # Three files per record; one record per register, and one for the store itself.
@@ -80,7 +82,7 @@
         print("bytes held by three stores:", few, many)
         assert few < 3 * 2 * 1024 * 1024 and many < 1.1 * few
         for member in core.members.values():
-            assert len(member.acceptor.holdings) == len(member.chosen.holdings) == REGISTERS
+            assert len(member.acceptor.accepted_states) == len(member.chosen.holdings) == REGISTERS
 
     tracemalloc.start()
     try:
@@ -126,7 +128,7 @@
         print("rounds", rounds, "calls", dict(core.calls), "bytes", core.bytes, "held", whole)
         # A member with a lost disk needs one more round to learn the members.
         assert rounds <= 1 + is_wiped
-        assert member.acceptor.standing is VotingStatus.VOTING
+        assert member.acceptor.voting_status is VotingStatus.VOTING
         assert registry.numbers() == numbers_of(expected)
         # It copied what the others know and proposed nothing.
         assert core.calls["prepare"] == core.calls["accept"] == 0
@@ -211,7 +213,7 @@
             await core.run_round(core.addresses[2])
             # run_round suppresses the error; the same step called directly raises it.
             with pytest.raises(MeshError, match="no majority"):
-                await member.upkeep._act()
+                await member.replica._act()
         assert (
             accepted_at(member) and not member.chosen.holdings and registry.notification_count == 0
         )
