--- a/marblefold/leases/granting.py
+++ b/marblefold/leases/granting.py
@@ -4,7 +4,7 @@
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.leases.held_leases import OwnedLease
-from marblefold.partners.duty import PartnerDuty
+from marblefold.partners.coordinator import PartnerCoordinator
 
 __all__ = ["LeaseGranter"]
 
@@ -12,7 +12,7 @@
 class LeaseGranter:
     """Grants leases that end no later than the registry's own knowledge is valid."""
 
-    def __init__(self, partners: PartnerDuty) -> None:
+    def __init__(self, partners: PartnerCoordinator) -> None:
         # If this registry is the agent of a site: the site, and the leases it may grant.
         self.site = ""
         self.owned: Callable[[], tuple[OwnedLease, ...]] = tuple
--- a/marblefold/maintenance/calls.py
+++ b/marblefold/maintenance/calls.py
@@ -13,7 +13,7 @@
     json_answer,
     not_now_answer,
 )
-from marblefold.maintenance.duty import REGISTER
+from marblefold.maintenance.coordinator import MAINTENANCE_REGISTER
 from marblefold.maintenance.model import Document, WindowState, read_floors_body, read_window_body
 from marblefold.maintenance.planning import change_state
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
@@ -63,7 +63,7 @@
 
     async def _list(self, _call: Call) -> Answer:
         try:
-            held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
+            held = await self._store_client.ask(RegisterCallKind.DESCRIBE, MAINTENANCE_REGISTER)
         except MeshError as error:
             return not_now_answer(error)
         document = Document.read(held.value)
@@ -114,12 +114,12 @@
         """Changes the document at the number it was read at, or tries again."""
         try:
             for _ in range(_TRIES):
-                held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
+                held = await self._store_client.ask(RegisterCallKind.DESCRIBE, MAINTENANCE_REGISTER)
                 value = change(Document.read(held.value)).pack()
                 if value == held.value:
                     return json_answer(200, {})
                 answer = await self._store_client.ask(
-                    RegisterCallKind.MAINTENANCE, REGISTER, held.number, value
+                    RegisterCallKind.MAINTENANCE, MAINTENANCE_REGISTER, held.number, value
                 )
                 if Outcome.read(answer.outcome) is Outcome.APPLIED:
                     return json_answer(200, {})
--- a/marblefold/maintenance/duty.py
+++ b/marblefold/maintenance/coordinator.py
@@ -17,13 +17,13 @@
 from marblefold.register_store.changes import EvacuationState
 from marblefold.register_store.register_client import RegisterClient
 
-__all__ = ["MaintenanceDuty", "REGISTER", "Surroundings"]
+__all__ = ["MaintenanceCoordinator", "MAINTENANCE_REGISTER", "MeshState"]
 
-REGISTER = "maintenance"
+MAINTENANCE_REGISTER = "maintenance"
 _ROUND_SECONDS = 1.0
 
 
-class Surroundings(Protocol):
+class MeshState(Protocol):
     """What the duty needs to know of the mesh."""
 
     def is_maintenance_leader(self) -> bool: ...
@@ -37,14 +37,14 @@
     def now(self) -> datetime: ...
 
 
-class MaintenanceDuty:
+class MaintenanceCoordinator:
     """Holds the newest document known and acts on it while this registry has the duty."""
 
-    def __init__(self, store_client: RegisterClient, surroundings: Surroundings) -> None:
+    def __init__(self, store_client: RegisterClient, mesh_state: MeshState) -> None:
         self.document = Document({}, {})
         self.number = 0
         self._store_client = store_client
-        self._surroundings = surroundings
+        self._mesh_state = mesh_state
         self._warned: list[str] = []
 
     def take(self, number: int, value: bytes) -> None:
@@ -57,7 +57,7 @@
         """One step a second, for ever; without windows it does nothing."""
         while True:
             await asyncio.sleep(_ROUND_SECONDS)
-            if not self.document.windows or not self._surroundings.is_maintenance_leader():
+            if not self.document.windows or not self._mesh_state.is_maintenance_leader():
                 continue
             try:
                 await self.step()
@@ -69,8 +69,8 @@
 
         Raises MeshError where no majority of the stores answers.
         """
-        surroundings = self._surroundings
-        planned = plan_windows(self.document, surroundings.live_slots(), surroundings.now())
+        mesh_state = self._mesh_state
+        planned = plan_windows(self.document, mesh_state.live_slots(), mesh_state.now())
         if planned != self.document and not await self._hold(planned):
             return
         # A zone is evacuated only for a window that a majority holds as running.
@@ -92,7 +92,7 @@
             return window._replace(is_emptied=True)
         if (
             window.state is WindowState.RUNNING
-            and self._surroundings.evacuation(window.zone) == EvacuationState.OFF.value
+            and self._mesh_state.evacuation(window.zone) == EvacuationState.OFF.value
         ):
             # The operator's own order takes precedence.
             return change_state(
@@ -109,7 +109,7 @@
 
     async def _release_left_over(self) -> None:
         """Restores zones that a delayed action of an earlier holder evacuated."""
-        for zone in self._surroundings.window_zones():
+        for zone in self._mesh_state.window_zones():
             if not self._is_zone_in_use(zone):
                 await self._change_zone(RegisterCallKind.WINDOW_RELEASE, zone)
                 log.warning("zone was emptied for no window", zone=zone)
@@ -131,7 +131,7 @@
         """Whether the document was stored at the number it was made from."""
         value = document.pack()
         answer = await self._store_client.ask(
-            RegisterCallKind.MAINTENANCE, REGISTER, self.number, value
+            RegisterCallKind.MAINTENANCE, MAINTENANCE_REGISTER, self.number, value
         )
         self.take(answer.number, answer.value)
         return answer.value == value
@@ -142,7 +142,7 @@
             for window in self.document.windows.values()
             if window.state is WindowState.RUNNING
         }
-        missing = shortfalls(self.document.floors, self._surroundings.live_slots(), zones)
+        missing = shortfalls(self.document.floors, self._mesh_state.live_slots(), zones)
         # Logged once for each change, not every second.
         if zones and missing != self._warned and missing:
             log.warning("below floor while windows run", zones=sorted(zones), missing=missing)
--- a/marblefold/partners/calls.py
+++ b/marblefold/partners/calls.py
@@ -14,6 +14,7 @@
     not_now_answer,
 )
 from marblefold.logs import log
+from marblefold.partners.coordinator import ENFORCED_AFTER, PARTNERS_REGISTER, PartnerCoordinator
 from marblefold.partners.document import (
     Document,
     Refused,
@@ -21,7 +22,6 @@
     put_exports,
     withdraw_partner,
 )
-from marblefold.partners.duty import ENFORCED_AFTER, REGISTER, PartnerDuty
 from marblefold.partners.merging import merge
 from marblefold.partners.orders import is_credential, read_exports, read_grant
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
@@ -40,12 +40,12 @@
     def __init__(
         self,
         store_client: RegisterClient,
-        duty: PartnerDuty,
+        coordinator: PartnerCoordinator,
         nodes: Callable[[], dict[str, str]],
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
         self._store_client = store_client
-        self._duty = duty
+        self._coordinator = coordinator
         self._nodes = nodes
         self._sleep = sleep
 
@@ -58,7 +58,7 @@
 
     async def _list(self, _call: Call) -> Answer:
         try:
-            held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
+            held = await self._store_client.ask(RegisterCallKind.DESCRIBE, PARTNERS_REGISTER)
         except MeshError as error:
             return not_now_answer(error)
         partners = {
@@ -105,15 +105,15 @@
         """Holds the change, and answers once it is enforced everywhere."""
         try:
             for _ in range(_TRIES):
-                held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
+                held = await self._store_client.ask(RegisterCallKind.DESCRIBE, PARTNERS_REGISTER)
                 value = change(Document.read(held.value)).pack()
                 if value == held.value:
                     return await self._answer_unchanged(held.number, value)
                 answer = await self._store_client.ask(
-                    RegisterCallKind.DUTY, REGISTER, held.number, value
+                    RegisterCallKind.DUTY, PARTNERS_REGISTER, held.number, value
                 )
                 if Outcome.read(answer.outcome) is Outcome.APPLIED:
-                    self._duty.take(answer.number, answer.value)
+                    self._coordinator.take(answer.number, answer.value)
                     return await self._wait_enforced(
                         held.number, held.value, held.number + 1, value
                     )
--- a/marblefold/partners/duty.py
+++ b/marblefold/partners/coordinator.py
@@ -19,16 +19,16 @@
 from marblefold.register_store.call_kinds import RegisterCallKind
 from marblefold.register_store.register_client import RegisterClient
 
-__all__ = ["PartnerDuty", "REGISTER", "ENFORCED_AFTER"]
+__all__ = ["PartnerCoordinator", "PARTNERS_REGISTER", "ENFORCED_AFTER"]
 
-REGISTER = "partners"
+PARTNERS_REGISTER = "partners"
 # A read is valid for one lease time and is repeated well before that ends.
 _VERIFY_EVERY = timedelta(seconds=0.8)
 # Time from the choice of a change until no node can act without it.
 ENFORCED_AFTER = timedelta(seconds=LEASE_SECONDS * (1.0 + CLOCK_DRIFT_MARGIN))
 
 
-class PartnerDuty:
+class PartnerCoordinator:
     """The newest document known here, and until when it is certainly the newest."""
 
     def __init__(
@@ -73,7 +73,7 @@
     async def step(self) -> None:
         """Reads through a majority, then marks lapsed partners. Raises MeshError without one."""
         began = self._clock()
-        held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
+        held = await self._store_client.ask(RegisterCallKind.DESCRIBE, PARTNERS_REGISTER)
         self.take(held.number, held.value)
         # The read saw every change that was chosen before it began.
         if held.number == self.number:
@@ -93,7 +93,7 @@
             if now - since > partner["lapse-after-s"] and self._is_holder():
                 changed = lapse(document, name, reads)
                 answer = await self._store_client.ask(
-                    RegisterCallKind.DUTY, REGISTER, self.number, changed.pack()
+                    RegisterCallKind.DUTY, PARTNERS_REGISTER, self.number, changed.pack()
                 )
                 self.take(answer.number, answer.value)
                 log.warning("partner lapsed", partner=name, silent=round(now - since, 1))
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -20,8 +20,7 @@
 from marblefold.inner_protocol.ports import GATEWAY_FOLLOWS, REGISTRY, STORE, inner_address
 from marblefold.logs import log
 from marblefold.maintenance.calls import MaintenanceCalls
-from marblefold.maintenance.duty import REGISTER as MAINTENANCE_REGISTER
-from marblefold.maintenance.duty import MaintenanceDuty
+from marblefold.maintenance.coordinator import MAINTENANCE_REGISTER, MaintenanceCoordinator
 from marblefold.membership.node import NodeMembership
 from marblefold.node_config.model import Cloud
 from marblefold.node_config.reading import NodeConfig
@@ -86,7 +85,7 @@
         self._platform_tasks = (
             self._make_platform_tasks(config, config.cloud) if config.cloud is not None else []
         )
-        self.maintenance = MaintenanceDuty(self.store_client, capacity)
+        self.maintenance = MaintenanceCoordinator(self.store_client, capacity)
         self._site_coordinator = SiteCoordinator(
             config,
             self._own_address,
--- a/marblefold/registry/site_coordination.py
+++ b/marblefold/registry/site_coordination.py
@@ -17,9 +17,8 @@
 from marblefold.ownership.calls import Claimed, OwnerCalls
 from marblefold.ownership.claims import Owner, find_clashes, read_owners
 from marblefold.partners.calls import PartnerCalls
+from marblefold.partners.coordinator import PARTNERS_REGISTER, PartnerCoordinator
 from marblefold.partners.document import Document
-from marblefold.partners.duty import REGISTER as PARTNERS_REGISTER
-from marblefold.partners.duty import PartnerDuty
 from marblefold.register_store.register_client import RegisterClient
 from marblefold.register_store.register_files import RegisterFiles
 from marblefold.registry.catalogue import Catalogue
@@ -42,7 +41,7 @@
         self._owned_services: dict[str, tuple[str, ...]] = {}
         self._owners_number = 0
         self._clashes: dict[str, list[str]] = {}
-        self.partners = PartnerDuty(store_client, is_leader)
+        self.partners = PartnerCoordinator(store_client, is_leader)
         self.granter = LeaseGranter(self.partners)
         self.agent: SiteAgent | None = None
         self._calls = (
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -18,7 +18,7 @@
 from marblefold.maintenance.calls import MaintenanceCalls
 from marblefold.ownership.calls import Claimed, OwnerCalls
 from marblefold.partners.calls import PartnerCalls
-from marblefold.partners.duty import PartnerDuty
+from marblefold.partners.coordinator import PartnerCoordinator
 from marblefold.register_store.changes import RegisterContent
 from marblefold.register_store.orders import read_order
 from marblefold.registry.control_calls import ControlCalls
@@ -92,7 +92,7 @@
     def __init__(self, history_folder=""):
         self.stores = MemoryStores()
         self.router = CallRouter()
-        duty = PartnerDuty(self.stores, lambda: False)
+        duty = PartnerCoordinator(self.stores, lambda: False)
         history = HistoryKeeper(history_folder)
         self.parts = (
             TraceCalls(Collector(100), lambda: 0.0),
--- a/tests/simulated_leases.py
+++ b/tests/simulated_leases.py
@@ -6,8 +6,8 @@
 from marblefold.gateway.partner_hops import PartnerHops
 from marblefold.inner_protocol.messages import kinds
 from marblefold.leases.granting import LeaseGranter
+from marblefold.partners.coordinator import ENFORCED_AFTER, PartnerCoordinator
 from marblefold.partners.document import Document
-from marblefold.partners.duty import ENFORCED_AFTER, PartnerDuty
 from marblefold.partners.merging import merge
 from marblefold.proxy.lease_client import LeaseClient
 from marblefold.request_path.mesh_view import MeshView
@@ -91,7 +91,9 @@
 
     def restart(self):
         self.drop_read()
-        self.duty = PartnerDuty(self, lambda: False, clock=lambda: self.world.now * self.rate)
+        self.duty = PartnerCoordinator(
+            self, lambda: False, clock=lambda: self.world.now * self.rate
+        )
         self.granter = LeaseGranter(self.duty)
 
     async def ask(self, kind, register, number=0, value=b""):
--- a/tests/test_command_router.py
+++ b/tests/test_command_router.py
@@ -11,7 +11,7 @@
 from marblefold.http_connections.answer import Answer
 from marblefold.http_connections.call_router import json_answer
 from marblefold.http_connections.http_server import HttpServer
-from marblefold.maintenance.duty import MaintenanceDuty
+from marblefold.maintenance.coordinator import MaintenanceCoordinator
 from marblefold.node_config.reading import Address
 from marblefold.register_store.call_kinds import RegisterCallKind
 from marblefold.register_store.changes import (
@@ -240,7 +240,7 @@
 )
 def test_changes_of_a_window_are_fenced_by_the_register(kind, before, others, after):
     registers = Registers(5, before, others)
-    duty = MaintenanceDuty(registers, None)
+    duty = MaintenanceCoordinator(registers, None)
     state = asyncio.run(duty._change_zone(RegisterCallKind(kind), "z"))
     assert state.value == registers.value
     assert registers.value == after
--- a/tests/test_maintenance_duty.py
+++ b/tests/test_maintenance_duty.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from marblefold.errors import MeshError
-from marblefold.maintenance.duty import REGISTER, MaintenanceDuty
+from marblefold.maintenance.coordinator import MAINTENANCE_REGISTER, MaintenanceCoordinator
 from marblefold.maintenance.model import Document, Window, WindowState
 from marblefold.maintenance.planning import LiveSlots, change_state
 from marblefold.register_store.changes import (
@@ -47,7 +47,7 @@
             raise MeshError(kind, "no majority")
         change = {
             "describe": leave_unchanged,
-            REGISTER: replace_if_number(number, value),
+            MAINTENANCE_REGISTER: replace_if_number(number, value),
             "window-empty": fence(number, b"", evacuate_for_window),
             "window-release": fence(number, b"", release_from_window),
         }[kind]
@@ -104,15 +104,15 @@
     registers = Registers()
     world = World(registers)
     document = Document({"quotes": FLOOR}, {one.name: one for one in windows})
-    registers.held[REGISTER] = RegisterContent(1, document.pack())
-    duties = [MaintenanceDuty(registers, world) for _ in range(2)]
+    registers.held[MAINTENANCE_REGISTER] = RegisterContent(1, document.pack())
+    duties = [MaintenanceCoordinator(registers, world) for _ in range(2)]
     for duty in duties:
         duty.take(1, document.pack())
     return registers, world, duties
 
 
 def held_document(registers):
-    return Document.read(registers.find(REGISTER).value)
+    return Document.read(registers.find(MAINTENANCE_REGISTER).value)
 
 
 def test_two_holders_never_grant_both_windows():
@@ -131,8 +131,8 @@
 def test_a_holder_that_died_after_the_grant_is_followed_by_one_that_empties():
     registers, world, duties = make(window("one", "a"))
     granted = change_state(window("one", "a"), WindowState.RUNNING, start=NIGHT)
-    registers.held[REGISTER] = RegisterContent(2, Document({}, {"one": granted}).pack())
-    duties[1].take(2, registers.find(REGISTER).value)
+    registers.held[MAINTENANCE_REGISTER] = RegisterContent(2, Document({}, {"one": granted}).pack())
+    duties[1].take(2, registers.find(MAINTENANCE_REGISTER).value)
     run(duties[1].step())
     assert world.evacuation("a") == b"window"
 
@@ -142,8 +142,8 @@
     run(duties[0].step())
     document = held_document(registers)
     withdrawn = document.with_window(change_state(document.windows["one"], WindowState.WITHDRAWN))
-    number = registers.find(REGISTER).number
-    registers.held[REGISTER] = RegisterContent(number + 1, withdrawn.pack())
+    number = registers.find(MAINTENANCE_REGISTER).number
+    registers.held[MAINTENANCE_REGISTER] = RegisterContent(number + 1, withdrawn.pack())
     duties[0].take(number + 1, withdrawn.pack())
     registers.change("evacuation/b", set_evacuation(b"on"))
     run(duties[0].step())
@@ -197,12 +197,12 @@
 
     @rule(index=st.integers(0, 1))
     def hear(self, index):
-        held = self.registers.find(REGISTER)
+        held = self.registers.find(MAINTENANCE_REGISTER)
         self.duties[index].take(held.number, held.value)
 
     @rule(index=st.integers(0, 1))
     def restart(self, index):
-        self.duties[index] = MaintenanceDuty(self.registers, self.world)
+        self.duties[index] = MaintenanceCoordinator(self.registers, self.world)
         self.hear(index)
 
     @rule(minutes=st.integers(1, 10))
@@ -224,8 +224,8 @@
     @invariant()
     def no_zone_is_emptied_for_nobody(self):
         """Once the newest document is heard and acted on, nothing is left over."""
-        fresh = MaintenanceDuty(self.registers, self.world)
-        held = self.registers.find(REGISTER)
+        fresh = MaintenanceCoordinator(self.registers, self.world)
+        held = self.registers.find(MAINTENANCE_REGISTER)
         saved = dict(self.registers.held)
         fresh.take(held.number, held.value)
         for _ in range(3):
--- a/tests/test_whole_mesh.py
+++ b/tests/test_whole_mesh.py
@@ -156,9 +156,9 @@
         assert (await windows(mesh, "set", "w", *wish))[0] == 0
         # The duty settles after a start; here its round is made at once.
         duty = mesh.registry.maintenance
-        duty._surroundings.is_maintenance_leader = lambda: False
+        duty._mesh_state.is_maintenance_leader = lambda: False
         await mesh.until(lambda: duty.document.windows)
-        duty._surroundings.live_slots = lambda: LiveSlots({})
+        duty._mesh_state.live_slots = lambda: LiveSlots({})
         await duty.step()
         await mesh.until(lambda: all("hall" in proxy.view.evacuated for proxy in mesh.proxies))
         status, shown, _errors = await windows(mesh, "list")
