--- a/marblefold/gateway/partner_hops.py
+++ b/marblefold/gateway/partner_hops.py
@@ -9,7 +9,7 @@
 from marblefold.gateway.target_hops import TargetHops
 from marblefold.gateway.target_pool import TargetPool
 from marblefold.http_connections.client_request import SentRequest
-from marblefold.partners.merging import partner_of
+from marblefold.partners.partner_table import partner_of
 from marblefold.request_path.hop_sender import Hops
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.outcome import HopResult
--- a/marblefold/leases/granting.py
+++ b/marblefold/leases/granting.py
@@ -26,7 +26,7 @@
         owned = self.owned() if request.site and request.site == self.site else ()
         return kinds.LeaseGrant(
             number=request.number,
-            partner_left_ms=int(self._partners.left() * 1000),
+            partner_left_ms=int(self._partners.remaining_seconds() * 1000),
             partner_digest=self._partners.table.digest,
             owned=[
                 kinds.OwnedService(
--- a/marblefold/partners/calls.py
+++ b/marblefold/partners/calls.py
@@ -16,14 +16,14 @@
 from marblefold.logs import log
 from marblefold.partners.coordinator import ENFORCED_AFTER, PARTNERS_REGISTER, PartnerCoordinator
 from marblefold.partners.document import (
-    Document,
-    Refused,
+    PartnerChangeError,
+    PartnersDocument,
     grant_partner,
     put_exports,
     withdraw_partner,
 )
-from marblefold.partners.merging import merge
-from marblefold.partners.orders import is_credential, read_exports, read_grant
+from marblefold.partners.partner_table import build_partner_table
+from marblefold.partners.request_bodies import is_credential, read_exports, read_grant
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.register_client import RegisterClient
 
@@ -64,13 +64,13 @@
         partners = {
             # Not even its digest is anybody's business.
             name: {key: value for key, value in partner.items() if key != "credential"}
-            for name, partner in Document.read(held.value).partners.items()
+            for name, partner in PartnersDocument.read(held.value).partners.items()
         }
         return json_answer(
             200,
             {
                 "number": held.number,
-                "digest": merge(held.number, held.value).digest,
+                "digest": build_partner_table(held.number, held.value).digest,
                 "partners": partners,
                 "nodes": self._nodes(),
             },
@@ -92,21 +92,21 @@
         except ExceptionGroup as group:
             return faults_answer(group)
 
-        def change(document: Document) -> Document:
+        def change(document: PartnersDocument) -> PartnersDocument:
             held = document.partners.get(call.subject)
             # An unknown partner takes as long to refuse, and looks the same.
             if not is_credential(call.credential, held["credential"] if held else "0" * 64):
-                raise Refused(401, "no such partner, or not its credential")
+                raise PartnerChangeError(401, "no such partner, or not its credential")
             return put_exports(document, call.subject, word)
 
         return await self._change(change)
 
-    async def _change(self, change: Callable[[Document], Document]) -> Answer:
+    async def _change(self, change: Callable[[PartnersDocument], PartnersDocument]) -> Answer:
         """Holds the change, and answers once it is enforced everywhere."""
         try:
             for _ in range(_TRIES):
                 held = await self._store_client.ask(RegisterCallKind.DESCRIBE, PARTNERS_REGISTER)
-                value = change(Document.read(held.value)).pack()
+                value = change(PartnersDocument.read(held.value)).pack()
                 if value == held.value:
                     return await self._answer_unchanged(held.number, value)
                 answer = await self._store_client.ask(
@@ -117,7 +117,7 @@
                     return await self._wait_enforced(
                         held.number, held.value, held.number + 1, value
                     )
-        except Refused as refused:
+        except PartnerChangeError as refused:
             log.info("partner's word refused", status=refused.status, reason=refused.reason)
             document = {wire_names.REASON: refused.reason}
             if refused.number is not None:
@@ -132,7 +132,7 @@
     async def _answer_unchanged(self, number: int, value: bytes) -> Answer:
         """It was taken before, perhaps only now: waited for as if it had been now."""
         await self._sleep(ENFORCED_AFTER.total_seconds())
-        digest = merge(number, value).digest
+        digest = build_partner_table(number, value).digest
         return json_answer(200, {"number": number, "digest": digest, "enforced": True})
 
     async def _wait_enforced(
@@ -142,7 +142,7 @@
         number: int,
         value: bytes,
     ) -> Answer:
-        before, after = merge(old_number, old), merge(number, value)
+        before, after = build_partner_table(old_number, old), build_partner_table(number, value)
         # Only what takes something away must be waited for.
         if _takes_away(before, after):
             await self._sleep(ENFORCED_AFTER.total_seconds())
--- a/marblefold/partners/coordinator.py
+++ b/marblefold/partners/coordinator.py
@@ -14,8 +14,8 @@
 from marblefold.errors import MeshError
 from marblefold.leases.held_leases import CLOCK_DRIFT_MARGIN, LEASE_SECONDS
 from marblefold.logs import log
-from marblefold.partners.document import Document, lapse
-from marblefold.partners.merging import PartnerTable, merge
+from marblefold.partners.document import PartnersDocument, mark_lapsed
+from marblefold.partners.partner_table import PartnerTable, build_partner_table
 from marblefold.register_store.call_kinds import RegisterCallKind
 from marblefold.register_store.register_client import RegisterClient
 
@@ -53,9 +53,9 @@
         """Takes in a document that a majority of the stores holds."""
         if number > self.number:
             self.number, self.value = number, value
-            self.table = merge(number, value)
+            self.table = build_partner_table(number, value)
 
-    def left(self) -> float:
+    def remaining_seconds(self) -> float:
         """Seconds for which the table here is certainly the newest one."""
         return max(0.0, self._verified_until - self._clock())
 
@@ -81,7 +81,7 @@
         await self._judge_lapses(self._clock())
 
     async def _judge_lapses(self, now: float) -> None:
-        document = Document.read(self.value)
+        document = PartnersDocument.read(self.value)
         for name, partner in document.partners.items():
             reads, since = self._seen.get(name, (-1, now))
             if reads != partner["reads"]:
@@ -91,7 +91,7 @@
                 continue
             # A lapsed partner stays so until it sends its exports again.
             if now - since > partner["lapse-after-s"] and self._is_holder():
-                changed = lapse(document, name, reads)
+                changed = mark_lapsed(document, name, reads)
                 answer = await self._store_client.ask(
                     RegisterCallKind.DUTY, PARTNERS_REGISTER, self.number, changed.pack()
                 )
--- a/marblefold/partners/document.py
+++ b/marblefold/partners/document.py
@@ -7,12 +7,19 @@
 import json
 from typing import NamedTuple
 
-from marblefold.partners.orders import Exports, Grant
+from marblefold.partners.request_bodies import Exports, Grant
 
-__all__ = ["Document", "Refused", "grant_partner", "lapse", "put_exports", "withdraw_partner"]
+__all__ = [
+    "PartnersDocument",
+    "PartnerChangeError",
+    "grant_partner",
+    "mark_lapsed",
+    "put_exports",
+    "withdraw_partner",
+]
 
 
-class Refused(Exception):
+class PartnerChangeError(Exception):
     """A change that is refused, with the HTTP status and the reason for the caller."""
 
     def __init__(self, status: int, reason: object, number: int | None = None) -> None:
@@ -23,7 +30,7 @@
         self.number = number
 
 
-class Document(NamedTuple):
+class PartnersDocument(NamedTuple):
     """Every partner by name, as JSON values."""
 
     partners: dict[str, dict]
@@ -33,17 +40,20 @@
         return json.dumps({"partners": self.partners}, sort_keys=True).encode()
 
     @classmethod
-    def read(cls, data: bytes) -> "Document":
+    def read(cls, data: bytes) -> "PartnersDocument":
         """The document in the bytes; no bytes give an empty one."""
         return cls(json.loads(data)["partners"] if data else {})
 
-    def with_partner(self, name: str, partner: dict) -> "Document":
+    def with_partner(self, name: str, partner: dict) -> "PartnersDocument":
         """The document with the partner added or replaced."""
-        return Document({**self.partners, name: partner})
+        return PartnersDocument({**self.partners, name: partner})
 
 
-def grant_partner(document: Document, name: str, grant: Grant) -> Document:
-    """The operator grants a partner. Raises Refused (409) for a number not above the held one."""
+def grant_partner(document: PartnersDocument, name: str, grant: Grant) -> PartnersDocument:
+    """Adds or replaces a partner by an operator's grant.
+
+    Raises PartnerChangeError (409) if the number is not above the stored one.
+    """
     held = document.partners.get(name)
     # Sent again after a lost answer: it was taken, so it is not refused.
     if held is not None and _is_same_grant(held, grant):
@@ -67,20 +77,20 @@
     )
 
 
-def withdraw_partner(document: Document, name: str) -> Document:
-    """The operator withdraws a partner. Raises Refused (404) where there is none."""
+def withdraw_partner(document: PartnersDocument, name: str) -> PartnersDocument:
+    """The operator withdraws a partner. Raises PartnerChangeError (404) where there is none."""
     held = _find(document, name)
     return document.with_partner(name, {**held, "withdrawn": True, "exports": []})
 
 
-def put_exports(document: Document, name: str, sent: Exports) -> Document:
+def put_exports(document: PartnersDocument, name: str, sent: Exports) -> PartnersDocument:
     """The partner sends its exports, new ones or the same again as a sign of life.
 
-    Raises Refused: 400 not granted, 403 withdrawn, 404 unknown, 409 number or conflict.
+    Raises PartnerChangeError: 400 not granted, 403 withdrawn, 404 unknown, 409 number or conflict.
     """
     held = _find(document, name)
     if held["withdrawn"]:
-        raise Refused(403, f"partner {name} is withdrawn")
+        raise PartnerChangeError(403, f"partner {name} is withdrawn")
     rows = [
         {
             "host": export.host,
@@ -104,7 +114,7 @@
         if other:
             faults.append(f"exports[{index}].prefix: {other} exports the same host and prefix")
     if faults:
-        raise Refused(409 if "same host" in faults[0] else 400, faults)
+        raise PartnerChangeError(409 if "same host" in faults[0] else 400, faults)
     return document.with_partner(
         name,
         {
@@ -117,7 +127,7 @@
     )
 
 
-def lapse(document: Document, name: str, reads: int) -> Document:
+def mark_lapsed(document: PartnersDocument, name: str, reads: int) -> PartnersDocument:
     """Marks a partner that has not sent its exports for too long.
 
     Changes nothing if it has sent them since `reads` was seen.
@@ -139,21 +149,21 @@
     ) == (grant.number, grant.hosts, grant.address, grant.credential, grant.lapse_after_s)
 
 
-def _find(document: Document, name: str) -> dict:
+def _find(document: PartnersDocument, name: str) -> dict:
     held = document.partners.get(name)
     if held is None:
-        raise Refused(404, f"no partner {name!r}")
+        raise PartnerChangeError(404, f"no partner {name!r}")
     return held
 
 
 def _check_number(held: dict | None, field: str, number: int) -> None:
     if held is not None and number <= held[field]:
-        raise Refused(
+        raise PartnerChangeError(
             409, f"{field}: {number} is not above {held[field]}, which holds", held[field]
         )
 
 
-def _find_exporter(document: Document, name: str, row: dict) -> str:
+def _find_exporter(document: PartnersDocument, name: str, row: dict) -> str:
     for other, partner in document.partners.items():
         if other == name or partner["withdrawn"]:
             continue
--- a/marblefold/partners/merging.py
+++ b/marblefold/partners/partner_table.py
@@ -10,7 +10,7 @@
 
 from marblefold.configuration.rows import Route
 
-__all__ = ["PartnerTable", "UPSTREAM_PREFIX", "merge", "partner_of"]
+__all__ = ["PartnerTable", "UPSTREAM_PREFIX", "build_partner_table", "partner_of"]
 
 UPSTREAM_PREFIX = "partner/"
 _MILLISECOND = timedelta(milliseconds=1)
@@ -34,7 +34,7 @@
         return prefixes[max(fitting, key=len)] if fitting else None
 
 
-def merge(number: int, value: bytes) -> PartnerTable:
+def build_partner_table(number: int, value: bytes) -> PartnerTable:
     """The table of the partners' document at its number."""
     # Imported here: only a node with partners pays for this library.
     import hashlib
--- a/marblefold/registry/site_coordination.py
+++ b/marblefold/registry/site_coordination.py
@@ -18,7 +18,7 @@
 from marblefold.ownership.claims import Owner, find_clashes, read_owners
 from marblefold.partners.calls import PartnerCalls
 from marblefold.partners.coordinator import PARTNERS_REGISTER, PartnerCoordinator
-from marblefold.partners.document import Document
+from marblefold.partners.document import PartnersDocument
 from marblefold.register_store.register_client import RegisterClient
 from marblefold.register_store.register_files import RegisterFiles
 from marblefold.registry.catalogue import Catalogue
@@ -152,9 +152,9 @@
 
 def _remove_credentials(value: bytes) -> bytes:
     """Removes the partners' credentials, which nodes do not need."""
-    return Document(
+    return PartnersDocument(
         {
             name: {key: field for key, field in partner.items() if key != "credential"}
-            for name, partner in Document.read(value).partners.items()
+            for name, partner in PartnersDocument.read(value).partners.items()
         }
     ).pack()
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -14,7 +14,12 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.leases.held_leases import HeldLeases
 from marblefold.logs import log
-from marblefold.partners.merging import UPSTREAM_PREFIX, PartnerTable, merge, partner_of
+from marblefold.partners.partner_table import (
+    UPSTREAM_PREFIX,
+    PartnerTable,
+    build_partner_table,
+    partner_of,
+)
 
 __all__ = ["KnownOwner", "KnownTarget", "MeshView"]
 
@@ -102,7 +107,7 @@
             self.registries = set(entry.value.decode().split("\n"))
         elif entry.kind == "partners":
             is_first = self.partners is None
-            self.partners = merge(entry.number, entry.value)
+            self.partners = build_partner_table(entry.number, entry.value)
             if is_first and self.on_partners is not None:
                 self.on_partners()
             log.info("partner routes", number=entry.number, digest=self.partners.digest)
--- a/tests/simulated_leases.py
+++ b/tests/simulated_leases.py
@@ -7,8 +7,8 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.leases.granting import LeaseGranter
 from marblefold.partners.coordinator import ENFORCED_AFTER, PartnerCoordinator
-from marblefold.partners.document import Document
-from marblefold.partners.merging import merge
+from marblefold.partners.document import PartnersDocument
+from marblefold.partners.partner_table import build_partner_table
 from marblefold.proxy.lease_client import LeaseClient
 from marblefold.request_path.mesh_view import MeshView
 
@@ -16,7 +16,7 @@
 
 
 def make_document(prefixes):
-    return Document(
+    return PartnersDocument(
         {
             "dealer": {
                 "number": 1,
@@ -166,4 +166,4 @@
 
 
 def digest_of(world):
-    return merge(world.number, world.value).digest
+    return build_partner_table(world.number, world.value).digest
--- a/tests/test_bad_control_input.py
+++ b/tests/test_bad_control_input.py
@@ -17,7 +17,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.maintenance.model import Document as MaintenanceDocument
 from marblefold.ownership.claims import read_owners
-from marblefold.partners.merging import merge
+from marblefold.partners.partner_table import build_partner_table
 from tests.control_documents import BEARER, BODIES, CONFIGURATION, places_of, put_at
 from tests.simulated_control import Control, pack_request
 
@@ -90,7 +90,7 @@
     """Reads what holds as every registry and proxy would."""
     held = stores.held
     lay_out(read_configuration(held["configuration"].value))
-    merge(held["partners"].number, held["partners"].value)
+    build_partner_table(held["partners"].number, held["partners"].value)
     read_owners(held["owners"].value)
     MaintenanceDocument.read(held["maintenance"].value)
     for register, record in held.items():
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -7,15 +7,15 @@
 from hypothesis import strategies as st
 
 from marblefold.partners.document import (
-    Document,
-    Refused,
+    PartnerChangeError,
+    PartnersDocument,
     grant_partner,
-    lapse,
+    mark_lapsed,
     put_exports,
     withdraw_partner,
 )
-from marblefold.partners.merging import merge
-from marblefold.partners.orders import is_credential, read_exports, read_grant
+from marblefold.partners.partner_table import build_partner_table
+from marblefold.partners.request_bodies import is_credential, read_exports, read_grant
 
 SECRET = "a-long-enough-secret"
 
@@ -48,15 +48,15 @@
 
 
 def refusal(change, *arguments):
-    with pytest.raises(Refused) as caught:
+    with pytest.raises(PartnerChangeError) as caught:
         change(*arguments)
     return caught.value
 
 
 def test_only_what_is_exported_by_a_word_that_stands_is_reachable():
-    document = grant_partner(Document({}), "yard", grant())
+    document = grant_partner(PartnersDocument({}), "yard", grant())
     document = put_exports(document, "yard", exports(4, ("one", "/open/")))
-    table = merge(1, document.pack())
+    table = build_partner_table(1, document.pack())
     assert table.find("ONE:80", "/open/x?q").upstreams == ("partner/yard",)
     assert table.find("one", "/private/") is None and table.find("two", "/open/") is None
     old = refusal(put_exports, document, "yard", exports(3))
@@ -65,16 +65,16 @@
     again = put_exports(document, "yard", exports(4, ("one", "/open/")))
     assert again.partners["yard"]["reads"] == 2
     assert refusal(put_exports, document, "yard", exports(4)).status == 409
-    assert merge(2, withdraw_partner(document, "yard").pack()).routes == {}
-    silent = lapse(document, "yard", 1)
-    assert merge(2, silent.pack()).routes == {}
-    assert lapse(again, "yard", 1) == again
+    assert build_partner_table(2, withdraw_partner(document, "yard").pack()).routes == {}
+    silent = mark_lapsed(document, "yard", 1)
+    assert build_partner_table(2, silent.pack()).routes == {}
+    assert mark_lapsed(again, "yard", 1) == again
     back = put_exports(silent, "yard", exports(4, ("one", "/open/")))
-    assert merge(3, back.pack()).digest == table.digest
+    assert build_partner_table(3, back.pack()).digest == table.digest
 
 
 def test_a_place_belongs_to_one_partner_and_none_speaks_beyond_its_grant():
-    document = Document({})
+    document = PartnersDocument({})
     for name in ("yard", "mill"):
         document = grant_partner(document, name, grant())
     document = put_exports(document, "yard", exports(1, ("one", "/a/")))
@@ -131,17 +131,17 @@
 
 @given(PLACES, st.sampled_from(["/", "/a", "/a/", "/a/b/c", "/c/x", "/d/"]), st.randoms())
 def test_the_merged_table_finds_what_a_slow_model_finds_in_any_order(places, path, random):
-    document = grant_partner(Document({}), "yard", grant(hosts=("one", "two")))
+    document = grant_partner(PartnersDocument({}), "yard", grant(hosts=("one", "two")))
     document = put_exports(document, "yard", exports(1, *places))
     shuffled = list(places)
     random.shuffle(shuffled)
     other = put_exports(
-        grant_partner(Document({}), "yard", grant(hosts=("two", "one"))),
+        grant_partner(PartnersDocument({}), "yard", grant(hosts=("two", "one"))),
         "yard",
         exports(1, *shuffled),
     )
-    table = merge(1, document.pack())
-    assert table.digest == merge(7, other.pack()).digest
+    table = build_partner_table(1, document.pack())
+    assert table.digest == build_partner_table(7, other.pack()).digest
     best = ""
     for host, prefix in places:
         if host == "one" and path.startswith(prefix) and len(prefix) > len(best):
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -12,7 +12,7 @@
 from marblefold.http_connections.call_router import CallRouter
 from marblefold.maintenance.calls import MaintenanceCalls
 from marblefold.ownership.calls import OwnerCalls
-from marblefold.partners import orders
+from marblefold.partners import request_bodies
 from marblefold.partners.calls import PartnerCalls
 from marblefold.proxy.beats import BeatCalls, read_beat
 from marblefold.registry.control_calls import ControlCalls
@@ -77,9 +77,9 @@
         model.Split,
         model.Upstream,
         model.Limits,
-        orders.Grant,
-        orders.Exports,
-        orders.Export,
+        request_bodies.Grant,
+        request_bodies.Exports,
+        request_bodies.Export,
     ):
         fields = {field.name.replace("_", "-") for field in kind.__attrs_attrs__}
         assert fields == set(SCHEMAS[kind.__name__]["properties"]), kind
