--- a/marblefold/maintenance/calls.py
+++ b/marblefold/maintenance/calls.py
@@ -14,7 +14,12 @@
     not_now_answer,
 )
 from marblefold.maintenance.coordinator import MAINTENANCE_REGISTER
-from marblefold.maintenance.model import Document, WindowState, read_floors_body, read_window_body
+from marblefold.maintenance.model import (
+    MaintenanceDocument,
+    WindowState,
+    read_floors_body,
+    read_window_body,
+)
 from marblefold.maintenance.planning import change_state
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.register_client import RegisterClient
@@ -66,10 +71,11 @@
             held = await self._store_client.ask(RegisterCallKind.DESCRIBE, MAINTENANCE_REGISTER)
         except MeshError as error:
             return not_now_answer(error)
-        document = Document.read(held.value)
+        document = MaintenanceDocument.read(held.value)
         windows = sorted(document.windows.values(), key=lambda window: window.expected_start)
         return json_answer(
-            200, {"floors": document.floors, "windows": [window.to_plain() for window in windows]}
+            200,
+            {"floors": document.floors, "windows": [window.to_json_object() for window in windows]},
         )
 
     async def _set_floors(self, call: Call) -> Answer:
@@ -85,20 +91,20 @@
         except ExceptionGroup as group:
             return faults_answer(group)
 
-        def change(document: Document) -> Document:
+        def change(document: MaintenanceDocument) -> MaintenanceDocument:
             known = document.windows.get(window.name)
             # Sent again after a lost answer: it was taken, wherever it stands now.
-            if known is not None and known.is_wished_like(window) and known.state in _STANDING:
+            if known is not None and known.is_same_request(window) and known.state in _STANDING:
                 return document
             # What runs, or still has its zone to give back, is not overwritten.
-            if known is not None and (known.state is WindowState.RUNNING or known.is_emptied):
+            if known is not None and (known.state is WindowState.RUNNING or known.is_evacuated):
                 raise _Refused(409, f"window {window.name} is running")
             return _without_old(document).with_window(window)
 
         return await self._change(change)
 
     async def _withdraw(self, call: Call) -> Answer:
-        def change(document: Document) -> Document:
+        def change(document: MaintenanceDocument) -> MaintenanceDocument:
             known = document.windows.get(call.subject)
             if known is None:
                 raise _Refused(404, f"no window {call.subject!r}")
@@ -110,12 +116,12 @@
 
         return await self._change(change)
 
-    async def _change(self, change: Callable[[Document], Document]) -> Answer:
+    async def _change(self, change: Callable[[MaintenanceDocument], MaintenanceDocument]) -> Answer:
         """Changes the document at the number it was read at, or tries again."""
         try:
             for _ in range(_TRIES):
                 held = await self._store_client.ask(RegisterCallKind.DESCRIBE, MAINTENANCE_REGISTER)
-                value = change(Document.read(held.value)).pack()
+                value = change(MaintenanceDocument.read(held.value)).pack()
                 if value == held.value:
                     return json_answer(200, {})
                 answer = await self._store_client.ask(
@@ -132,13 +138,13 @@
         )
 
 
-def _without_old(document: Document) -> Document:
+def _without_old(document: MaintenanceDocument) -> MaintenanceDocument:
     """What is long over need not be carried for ever."""
     oldest = datetime.now(UTC) - _KEPT
     return document._replace(
         windows={
             name: window
             for name, window in document.windows.items()
-            if window.is_emptied or not window.state.is_over or window.latest_end > oldest
+            if window.is_evacuated or not window.state.is_over or window.latest_end > oldest
         }
     )
--- a/marblefold/maintenance/coordinator.py
+++ b/marblefold/maintenance/coordinator.py
@@ -11,8 +11,8 @@
 
 from marblefold.errors import MeshError
 from marblefold.logs import log
-from marblefold.maintenance.model import Document, Window, WindowState
-from marblefold.maintenance.planning import LiveSlots, change_state, plan_windows, shortfalls
+from marblefold.maintenance.model import MaintenanceDocument, Window, WindowState
+from marblefold.maintenance.planning import LiveSlots, change_state, find_shortfalls, plan_windows
 from marblefold.register_store.call_kinds import RegisterCallKind
 from marblefold.register_store.changes import EvacuationState
 from marblefold.register_store.register_client import RegisterClient
@@ -41,7 +41,7 @@
     """Holds the newest document known and acts on it while this registry has the duty."""
 
     def __init__(self, store_client: RegisterClient, mesh_state: MeshState) -> None:
-        self.document = Document({}, {})
+        self.document = MaintenanceDocument({}, {})
         self.number = 0
         self._store_client = store_client
         self._mesh_state = mesh_state
@@ -51,7 +51,7 @@
         """Takes in a document that a majority of the stores holds."""
         if number > self.number:
             self.number = number
-            self.document = Document.read(value)
+            self.document = MaintenanceDocument.read(value)
 
     async def run(self) -> None:
         """One step a second, for ever; without windows it does nothing."""
@@ -83,28 +83,28 @@
         self._warn_of_shortfalls()
 
     async def _act(self, window: Window) -> Window:
-        if window.state is WindowState.RUNNING and not window.is_emptied:
+        if window.state is WindowState.RUNNING and not window.is_evacuated:
             emptied = await self._change_zone(RegisterCallKind.WINDOW_EMPTY, window.zone)
             # Another order came in between: judged anew in the next round.
             if emptied is EvacuationState.OFF:
                 return window
             log.info("window runs", window=window.name, zone=window.zone)
-            return window._replace(is_emptied=True)
+            return window._replace(is_evacuated=True)
         if (
             window.state is WindowState.RUNNING
             and self._mesh_state.evacuation(window.zone) == EvacuationState.OFF.value
         ):
             # The operator's own order takes precedence.
             return change_state(
-                window, WindowState.FINISHED, is_emptied=False, reason="taken back by an operator"
+                window, WindowState.FINISHED, is_evacuated=False, reason="taken back by an operator"
             )
-        if window.state.is_over and window.is_emptied:
+        if window.state.is_over and window.is_evacuated:
             if not self._is_zone_in_use(window.zone):
                 released = await self._change_zone(RegisterCallKind.WINDOW_RELEASE, window.zone)
                 if released is EvacuationState.WINDOW:
                     return window
                 log.info("window over", window=window.name, zone=window.zone)
-            return window._replace(is_emptied=False)
+            return window._replace(is_evacuated=False)
         return window
 
     async def _release_left_over(self) -> None:
@@ -127,7 +127,7 @@
             for window in self.document.windows.values()
         )
 
-    async def _hold(self, document: Document) -> bool:
+    async def _hold(self, document: MaintenanceDocument) -> bool:
         """Whether the document was stored at the number it was made from."""
         value = document.pack()
         answer = await self._store_client.ask(
@@ -142,7 +142,7 @@
             for window in self.document.windows.values()
             if window.state is WindowState.RUNNING
         }
-        missing = shortfalls(self.document.floors, self._mesh_state.live_slots(), zones)
+        missing = find_shortfalls(self.document.floors, self._mesh_state.live_slots(), zones)
         # Logged once for each change, not every second.
         if zones and missing != self._warned and missing:
             log.warning("below floor while windows run", zones=sorted(zones), missing=missing)
--- a/marblefold/maintenance/model.py
+++ b/marblefold/maintenance/model.py
@@ -8,7 +8,7 @@
 from marblefold.errors import MeshError
 from marblefold.json_bodies import BadBody, read_object
 
-__all__ = ["Document", "Window", "WindowState", "read_floors_body", "read_window_body"]
+__all__ = ["MaintenanceDocument", "Window", "WindowState", "read_floors_body", "read_window_body"]
 
 _LONGEST = timedelta(days=7)
 _FIRST_YEAR, _LAST_YEAR = 1970, 2500
@@ -46,7 +46,7 @@
     start: datetime | None = None
     reason: str = ""
     # Whether the zone has been evacuated for it.
-    is_emptied: bool = False
+    is_evacuated: bool = False
 
     @property
     def expected_start(self) -> datetime:
@@ -58,7 +58,7 @@
         """Its actual or planned end."""
         return self.expected_start + self.length
 
-    def is_wished_like(self, other: "Window") -> bool:
+    def is_same_request(self, other: "Window") -> bool:
         """Whether both are the same wish of an operator, wherever they stand."""
         return (self.name, self.zone, self.wanted_start, self.length, self.latest_end) == (
             other.name,
@@ -68,7 +68,7 @@
             other.latest_end,
         )
 
-    def to_plain(self) -> dict:
+    def to_json_object(self) -> dict:
         """The window as a JSON object for operators and stores."""
         return {
             "name": self.name,
@@ -80,11 +80,11 @@
             "start": self.start.isoformat() if self.start else None,
             "expected-start": self.expected_start.isoformat(),
             "reason": self.reason,
-            "emptied": self.is_emptied,
+            "emptied": self.is_evacuated,
         }
 
 
-class Document(NamedTuple):
+class MaintenanceDocument(NamedTuple):
     """All floors and windows, in one register so that every grant is a single change."""
 
     floors: dict[str, int]
@@ -95,13 +95,13 @@
         return json.dumps(
             {
                 "floors": self.floors,
-                "windows": [window.to_plain() for window in self.windows.values()],
+                "windows": [window.to_json_object() for window in self.windows.values()],
             },
             sort_keys=True,
         ).encode()
 
     @classmethod
-    def read(cls, data: bytes) -> "Document":
+    def read(cls, data: bytes) -> "MaintenanceDocument":
         """The document in the bytes; no bytes give an empty one."""
         if not data:
             return cls({}, {})
@@ -121,7 +121,7 @@
             )
         return cls(plain["floors"], windows)
 
-    def with_window(self, window: Window) -> "Document":
+    def with_window(self, window: Window) -> "MaintenanceDocument":
         """The document with the window added or replaced."""
         return self._replace(windows={**self.windows, window.name: window})
 
--- a/marblefold/maintenance/planning.py
+++ b/marblefold/maintenance/planning.py
@@ -8,9 +8,9 @@
 from datetime import datetime
 from typing import NamedTuple
 
-from marblefold.maintenance.model import Document, Window, WindowState
+from marblefold.maintenance.model import MaintenanceDocument, Window, WindowState
 
-__all__ = ["LiveSlots", "change_state", "plan_windows", "shortfalls"]
+__all__ = ["LiveSlots", "change_state", "plan_windows", "find_shortfalls"]
 
 _ALLOWED = {
     WindowState.PLANNED: set(WindowState),
@@ -29,7 +29,7 @@
 
     slots: dict[tuple[str, str], int]
 
-    def outside(self, upstream: str, zones: set[str]) -> int:
+    def count_outside(self, upstream: str, zones: set[str]) -> int:
         """The slots of the upstream outside the zones."""
         return sum(
             count
@@ -45,17 +45,19 @@
     return window._replace(state=state, **fields)
 
 
-def shortfalls(floors: dict[str, int], live: LiveSlots, zones: set[str]) -> list[str]:
+def find_shortfalls(floors: dict[str, int], live: LiveSlots, zones: set[str]) -> list[str]:
     """The floors that would not be kept with the zones evacuated, as text."""
     found = []
     for upstream in sorted(floors):
-        left = live.outside(upstream, zones)
+        left = live.count_outside(upstream, zones)
         if left < floors[upstream]:
             found.append(f"{upstream}: {left} slots left, the floor is {floors[upstream]}")
     return found
 
 
-def plan_windows(document: Document, live: LiveSlots, now: datetime) -> Document:
+def plan_windows(
+    document: MaintenanceDocument, live: LiveSlots, now: datetime
+) -> MaintenanceDocument:
     """The document as it should be at `now`; an equal one if nothing changes."""
     running = {}
     windows = dict(document.windows)
@@ -103,7 +105,7 @@
         if end > window.latest_end:
             break
         zones = _zones_during(ahead, start, end)
-        missing = shortfalls(floors, live, zones | {window.zone})
+        missing = find_shortfalls(floors, live, zones | {window.zone})
         if missing:
             reason = reason or "; ".join(missing)
             continue
--- a/tests/test_bad_control_input.py
+++ b/tests/test_bad_control_input.py
@@ -15,7 +15,7 @@
 from marblefold.configuration.laying_out import lay_out
 from marblefold.configuration.reading import read_configuration
 from marblefold.inner_protocol.messages import kinds
-from marblefold.maintenance.model import Document as MaintenanceDocument
+from marblefold.maintenance.model import MaintenanceDocument
 from marblefold.ownership.claims import read_owners
 from marblefold.partners.partner_table import build_partner_table
 from tests.control_documents import BEARER, BODIES, CONFIGURATION, places_of, put_at
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -8,13 +8,13 @@
 from hypothesis import strategies as st
 
 from marblefold.maintenance.model import (
-    Document,
+    MaintenanceDocument,
     Window,
     WindowState,
     read_floors_body,
     read_window_body,
 )
-from marblefold.maintenance.planning import LiveSlots, change_state, plan_windows, shortfalls
+from marblefold.maintenance.planning import LiveSlots, change_state, find_shortfalls, plan_windows
 
 NIGHT = datetime(2026, 3, 1, 22, 0, tzinfo=UTC)
 
@@ -28,7 +28,7 @@
 
 
 def make_document(floors, *windows):
-    return Document(floors, {window.name: window for window in windows})
+    return MaintenanceDocument(floors, {window.name: window for window in windows})
 
 
 LIVE = LiveSlots({("quotes", "a"): 10, ("quotes", "b"): 10, ("quotes", "c"): 10})
@@ -136,7 +136,7 @@
                 assert window.reason
         # The same question again changes nothing.
         assert plan_windows(document, live, now) == document
-        assert Document.read(document.pack()) == document
+        assert MaintenanceDocument.read(document.pack()) == document
         if withdraw and document.windows:
             name = sorted(document.windows)[0]
             if not document.windows[name].state.is_over:
@@ -185,4 +185,4 @@
     window = make_window("w", "a", 0, 10, 60)._replace(state=WindowState.FINISHED)
     with pytest.raises(ValueError):
         change_state(window, WindowState.RUNNING)
-    assert shortfalls({"quotes": 30}, LIVE, set()) == []
+    assert find_shortfalls({"quotes": 30}, LIVE, set()) == []
--- a/tests/test_maintenance_duty.py
+++ b/tests/test_maintenance_duty.py
@@ -11,7 +11,7 @@
 
 from marblefold.errors import MeshError
 from marblefold.maintenance.coordinator import MAINTENANCE_REGISTER, MaintenanceCoordinator
-from marblefold.maintenance.model import Document, Window, WindowState
+from marblefold.maintenance.model import MaintenanceDocument, Window, WindowState
 from marblefold.maintenance.planning import LiveSlots, change_state
 from marblefold.register_store.changes import (
     RegisterContent,
@@ -103,7 +103,7 @@
 def make(*windows):
     registers = Registers()
     world = World(registers)
-    document = Document({"quotes": FLOOR}, {one.name: one for one in windows})
+    document = MaintenanceDocument({"quotes": FLOOR}, {one.name: one for one in windows})
     registers.held[MAINTENANCE_REGISTER] = RegisterContent(1, document.pack())
     duties = [MaintenanceCoordinator(registers, world) for _ in range(2)]
     for duty in duties:
@@ -112,7 +112,7 @@
 
 
 def held_document(registers):
-    return Document.read(registers.find(MAINTENANCE_REGISTER).value)
+    return MaintenanceDocument.read(registers.find(MAINTENANCE_REGISTER).value)
 
 
 def test_two_holders_never_grant_both_windows():
@@ -121,7 +121,7 @@
     # The second still plans on the document from before the first one's grant.
     duties[1].number, duties[1].document = (
         1,
-        Document({"quotes": FLOOR}, {"two": window("two", "b")}),
+        MaintenanceDocument({"quotes": FLOOR}, {"two": window("two", "b")}),
     )
     run(duties[1].step())
     assert world.evacuation("a") == b"window" and world.evacuation("b") == b""
@@ -131,7 +131,9 @@
 def test_a_holder_that_died_after_the_grant_is_followed_by_one_that_empties():
     registers, world, duties = make(window("one", "a"))
     granted = change_state(window("one", "a"), WindowState.RUNNING, start=NIGHT)
-    registers.held[MAINTENANCE_REGISTER] = RegisterContent(2, Document({}, {"one": granted}).pack())
+    registers.held[MAINTENANCE_REGISTER] = RegisterContent(
+        2, MaintenanceDocument({}, {"one": granted}).pack()
+    )
     duties[1].take(2, registers.find(MAINTENANCE_REGISTER).value)
     run(duties[1].step())
     assert world.evacuation("a") == b"window"
