--- a/marblefold/maintenance/coordinator.py
+++ b/marblefold/maintenance/coordinator.py
@@ -47,7 +47,7 @@
         self._mesh_state = mesh_state
         self._warned: list[str] = []
 
-    def take(self, number: int, value: bytes) -> None:
+    def apply_document(self, number: int, value: bytes) -> None:
         """Takes in a document that a majority of the stores holds."""
         if number > self.number:
             self.number = number
@@ -133,7 +133,7 @@
         answer = await self._store_client.ask(
             RegisterCallKind.MAINTENANCE, MAINTENANCE_REGISTER, self.number, value
         )
-        self.take(answer.number, answer.value)
+        self.apply_document(answer.number, answer.value)
         return answer.value == value
 
     def _warn_of_shortfalls(self) -> None:
--- a/marblefold/ownership/agent.py
+++ b/marblefold/ownership/agent.py
@@ -14,7 +14,7 @@
 from marblefold.errors import MeshError
 from marblefold.leases.held_leases import CLOCK_DRIFT_MARGIN, LEASE_SECONDS, OwnedLease
 from marblefold.logs import log
-from marblefold.ownership.claims import Claim, Owner, Verdict, read_owners, settle
+from marblefold.ownership.claims import Claim, Owner, Verdict, decide_claim, read_owners
 from marblefold.register_store.call_kinds import RegisterCallKind
 from marblefold.register_store.register_client import RegisterClient
 
@@ -69,11 +69,11 @@
         loaded = records.load().get(_RECORD, b"{}")
         self._written: dict[str, list[int]] = json.loads(loaded)
 
-    def take_record(self, value: bytes) -> None:
+    def apply_owners_record(self, value: bytes) -> None:
         """Takes in the operator's record of which sites may own which services."""
         self._listed = read_owners(value)
 
-    def grants(self) -> tuple[OwnedLease, ...]:
+    def owned_leases(self) -> tuple[OwnedLease, ...]:
         """What the guards of this site may serve, and for how long from now."""
         now = self._clock()
         return tuple(
@@ -115,7 +115,7 @@
         # Who goes first by the operator's record, but does not come, has lost.
         if began - seen.since > _RIVALS_LEASES * LEASE_SECONDS:
             rivals = frozenset()
-        verdict, wanted = settle(
+        verdict, wanted = decide_claim(
             listed, owner, Claim(self._site, self._agent, epoch, renewals), is_lapsed, rivals
         )
         if verdict is Verdict.OWNER:
--- a/marblefold/ownership/background_records.py
+++ b/marblefold/ownership/background_records.py
@@ -10,7 +10,7 @@
 
 __all__ = ["BackgroundRecords"]
 
-_MOST_LOAD_SECONDS = 1.0
+_LOAD_TIMEOUT_SECONDS = 1.0
 
 
 class Records(Protocol):
@@ -29,10 +29,12 @@
     """
 
     def __init__(
-        self, open_records: Callable[[], Records], most_load_seconds: float = _MOST_LOAD_SECONDS
+        self,
+        open_records: Callable[[], Records],
+        load_timeout_seconds: float = _LOAD_TIMEOUT_SECONDS,
     ) -> None:
         self._open_records = open_records
-        self._most_load_seconds = most_load_seconds
+        self._load_timeout_seconds = load_timeout_seconds
         self._records: Records | None = None
         self._waiting: dict[str, bytes] = {}
         self._lock = threading.Lock()
@@ -42,7 +44,7 @@
         """The records, or none where the disk does not give them within a second."""
         future = self._thread.submit(self._load)
         try:
-            return future.result(timeout=self._most_load_seconds)
+            return future.result(timeout=self._load_timeout_seconds)
         except (DiskError, TimeoutError) as error:
             log.warning("records not loaded", reason=str(error) or "the disk does not answer")
             return {}
--- a/marblefold/ownership/calls.py
+++ b/marblefold/ownership/calls.py
@@ -21,13 +21,13 @@
 from marblefold.register_store.call_kinds import RegisterCallKind
 from marblefold.register_store.register_client import RegisterClient
 
-__all__ = ["Claimed", "OwnerCalls"]
+__all__ = ["KnownClaims", "OwnerCalls"]
 
 _LARGEST_BODY = 1024 * 1024
 _LARGEST_NUMBER = 10**15
 
 
-class Claimed(NamedTuple):
+class KnownClaims(NamedTuple):
     """The owners and claimants that this registry knows."""
 
     claimants: dict[str, set[tuple[str, str]]]
@@ -37,7 +37,7 @@
 class OwnerCalls:
     """Checks the operator's record, has it held, and shows clashes."""
 
-    def __init__(self, store_client: RegisterClient, claimed: Callable[[], Claimed]) -> None:
+    def __init__(self, store_client: RegisterClient, claimed: Callable[[], KnownClaims]) -> None:
         self._store_client = store_client
         self._claimed = claimed
 
--- a/marblefold/ownership/claims.py
+++ b/marblefold/ownership/claims.py
@@ -8,7 +8,7 @@
 import json
 from typing import NamedTuple
 
-__all__ = ["Claim", "Owner", "Verdict", "find_clashes", "read_owners", "settle"]
+__all__ = ["Claim", "Owner", "Verdict", "find_clashes", "read_owners", "decide_claim"]
 
 
 class Verdict(enum.Enum):
@@ -50,7 +50,7 @@
     renewals: int
 
 
-def settle(
+def decide_claim(
     listed: tuple[str, ...],
     held: Owner,
     claim: Claim,
--- a/marblefold/partners/calls.py
+++ b/marblefold/partners/calls.py
@@ -113,7 +113,7 @@
                     RegisterCallKind.DUTY, PARTNERS_REGISTER, held.number, value
                 )
                 if Outcome.read(answer.outcome) is Outcome.APPLIED:
-                    self._coordinator.take(answer.number, answer.value)
+                    self._coordinator.apply_document(answer.number, answer.value)
                     return await self._wait_enforced(
                         held.number, held.value, held.number + 1, value
                     )
--- a/marblefold/partners/coordinator.py
+++ b/marblefold/partners/coordinator.py
@@ -49,7 +49,7 @@
         # By partner: its newest count of reads and when that was first seen, in seconds.
         self._seen: dict[str, tuple[int, float]] = {}
 
-    def take(self, number: int, value: bytes) -> None:
+    def apply_document(self, number: int, value: bytes) -> None:
         """Takes in a document that a majority of the stores holds."""
         if number > self.number:
             self.number, self.value = number, value
@@ -74,7 +74,7 @@
         """Reads through a majority, then marks lapsed partners. Raises MeshError without one."""
         began = self._clock()
         held = await self._store_client.ask(RegisterCallKind.DESCRIBE, PARTNERS_REGISTER)
-        self.take(held.number, held.value)
+        self.apply_document(held.number, held.value)
         # The read saw every change that was chosen before it began.
         if held.number == self.number:
             self._verified_until = began + LEASE_SECONDS
@@ -95,6 +95,6 @@
                 answer = await self._store_client.ask(
                     RegisterCallKind.DUTY, PARTNERS_REGISTER, self.number, changed.pack()
                 )
-                self.take(answer.number, answer.value)
+                self.apply_document(answer.number, answer.value)
                 log.warning("partner lapsed", partner=name, silent=round(now - since, 1))
                 return
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -235,7 +235,7 @@
                 )
             )
         elif record.register == MAINTENANCE_REGISTER:
-            self.maintenance.take(record.number, record.value)
+            self.maintenance.apply_document(record.number, record.value)
         elif record.register == "view":
             self._apply_view(record)
         else:
--- a/marblefold/registry/site_coordination.py
+++ b/marblefold/registry/site_coordination.py
@@ -14,7 +14,7 @@
 from marblefold.node_config.reading import NodeConfig
 from marblefold.ownership.agent import OWNER_PREFIX, OWNERS_REGISTER, SiteAgent
 from marblefold.ownership.background_records import BackgroundRecords
-from marblefold.ownership.calls import Claimed, OwnerCalls
+from marblefold.ownership.calls import KnownClaims, OwnerCalls
 from marblefold.ownership.claims import Owner, find_clashes, read_owners
 from marblefold.partners.calls import PartnerCalls
 from marblefold.partners.coordinator import PARTNERS_REGISTER, PartnerCoordinator
@@ -60,7 +60,7 @@
                 lambda: self._collect_claims().claimants,
             )
             self.granter.site = config.site
-            self.granter.owned = self.agent.grants
+            self.granter.owned = self.agent.owned_leases
 
     def add_to(self, router: CallRouter) -> None:
         """Registers the administration calls with the router."""
@@ -77,7 +77,7 @@
     def apply_record(self, register: str, number: int, value: bytes) -> None:
         """Applies a record that a majority holds and publishes it in the feed."""
         if register == PARTNERS_REGISTER:
-            self.partners.take(number, value)
+            self.partners.apply_document(number, value)
             self._catalogue.put(
                 kinds.Entry(
                     kind="partners",
@@ -108,7 +108,7 @@
     def _apply_owners_record(self, value: bytes) -> None:
         previous, self._owned_services = self._owned_services, read_owners(value)
         if self.agent is not None:
-            self.agent.take_record(value)
+            self.agent.apply_owners_record(value)
         for upstream in self._owned_services:
             # The service is owned from now on; nobody serves it until it has an owner.
             self._catalogue.put(kinds.Entry(kind="owner", key=upstream, number=1))
@@ -136,7 +136,7 @@
         )
         self.report_claim_conflicts()
 
-    def _collect_claims(self) -> Claimed:
+    def _collect_claims(self) -> KnownClaims:
         claimants: dict[str, set[tuple[str, str]]] = {}
         for entry in self._catalogue.entries("target"):
             notice = kinds.TargetNotice.FromString(entry.value)
@@ -147,7 +147,7 @@
             for entry in self._catalogue.entries("owner")
             if entry.value
         }
-        return Claimed(claimants, owners)
+        return KnownClaims(claimants, owners)
 
 
 def _remove_credentials(value: bytes) -> bytes:
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -16,7 +16,7 @@
 from marblefold.http_connections.client_connection import ClientConnection
 from marblefold.inner_protocol.messages import kinds
 from marblefold.maintenance.calls import MaintenanceCalls
-from marblefold.ownership.calls import Claimed, OwnerCalls
+from marblefold.ownership.calls import KnownClaims, OwnerCalls
 from marblefold.partners.calls import PartnerCalls
 from marblefold.partners.coordinator import PartnerCoordinator
 from marblefold.register_store.changes import RegisterContent
@@ -99,7 +99,7 @@
             history,
             RehearsalCalls(self.stores, dict),
             PartnerCalls(self.stores, duty, dict, sleep=_no_sleep),
-            OwnerCalls(self.stores, lambda: Claimed({}, {})),
+            OwnerCalls(self.stores, lambda: KnownClaims({}, {})),
             MaintenanceCalls(self.stores, lambda: ZONES, lambda: CAPACITY),
             ControlCalls(self.stores, lambda: ZONES, dict),
         )
--- a/tests/test_hung_disks.py
+++ b/tests/test_hung_disks.py
@@ -59,7 +59,7 @@
 
 def test_a_hung_disk_does_not_delay_a_registry_with_claims():
     disk = HungRecords()
-    records = BackgroundRecords(lambda: disk, most_load_seconds=0.01)
+    records = BackgroundRecords(lambda: disk, load_timeout_seconds=0.01)
     assert records.load() == {}
     for number in range(100):
         records.write("site-claims", b"%d" % number)
--- a/tests/test_maintenance_duty.py
+++ b/tests/test_maintenance_duty.py
@@ -107,7 +107,7 @@
     registers.held[MAINTENANCE_REGISTER] = RegisterContent(1, document.pack())
     duties = [MaintenanceCoordinator(registers, world) for _ in range(2)]
     for duty in duties:
-        duty.take(1, document.pack())
+        duty.apply_document(1, document.pack())
     return registers, world, duties
 
 
@@ -134,7 +134,7 @@
     registers.held[MAINTENANCE_REGISTER] = RegisterContent(
         2, MaintenanceDocument({}, {"one": granted}).pack()
     )
-    duties[1].take(2, registers.find(MAINTENANCE_REGISTER).value)
+    duties[1].apply_document(2, registers.find(MAINTENANCE_REGISTER).value)
     run(duties[1].step())
     assert world.evacuation("a") == b"window"
 
@@ -146,7 +146,7 @@
     withdrawn = document.with_window(change_state(document.windows["one"], WindowState.WITHDRAWN))
     number = registers.find(MAINTENANCE_REGISTER).number
     registers.held[MAINTENANCE_REGISTER] = RegisterContent(number + 1, withdrawn.pack())
-    duties[0].take(number + 1, withdrawn.pack())
+    duties[0].apply_document(number + 1, withdrawn.pack())
     registers.change("evacuation/b", set_evacuation(b"on"))
     run(duties[0].step())
     assert world.evacuation("a") == b"off" and world.evacuation("b") == b"on"
@@ -200,7 +200,7 @@
     @rule(index=st.integers(0, 1))
     def hear(self, index):
         held = self.registers.find(MAINTENANCE_REGISTER)
-        self.duties[index].take(held.number, held.value)
+        self.duties[index].apply_document(held.number, held.value)
 
     @rule(index=st.integers(0, 1))
     def restart(self, index):
@@ -229,7 +229,7 @@
         fresh = MaintenanceCoordinator(self.registers, self.world)
         held = self.registers.find(MAINTENANCE_REGISTER)
         saved = dict(self.registers.held)
-        fresh.take(held.number, held.value)
+        fresh.apply_document(held.number, held.value)
         for _ in range(3):
             run(fresh.step())
         wanted = {
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -12,7 +12,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.leases.held_leases import Grant, HeldLeases
 from marblefold.ownership.agent import OWNER_PREFIX, SiteAgent
-from marblefold.ownership.claims import Claim, Owner, Verdict, find_clashes, settle
+from marblefold.ownership.claims import Claim, Owner, Verdict, decide_claim, find_clashes
 from marblefold.request_path.guard import Guard
 from marblefold.request_path.local_target import LocalTarget
 from marblefold.request_path.mesh_view import MeshView
@@ -23,22 +23,22 @@
 
 def test_the_rule_of_claims():
     nobody, north = Owner.read(b""), Owner("north", "n", 3, 7)
-    assert settle(LISTED, nobody, Claim("stray", "x", 0, 0), True)[0] is Verdict.REFUSED
+    assert decide_claim(LISTED, nobody, Claim("stray", "x", 0, 0), True)[0] is Verdict.REFUSED
     assert (
-        settle(LISTED, nobody, Claim("south", "s", 0, 0), False, frozenset({"north"}))[0]
+        decide_claim(LISTED, nobody, Claim("south", "s", 0, 0), False, frozenset({"north"}))[0]
         is Verdict.WAITING
     )
-    assert settle(LISTED, nobody, Claim("south", "s", 0, 0), False) == (
+    assert decide_claim(LISTED, nobody, Claim("south", "s", 0, 0), False) == (
         Verdict.OWNER,
         Owner("south", "s", 1, 0),
     )
-    assert settle(LISTED, north, Claim("north", "n", 3, 7), False)[1].renewals == 8
+    assert decide_claim(LISTED, north, Claim("north", "n", 3, 7), False)[1].renewals == 8
     # An empty disk, an old copy of the disk, and the same name elsewhere.
     for claim in (Claim("north", "n", 0, 0), Claim("north", "n", 3, 6), Claim("north", "x", 3, 7)):
-        assert settle(LISTED, north, claim, False) == (Verdict.REFUSED, north)
-    assert settle(LISTED, north, Claim("south", "s", 0, 0), False)[0] is Verdict.WAITING
-    assert settle(LISTED, north, Claim("south", "s", 0, 0), True)[1].epoch == 4
-    assert settle(LISTED, north, Claim("stray", "x", 3, 7), True)[0] is Verdict.REFUSED
+        assert decide_claim(LISTED, north, claim, False) == (Verdict.REFUSED, north)
+    assert decide_claim(LISTED, north, Claim("south", "s", 0, 0), False)[0] is Verdict.WAITING
+    assert decide_claim(LISTED, north, Claim("south", "s", 0, 0), True)[1].epoch == 4
+    assert decide_claim(LISTED, north, Claim("stray", "x", 3, 7), True)[0] is Verdict.REFUSED
 
 
 def test_clashes_name_the_other_claimants():
@@ -65,7 +65,7 @@
             self.world.claimed,
             clock=lambda: self.world.now * self.rate,
         )
-        self.agent.take_record(WORD)
+        self.agent.apply_owners_record(WORD)
 
     async def ask(self, kind, register, number=0, value=b""):
         if self.is_cut:
@@ -85,7 +85,7 @@
 
     def renew_leases(self):
         asking = self.leases.begin_request(self.world.now * self.guard_rate)
-        return Grant(asking, 0.0, "", self.agent.grants())
+        return Grant(asking, 0.0, "", self.agent.owned_leases())
 
     def epoch(self):
         return self.leases.epoch("orders", self.world.now * self.guard_rate)
