--- a/marblefold/maintenance/calls.py
+++ b/marblefold/maintenance/calls.py
@@ -1,4 +1,4 @@
-"""The administration calls for windows and floors."""
+"""Administration calls for maintenance windows and capacity floors."""
 
 from collections.abc import Callable
 from datetime import UTC, datetime, timedelta
@@ -26,11 +26,12 @@
 
 __all__ = ["MaintenanceCalls"]
 
-_TRIES = 5
+_MAX_ATTEMPTS = 5
 _RETRY_SECONDS = 0.2
-_KEPT = timedelta(days=2)
-# The same wish again changes nothing in these; one that ran does not run twice.
-_STANDING = (
+_RETENTION = timedelta(days=2)
+# Sending the same window again in one of these states changes nothing, so that a finished
+# window does not run twice.
+_STATES_UNCHANGED_BY_RESEND = (
     WindowState.PLANNED,
     WindowState.SHIFTED,
     WindowState.WAITING,
@@ -38,8 +39,8 @@
 )
 
 
-class _Refused(Exception):
-    """The change makes no sense for the document as it is."""
+class _ChangeRefusedError(Exception):
+    """A change that conflicts with the current document, with the HTTP status for the caller."""
 
     def __init__(self, status: int, reason: str) -> None:
         super().__init__(reason)
@@ -47,7 +48,7 @@
 
 
 class MaintenanceCalls:
-    """Reads, checks and has the stores hold what operators ask."""
+    """Validates operators' requests and writes their changes to the stores."""
 
     def __init__(
         self,
@@ -60,7 +61,7 @@
         self._capacity = capacity
 
     def add_to(self, router: CallRouter) -> None:
-        """Serves these calls at the router."""
+        """Registers the handlers with the router."""
         router.add("GET", wire_names.MAINTENANCE_PATH, self._list)
         router.add("PUT", wire_names.FLOORS_PATH, self._set_floors)
         router.add("PUT", wire_names.WINDOW_PATH, self._set_window)
@@ -68,10 +69,10 @@
 
     async def _list(self, _call: Call) -> Answer:
         try:
-            held = await self._store_client.ask(RegisterCallKind.DESCRIBE, MAINTENANCE_REGISTER)
+            current = await self._store_client.ask(RegisterCallKind.DESCRIBE, MAINTENANCE_REGISTER)
         except MeshError as error:
             return not_now_answer(error)
-        document = MaintenanceDocument.read(held.value)
+        document = MaintenanceDocument.read(current.value)
         windows = sorted(document.windows.values(), key=lambda window: window.expected_start)
         return json_answer(
             200,
@@ -92,45 +93,53 @@
             return faults_answer(group)
 
         def change(document: MaintenanceDocument) -> MaintenanceDocument:
-            known = document.windows.get(window.name)
-            # Sent again after a lost answer: it was taken, wherever it stands now.
-            if known is not None and known.is_same_request(window) and known.state in _STANDING:
+            existing = document.windows.get(window.name)
+            # Resent after a lost response: it was accepted before, whatever its state is now.
+            if (
+                existing is not None
+                and existing.is_same_request(window)
+                and existing.state in _STATES_UNCHANGED_BY_RESEND
+            ):
                 return document
-            # What runs, or still has its zone to give back, is not overwritten.
-            if known is not None and (known.state is WindowState.RUNNING or known.is_evacuated):
-                raise _Refused(409, f"window {window.name} is running")
-            return _without_old(document).with_window(window)
+            # A window that runs, or whose zone has yet to be restored, is not overwritten.
+            if existing is not None and (
+                existing.state is WindowState.RUNNING or existing.is_evacuated
+            ):
+                raise _ChangeRefusedError(409, f"window {window.name} is running")
+            return _remove_expired_windows(document).with_window(window)
 
         return await self._change(change)
 
     async def _withdraw(self, call: Call) -> Answer:
         def change(document: MaintenanceDocument) -> MaintenanceDocument:
-            known = document.windows.get(call.subject)
-            if known is None:
-                raise _Refused(404, f"no window {call.subject!r}")
-            if known.state.is_over:
+            existing = document.windows.get(call.subject)
+            if existing is None:
+                raise _ChangeRefusedError(404, f"no window {call.subject!r}")
+            if existing.state.is_over:
                 return document
             return document.with_window(
-                change_state(known, WindowState.WITHDRAWN, reason="withdrawn by an operator")
+                change_state(existing, WindowState.WITHDRAWN, reason="withdrawn by an operator")
             )
 
         return await self._change(change)
 
     async def _change(self, change: Callable[[MaintenanceDocument], MaintenanceDocument]) -> Answer:
-        """Changes the document at the number it was read at, or tries again."""
+        """Applies the change by compare-and-set on the document's number; retries on a conflict."""
         try:
-            for _ in range(_TRIES):
-                held = await self._store_client.ask(RegisterCallKind.DESCRIBE, MAINTENANCE_REGISTER)
-                value = change(MaintenanceDocument.read(held.value)).pack()
-                if value == held.value:
+            for _ in range(_MAX_ATTEMPTS):
+                current = await self._store_client.ask(
+                    RegisterCallKind.DESCRIBE, MAINTENANCE_REGISTER
+                )
+                value = change(MaintenanceDocument.read(current.value)).pack()
+                if value == current.value:
                     return json_answer(200, {})
                 answer = await self._store_client.ask(
-                    RegisterCallKind.MAINTENANCE, MAINTENANCE_REGISTER, held.number, value
+                    RegisterCallKind.MAINTENANCE, MAINTENANCE_REGISTER, current.number, value
                 )
                 if Outcome.read(answer.outcome) is Outcome.APPLIED:
                     return json_answer(200, {})
-        except _Refused as refused:
-            return json_answer(refused.status, {wire_names.REASON: str(refused)})
+        except _ChangeRefusedError as error:
+            return json_answer(error.status, {wire_names.REASON: str(error)})
         except MeshError as error:
             return not_now_answer(error)
         return json_answer(
@@ -138,13 +147,13 @@
         )
 
 
-def _without_old(document: MaintenanceDocument) -> MaintenanceDocument:
-    """What is long over need not be carried for ever."""
-    oldest = datetime.now(UTC) - _KEPT
+def _remove_expired_windows(document: MaintenanceDocument) -> MaintenanceDocument:
+    """Drops final windows, zone restored, whose latest end is older than the retention time."""
+    cutoff = datetime.now(UTC) - _RETENTION
     return document._replace(
         windows={
             name: window
             for name, window in document.windows.items()
-            if window.is_evacuated or not window.state.is_over or window.latest_end > oldest
+            if window.is_evacuated or not window.state.is_over or window.latest_end > cutoff
         }
     )
--- a/marblefold/maintenance/command.py
+++ b/marblefold/maintenance/command.py
@@ -1,4 +1,4 @@
-"""The tool `windows`: the maintenance calls of a running system."""
+"""The command line tool `windows`: lists and changes the maintenance windows of a system."""
 
 import asyncio
 import json
@@ -21,34 +21,34 @@
 flags.DEFINE_string("latest_end", "", "Latest end, in the form of the start.")
 flags.DEFINE_multi_string("floor", [], "Slots that must remain, UPSTREAM=SLOTS.")
 
-_FINE, _REFUSED, _USAGE = 0, 1, 2
-_FORMS = "list | set NAME | withdraw NAME | floors"
+_EXIT_OK, _EXIT_REFUSED, _EXIT_USAGE = 0, 1, 2
+_USAGE_FORMS = "list | set NAME | withdraw NAME | floors"
 
 
 def run_windows(arguments: list[str]) -> int:
-    """list | set NAME | withdraw NAME | floors; the exit status.
+    """Runs list, set NAME, withdraw NAME or floors, and returns the exit status.
 
-    0 done, 1 refused by the registry, 2 wrong usage or no answer.
+    0: done; 1: refused by the registry; 2: wrong usage or no answer.
     """
-    call = _make_call(arguments)
+    call = _parse_arguments(arguments)
     if call is None or not FLAGS.system:
         print(
-            f"usage: python3 -m marblefold windows --system=HOST:PORT {_FORMS}",
+            f"usage: python3 -m marblefold windows --system=HOST:PORT {_USAGE_FORMS}",
             file=sys.stderr,
         )
-        return _USAGE
-    return asyncio.run(_call(*call))
+        return _EXIT_USAGE
+    return asyncio.run(_send_call(*call))
 
 
-def _make_call(arguments: list[str]) -> tuple[str, str, dict | None] | None:
-    """Method, path and document of the call; None where the arguments are wrong."""
+def _parse_arguments(arguments: list[str]) -> tuple[str, str, dict | None] | None:
+    """Returns the method, path and document of the call, or None if the arguments are wrong."""
     if arguments == ["list"]:
         return "GET", wire_names.MAINTENANCE_PATH, None
     if arguments == ["floors"]:
         floors = {}
         for floor in FLAGS.floor:
-            upstream, sign, slots = floor.partition("=")
-            if not sign or not slots.isdigit():
+            upstream, separator, slots = floor.partition("=")
+            if not separator or not slots.isdigit():
                 return None
             floors[upstream] = int(slots)
         return "PUT", wire_names.FLOORS_PATH, floors
@@ -71,22 +71,24 @@
     return None
 
 
-async def _call(method: str, path: str, document: dict | None) -> int:
-    sent = None if document is None else json.dumps(document).encode()
+async def _send_call(method: str, path: str, document: dict | None) -> int:
+    request_body = None if document is None else json.dumps(document).encode()
     try:
-        status, body = await call_for_document(FLAGS.system, RegistryCall(method, path, sent))
+        status, body = await call_for_document(
+            FLAGS.system, RegistryCall(method, path, request_body)
+        )
     except MeshError as error:
         print(f"{FLAGS.system}: {error.reason}", file=sys.stderr)
-        return _USAGE
+        return _EXIT_USAGE
     if status != 200:
         print(json.dumps(body, indent=2), file=sys.stderr)
-        return _REFUSED
+        return _EXIT_REFUSED
     if method == "GET":
-        _show(body)
-    return _FINE
+        _print_document(body)
+    return _EXIT_OK
 
 
-def _show(body: dict) -> None:
+def _print_document(body: dict) -> None:
     for upstream, slots in sorted(body["floors"].items()):
         print(f"floor {upstream}: {slots} slots")
     for window in body["windows"]:
--- a/marblefold/maintenance/coordinator.py
+++ b/marblefold/maintenance/coordinator.py
@@ -1,6 +1,7 @@
-"""The duty of one registry: starts and ends windows, evacuating and restoring their zones.
+"""Starts and ends maintenance windows, evacuating and restoring their zones.
 
-All floors and windows are one register, and every step changes it at a known
+This is a singleton task of the leading registry.  All floors and windows are
+stored in one register, and every step changes it by compare-and-set on its
 number.  That number is the fencing token: a registry that acts on an older
 document, after a partition, a restart or a long pause, is refused.
 """
@@ -20,11 +21,11 @@
 __all__ = ["MaintenanceCoordinator", "MAINTENANCE_REGISTER", "MeshState"]
 
 MAINTENANCE_REGISTER = "maintenance"
-_ROUND_SECONDS = 1.0
+_ROUND_INTERVAL_SECONDS = 1.0
 
 
 class MeshState(Protocol):
-    """What the duty needs to know of the mesh."""
+    """The state of the mesh that the coordinator reads."""
 
     def is_maintenance_leader(self) -> bool: ...
 
@@ -38,63 +39,66 @@
 
 
 class MaintenanceCoordinator:
-    """Holds the newest document known and acts on it while this registry has the duty."""
+    """Keeps the newest known document and acts on it while this registry is the leader."""
 
     def __init__(self, store_client: RegisterClient, mesh_state: MeshState) -> None:
         self.document = MaintenanceDocument({}, {})
         self.number = 0
         self._store_client = store_client
         self._mesh_state = mesh_state
-        self._warned: list[str] = []
+        self._logged_shortfalls: list[str] = []
 
     def apply_document(self, number: int, value: bytes) -> None:
-        """Takes in a document that a majority of the stores holds."""
+        """Applies a document that a majority of the stores accepted; ignores older numbers."""
         if number > self.number:
             self.number = number
             self.document = MaintenanceDocument.read(value)
 
     async def run(self) -> None:
-        """One step a second, for ever; without windows it does nothing."""
+        """Runs a step every second, forever; without windows it does nothing."""
         while True:
-            await asyncio.sleep(_ROUND_SECONDS)
+            await asyncio.sleep(_ROUND_INTERVAL_SECONDS)
             if not self.document.windows or not self._mesh_state.is_maintenance_leader():
                 continue
             try:
                 await self.step()
             except MeshError as error:
-                log.warning("maintenance", step=error.step, reason=error.reason)
+                log.warning(
+                    "maintenance round failed; retrying", step=error.step, reason=error.reason
+                )
 
     async def step(self) -> None:
-        """Plans, stores the plan, then acts on what is stored.
+        """Plans the windows, stores the plan, then acts on the stored plan.
 
-        Raises MeshError where no majority of the stores answers.
+        Raises MeshError if no majority of the stores answers.
         """
         mesh_state = self._mesh_state
         planned = plan_windows(self.document, mesh_state.live_slots(), mesh_state.now())
-        if planned != self.document and not await self._hold(planned):
+        if planned != self.document and not await self._store(planned):
             return
-        # A zone is evacuated only for a window that a majority holds as running.
-        acted = self.document
+        # A zone is evacuated only for a window that a majority has stored as running.
+        advanced = self.document
         for window in self.document.windows.values():
-            acted = acted.with_window(await self._act(window))
-        if acted != self.document:
-            await self._hold(acted)
-        await self._release_left_over()
+            advanced = advanced.with_window(await self._advance(window))
+        if advanced != self.document:
+            await self._store(advanced)
+        await self._release_unused_zones()
         self._warn_of_shortfalls()
 
-    async def _act(self, window: Window) -> Window:
+    async def _advance(self, window: Window) -> Window:
+        """Evacuates or restores the window's zone as its state requires; the updated window."""
         if window.state is WindowState.RUNNING and not window.is_evacuated:
-            emptied = await self._change_zone(RegisterCallKind.WINDOW_EMPTY, window.zone)
-            # Another order came in between: judged anew in the next round.
-            if emptied is EvacuationState.OFF:
+            evacuated = await self._change_zone(RegisterCallKind.WINDOW_EMPTY, window.zone)
+            # Another request changed the zone meanwhile; the next round re-evaluates it.
+            if evacuated is EvacuationState.OFF:
                 return window
-            log.info("window runs", window=window.name, zone=window.zone)
+            log.info("maintenance window started", window=window.name, zone=window.zone)
             return window._replace(is_evacuated=True)
         if (
             window.state is WindowState.RUNNING
             and self._mesh_state.evacuation(window.zone) == EvacuationState.OFF.value
         ):
-            # The operator's own order takes precedence.
+            # An operator's request takes precedence over the window.
             return change_state(
                 window, WindowState.FINISHED, is_evacuated=False, reason="taken back by an operator"
             )
@@ -103,23 +107,23 @@
                 released = await self._change_zone(RegisterCallKind.WINDOW_RELEASE, window.zone)
                 if released is EvacuationState.WINDOW:
                     return window
-                log.info("window over", window=window.name, zone=window.zone)
+                log.info("maintenance window ended", window=window.name, zone=window.zone)
             return window._replace(is_evacuated=False)
         return window
 
-    async def _release_left_over(self) -> None:
-        """Restores zones that a delayed action of an earlier holder evacuated."""
+    async def _release_unused_zones(self) -> None:
+        """Restores zones that a delayed action of an earlier leader evacuated."""
         for zone in self._mesh_state.window_zones():
             if not self._is_zone_in_use(zone):
                 await self._change_zone(RegisterCallKind.WINDOW_RELEASE, zone)
-                log.warning("zone was emptied for no window", zone=zone)
+                log.warning("restored a zone that no running window needs", zone=zone)
 
     async def _change_zone(self, kind: RegisterCallKind, zone: str) -> EvacuationState:
-        """What holds for the zone after a change that is tied to what held before it."""
+        """Changes the zone's evacuation, fenced by its current number; returns the new state."""
         register = "evacuation/" + zone
-        base = await self._store_client.ask(RegisterCallKind.DESCRIBE, register)
-        held = await self._store_client.ask(kind, register, base.number)
-        return EvacuationState.read(held.value)
+        current = await self._store_client.ask(RegisterCallKind.DESCRIBE, register)
+        changed = await self._store_client.ask(kind, register, current.number)
+        return EvacuationState.read(changed.value)
 
     def _is_zone_in_use(self, zone: str) -> bool:
         return any(
@@ -127,8 +131,8 @@
             for window in self.document.windows.values()
         )
 
-    async def _hold(self, document: MaintenanceDocument) -> bool:
-        """Whether the document was stored at the number it was made from."""
+    async def _store(self, document: MaintenanceDocument) -> bool:
+        """Whether the document was stored; refused if the number known here is outdated."""
         value = document.pack()
         answer = await self._store_client.ask(
             RegisterCallKind.MAINTENANCE, MAINTENANCE_REGISTER, self.number, value
@@ -143,7 +147,9 @@
             if window.state is WindowState.RUNNING
         }
         missing = find_shortfalls(self.document.floors, self._mesh_state.live_slots(), zones)
-        # Logged once for each change, not every second.
-        if zones and missing != self._warned and missing:
-            log.warning("below floor while windows run", zones=sorted(zones), missing=missing)
-        self._warned = missing
+        # Logged once per change instead of every second.
+        if zones and missing != self._logged_shortfalls and missing:
+            log.warning(
+                "capacity is below a floor while windows run", zones=sorted(zones), missing=missing
+            )
+        self._logged_shortfalls = missing
--- a/marblefold/maintenance/model.py
+++ b/marblefold/maintenance/model.py
@@ -1,4 +1,4 @@
-"""Maintenance windows and floors: the document, and what operators send."""
+"""Maintenance windows and capacity floors: the stored document and operators' requests."""
 
 import enum
 import json
@@ -10,17 +10,17 @@
 
 __all__ = ["MaintenanceDocument", "Window", "WindowState", "read_floors_body", "read_window_body"]
 
-_LONGEST = timedelta(days=7)
-_FIRST_YEAR, _LAST_YEAR = 1970, 2500
+_MAX_LENGTH = timedelta(days=7)
+_MIN_YEAR, _MAX_YEAR = 1970, 2500
 
 
 class WindowState(enum.Enum):
-    """The state of a window."""
+    """The state of a maintenance window."""
 
     PLANNED = "planned"
-    # Planned for later than wanted, because of a floor and the windows before it.
+    # Planned later than wanted, because of a floor and the windows ahead of it.
     SHIFTED = "shifted"
-    # Its wanted start is over, but there is not enough capacity.
+    # Its wanted start has passed, but there is not enough capacity.
     WAITING = "waiting"
     RUNNING = "running"
     FINISHED = "finished"
@@ -34,7 +34,7 @@
 
 
 class Window(NamedTuple):
-    """One zone to be evacuated for some time."""
+    """A period during which one zone is evacuated."""
 
     name: str
     zone: str
@@ -42,24 +42,24 @@
     length: timedelta
     latest_end: datetime
     state: WindowState = WindowState.PLANNED
-    # Its start: the actual one, or the planned one.
+    # The actual start once the window has started, until then the planned one.
     start: datetime | None = None
     reason: str = ""
-    # Whether the zone has been evacuated for it.
+    # Whether the zone is evacuated for this window and has yet to be restored.
     is_evacuated: bool = False
 
     @property
     def expected_start(self) -> datetime:
-        """Its actual or planned start."""
+        """The actual or planned start."""
         return self.start or self.wanted_start
 
     @property
     def expected_end(self) -> datetime:
-        """Its actual or planned end."""
+        """The actual or planned end."""
         return self.expected_start + self.length
 
     def is_same_request(self, other: "Window") -> bool:
-        """Whether both are the same wish of an operator, wherever they stand."""
+        """Whether both come from the same operator request, whatever their states."""
         return (self.name, self.zone, self.wanted_start, self.length, self.latest_end) == (
             other.name,
             other.zone,
@@ -69,7 +69,7 @@
         )
 
     def to_json_object(self) -> dict:
-        """The window as a JSON object for operators and stores."""
+        """Returns the window as a JSON object for operators and stores."""
         return {
             "name": self.name,
             "zone": self.zone,
@@ -85,13 +85,13 @@
 
 
 class MaintenanceDocument(NamedTuple):
-    """All floors and windows, in one register so that every grant is a single change."""
+    """All floors and windows, in one register so that starting a window is a single change."""
 
     floors: dict[str, int]
     windows: dict[str, Window]
 
     def pack(self) -> bytes:
-        """The document as bytes."""
+        """Serializes the document."""
         return json.dumps(
             {
                 "floors": self.floors,
@@ -102,12 +102,12 @@
 
     @classmethod
     def read(cls, data: bytes) -> "MaintenanceDocument":
-        """The document in the bytes; no bytes give an empty one."""
+        """Parses a stored document; empty bytes give an empty document."""
         if not data:
             return cls({}, {})
-        plain = json.loads(data)
+        fields = json.loads(data)
         windows = {}
-        for row in plain["windows"]:
+        for row in fields["windows"]:
             windows[row["name"]] = Window(
                 row["name"],
                 row["zone"],
@@ -119,55 +119,59 @@
                 row["reason"],
                 row["emptied"],
             )
-        return cls(plain["floors"], windows)
+        return cls(fields["floors"], windows)
 
     def with_window(self, window: Window) -> "MaintenanceDocument":
-        """The document with the window added or replaced."""
+        """Returns the document with the window added or replaced."""
         return self._replace(windows={**self.windows, window.name: window})
 
 
 def read_window_body(name: str, body: bytes, zones: set[str]) -> Window:
-    """The window in a request body. Raises an ExceptionGroup of MeshError, one a bad field."""
-    document, faults = _read_object(body), []
+    """Parses a window request.
+
+    Raises an ExceptionGroup with one MeshError for each invalid field.
+    """
+    document, errors = _read_object(body), []
 
     def field(key: str, convert):
         try:
             return convert(document[key])
         except KeyError:
-            faults.append(MeshError("window", f"{key}: missing"))
+            errors.append(MeshError("window", f"{key}: missing"))
         except (ValueError, TypeError, OverflowError) as error:
-            faults.append(MeshError("window", f"{key}: {error}"))
+            errors.append(MeshError("window", f"{key}: {error}"))
         return None
 
-    zone = field("zone", lambda value: _known_zone(value, zones))
-    start = field("wanted-start", _moment)
-    length = field("length-s", _length)
-    end = field("latest-end", _moment)
-    if not faults and start + length > end:
-        faults.append(MeshError("window", "latest-end: before wanted-start and length-s are over"))
-    if faults:
-        raise ExceptionGroup("window", faults)
+    zone = field("zone", lambda value: _parse_zone(value, zones))
+    start = field("wanted-start", _parse_time)
+    length = field("length-s", _parse_length)
+    end = field("latest-end", _parse_time)
+    if not errors and start + length > end:
+        errors.append(MeshError("window", "latest-end: before wanted-start and length-s are over"))
+    if errors:
+        raise ExceptionGroup("window", errors)
     return Window(name, zone, start, length, end)
 
 
 def read_floors_body(body: bytes, capacity: dict[str, int]) -> dict[str, int]:
-    """The floors in a request body, slots by upstream; `capacity` is all there is.
+    """Parses the floors in a request body, as slots by upstream.
 
-    Raises an ExceptionGroup of MeshError, one for each bad floor.
+    `capacity` is the total number of slots by upstream.
+    Raises an ExceptionGroup with one MeshError for each invalid floor.
     """
-    floors, faults = _read_object(body), []
+    floors, errors = _read_object(body), []
     for upstream, slots in floors.items():
         if isinstance(slots, bool) or not isinstance(slots, int) or slots < 0:
-            faults.append(MeshError("floors", f"{upstream}: not a number of slots"))
+            errors.append(MeshError("floors", f"{upstream}: not a number of slots"))
         elif slots > capacity.get(upstream, 0):
-            faults.append(
+            errors.append(
                 MeshError(
                     "floors",
                     f"{upstream}: {slots} is above all there is, {capacity.get(upstream, 0)}",
                 )
             )
-    if faults:
-        raise ExceptionGroup("floors", faults)
+    if errors:
+        raise ExceptionGroup("floors", errors)
     return floors
 
 
@@ -178,26 +182,26 @@
         raise ExceptionGroup("body", [MeshError("read", str(error))]) from error
 
 
-def _known_zone(value: object, zones: set[str]) -> str:
+def _parse_zone(value: object, zones: set[str]) -> str:
     if value not in zones:
         raise ValueError(f"no zone {value!r}")
     return str(value)
 
 
-def _moment(value: object) -> datetime:
-    moment = datetime.fromisoformat(str(value))
-    if moment.tzinfo is None:
+def _parse_time(value: object) -> datetime:
+    time = datetime.fromisoformat(str(value))
+    if time.tzinfo is None:
         raise ValueError("without a time zone")
-    # Far from the calendar's ends, so that no sum of times leaves it.
-    if not _FIRST_YEAR <= moment.year <= _LAST_YEAR:
-        raise ValueError(f"not from {_FIRST_YEAR} to {_LAST_YEAR}")
-    return moment.astimezone(UTC)
+    # Keeps sums of times within the range of datetime.
+    if not _MIN_YEAR <= time.year <= _MAX_YEAR:
+        raise ValueError(f"not from {_MIN_YEAR} to {_MAX_YEAR}")
+    return time.astimezone(UTC)
 
 
-def _length(value: object) -> timedelta:
+def _parse_length(value: object) -> timedelta:
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise TypeError("not a number of seconds")
     length = timedelta(seconds=value)
-    if not timedelta(0) < length <= _LONGEST:
+    if not timedelta(0) < length <= _MAX_LENGTH:
         raise ValueError("not above zero and within a week")
     return length
--- a/marblefold/maintenance/planning.py
+++ b/marblefold/maintenance/planning.py
@@ -1,7 +1,7 @@
-"""Plans all windows together: a pure function of floors, windows and capacity.
+"""Plans all maintenance windows together, as a pure function of floors, windows and capacity.
 
 A window starts only if the slots outside its zone, and outside the zones of
-all windows that overlap it, keep every floor.  Otherwise it waits or is moved
+all windows that overlap it, satisfy every floor.  Otherwise it waits or is moved
 to a later start; a running window is never shortened for it.
 """
 
@@ -12,7 +12,7 @@
 
 __all__ = ["LiveSlots", "change_state", "plan_windows", "find_shortfalls"]
 
-_ALLOWED = {
+_ALLOWED_TRANSITIONS = {
     WindowState.PLANNED: set(WindowState),
     WindowState.SHIFTED: set(WindowState),
     WindowState.WAITING: set(WindowState),
@@ -23,14 +23,14 @@
 class LiveSlots(NamedTuple):
     """The slots available now, by upstream and zone.
 
-    Cold, draining, leaving, suspected and lost targets are not among them, and
-    neither are those of zones that are evacuated now.
+    Excludes cold, draining, leaving, suspected and lost targets, and those in
+    zones that are evacuated now.
     """
 
     slots: dict[tuple[str, str], int]
 
     def count_outside(self, upstream: str, zones: set[str]) -> int:
-        """The slots of the upstream outside the zones."""
+        """Returns the number of slots of the upstream outside the zones."""
         return sum(
             count
             for (name, zone), count in self.slots.items()
@@ -39,26 +39,28 @@
 
 
 def change_state(window: Window, state: WindowState, **fields) -> Window:
-    """The window in its new state. Raises ValueError for a transition that is not allowed."""
-    if state not in _ALLOWED.get(window.state, {window.state}):
+    """Returns the window in its new state. Raises ValueError if the transition is not allowed."""
+    if state not in _ALLOWED_TRANSITIONS.get(window.state, {window.state}):
         raise ValueError(f"{window.name}: {window.state.value} cannot become {state.value}")
     return window._replace(state=state, **fields)
 
 
 def find_shortfalls(floors: dict[str, int], live: LiveSlots, zones: set[str]) -> list[str]:
-    """The floors that would not be kept with the zones evacuated, as text."""
-    found = []
+    """Describes each floor that would be violated with the zones evacuated."""
+    shortfalls = []
     for upstream in sorted(floors):
-        left = live.count_outside(upstream, zones)
-        if left < floors[upstream]:
-            found.append(f"{upstream}: {left} slots left, the floor is {floors[upstream]}")
-    return found
+        remaining = live.count_outside(upstream, zones)
+        if remaining < floors[upstream]:
+            shortfalls.append(
+                f"{upstream}: {remaining} slots left, the floor is {floors[upstream]}"
+            )
+    return shortfalls
 
 
 def plan_windows(
     document: MaintenanceDocument, live: LiveSlots, now: datetime
 ) -> MaintenanceDocument:
-    """The document as it should be at `now`; an equal one if nothing changes."""
+    """Returns the document as it should be at `now`; an equal one if nothing changes."""
     running = {}
     windows = dict(document.windows)
     for name, window in windows.items():
@@ -68,7 +70,7 @@
             windows[name] = change_state(window, WindowState.FINISHED, reason="")
         else:
             running[name] = window
-    # By wanted start, so that no window overtakes an earlier one.
+    # Sorted by wanted start, so that windows are planned in that order.
     pending = sorted(
         (
             window
@@ -79,25 +81,26 @@
     )
     ahead = list(running.values())
     for window in pending:
-        planned = _place(window, ahead, document.floors, live, now)
+        planned = _plan_window(window, ahead, document.floors, live, now)
         windows[window.name] = planned
         if not planned.state.is_over:
             ahead.append(planned)
     return document._replace(windows=windows)
 
 
-def _place(
+def _plan_window(
     window: Window,
     ahead: list[Window],
     floors: dict[str, int],
     live: LiveSlots,
     now: datetime,
 ) -> Window:
-    """The window at the first start that keeps every floor beside those `ahead` of it."""
-    wanted = max(window.wanted_start, now)
-    # Candidates: the wanted start, and the ends of the windows ahead.
+    """Plans the window at the first start that satisfies every floor, given those `ahead` of it."""
+    earliest_start = max(window.wanted_start, now)
+    # Candidates: the earliest start, and the ends of the windows ahead.
     starts = sorted(
-        {wanted} | {other.expected_end for other in ahead if other.expected_end > wanted}
+        {earliest_start}
+        | {other.expected_end for other in ahead if other.expected_end > earliest_start}
     )
     reason = ""
     for start in starts:
@@ -109,18 +112,18 @@
         if missing:
             reason = reason or "; ".join(missing)
             continue
-        return _start_at(window, start, reason, now)
+        return _schedule(window, start, reason, now)
     if max(now, window.wanted_start) + window.length > window.latest_end:
         return change_state(
             window, WindowState.IMPOSSIBLE, reason=reason or "no time is left before latest-end"
         )
-    # No known end makes room; more capacity may.
+    # No end of a known window frees enough capacity; new targets may.
     if window.wanted_start <= now:
-        return change_state(window, WindowState.WAITING, start=wanted, reason=reason)
+        return change_state(window, WindowState.WAITING, start=earliest_start, reason=reason)
     return change_state(window, WindowState.PLANNED, start=window.wanted_start, reason=reason)
 
 
-def _start_at(window: Window, start: datetime, reason: str, now: datetime) -> Window:
+def _schedule(window: Window, start: datetime, reason: str, now: datetime) -> Window:
     if start <= now:
         return change_state(window, WindowState.RUNNING, start=now, reason="")
     if start == window.wanted_start:
--- a/marblefold/ownership/background_records.py
+++ b/marblefold/ownership/background_records.py
@@ -1,4 +1,4 @@
-"""Records whose disk may fail or hang without holding up the program that keeps them."""
+"""Records on a disk that may fail or hang without delaying the program that writes them."""
 
 import threading
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class Records(Protocol):
-    """Records that are written before the call returns; DiskError if they cannot be."""
+    """Records that are written before the call returns. Raises DiskError if that fails."""
 
     def load(self) -> dict[str, bytes]: ...
 
@@ -22,10 +22,10 @@
 
 
 class BackgroundRecords:
-    """Writes the newest of each record when the disk takes it; drops what it refuses.
+    """Writes the newest version of each record in the background; drops failed writes.
 
-    For records that are only an advantage to have: whoever loads them must be
-    right with older ones, and with none.
+    Only for records that are an optimization: the program must be correct if it
+    loads older versions, or none.
     """
 
     def __init__(
@@ -36,26 +36,28 @@
         self._open_records = open_records
         self._load_timeout_seconds = load_timeout_seconds
         self._records: Records | None = None
-        self._waiting: dict[str, bytes] = {}
+        self._pending: dict[str, bytes] = {}
         self._lock = threading.Lock()
         self._thread = DiskThread("records")
 
     def load(self) -> dict[str, bytes]:
-        """The records, or none where the disk does not give them within a second."""
+        """Returns the records, or none if the disk fails or exceeds the timeout (default 1 s)."""
         future = self._thread.submit(self._load)
         try:
             return future.result(timeout=self._load_timeout_seconds)
         except (DiskError, TimeoutError) as error:
-            log.warning("records not loaded", reason=str(error) or "the disk does not answer")
+            log.warning(
+                "records could not be loaded", reason=str(error) or "the disk does not answer"
+            )
             return {}
 
     def write(self, name: str, data: bytes) -> None:
-        """Returns at once; the record is on disk later, or never."""
+        """Queues the record and returns at once; it may reach the disk late or never."""
         with self._lock:
-            is_queued = bool(self._waiting)
-            self._waiting[name] = data
+            is_queued = bool(self._pending)
+            self._pending[name] = data
         if not is_queued:
-            self._thread.submit(self._write_waiting)
+            self._thread.submit(self._write_pending)
 
     def _load(self) -> dict[str, bytes]:
         return self._open()[1]
@@ -66,12 +68,12 @@
         self._records = records
         return records, loaded
 
-    def _write_waiting(self) -> None:
+    def _write_pending(self) -> None:
         with self._lock:
-            waiting, self._waiting = self._waiting, {}
+            pending, self._pending = self._pending, {}
         try:
             records = self._records or self._open()[0]
-            for name, data in waiting.items():
+            for name, data in pending.items():
                 records.write(name, data)
         except DiskError as error:
-            log.warning("records not written", names=sorted(waiting), reason=error.reason)
+            log.warning("records could not be written", names=sorted(pending), reason=error.reason)
--- a/marblefold/ownership/calls.py
+++ b/marblefold/ownership/calls.py
@@ -1,4 +1,4 @@
-"""The administration calls for owners: the operator's record, and who owns what."""
+"""Administration calls for service owners: the operator's record and the current owners."""
 
 import json
 from collections.abc import Callable
@@ -23,8 +23,8 @@
 
 __all__ = ["KnownClaims", "OwnerCalls"]
 
-_LARGEST_BODY = 1024 * 1024
-_LARGEST_NUMBER = 10**15
+_MAX_BODY_BYTES = 1024 * 1024
+_MAX_NUMBER = 10**15
 
 
 class KnownClaims(NamedTuple):
@@ -35,27 +35,29 @@
 
 
 class OwnerCalls:
-    """Checks the operator's record, has it held, and shows clashes."""
+    """Validates and stores the operator's record, and shows owners and conflicting claims."""
 
-    def __init__(self, store_client: RegisterClient, claimed: Callable[[], KnownClaims]) -> None:
+    def __init__(
+        self, store_client: RegisterClient, get_known_claims: Callable[[], KnownClaims]
+    ) -> None:
         self._store_client = store_client
-        self._claimed = claimed
+        self._get_known_claims = get_known_claims
 
     def add_to(self, router: CallRouter) -> None:
-        """Serves these calls at the router."""
+        """Registers the handlers with the router."""
         router.add("GET", wire_names.OWNERS_PATH, self._show)
-        router.add("PUT", wire_names.OWNERS_PATH, self._set, _LARGEST_BODY)
+        router.add("PUT", wire_names.OWNERS_PATH, self._set, _MAX_BODY_BYTES)
 
     async def _show(self, _call: Call) -> Answer:
         try:
-            held = await self._store_client.ask(RegisterCallKind.DESCRIBE, OWNERS_REGISTER)
+            stored = await self._store_client.ask(RegisterCallKind.DESCRIBE, OWNERS_REGISTER)
         except MeshError as error:
             return not_now_answer(error)
-        claimed = self._claimed()
-        clashes = find_clashes(claimed.claimants, claimed.owners)
+        known_claims = self._get_known_claims()
+        clashes = find_clashes(known_claims.claimants, known_claims.owners)
         services = {}
-        for upstream, sites in read_owners(held.value).items():
-            owner = claimed.owners.get(upstream, Owner.read(b""))
+        for upstream, sites in read_owners(stored.value).items():
+            owner = known_claims.owners.get(upstream, Owner.read(b""))
             services[upstream] = {
                 "sites": list(sites),
                 "owner": owner.site,
@@ -63,7 +65,7 @@
                 "epoch": owner.epoch,
                 "clash-with": clashes.get(upstream, []),
             }
-        return json_answer(200, {"number": held.number, "services": services})
+        return json_answer(200, {"number": stored.number, "services": services})
 
     async def _set(self, call: Call) -> Answer:
         try:
@@ -72,45 +74,48 @@
             return faults_answer(group)
         value = json.dumps({"services": services}, sort_keys=True).encode()
         try:
-            held = await self._store_client.ask(
+            reply = await self._store_client.ask(
                 RegisterCallKind.CONFIGURATION, OWNERS_REGISTER, number, value
             )
         except MeshError as error:
             return not_now_answer(error)
-        if held.value != value or held.number != number:
+        if reply.value != value or reply.number != number:
             return json_answer(
                 409,
                 {
-                    wire_names.REASON: f"number: {number} is not above {held.number}, which holds",
-                    "number": held.number,
+                    wire_names.REASON: f"number: {number} is not above {reply.number}, which holds",
+                    "number": reply.number,
                 },
             )
-        log.info("owners held", number=number, services=sorted(services))
+        log.info("owners record stored", number=number, services=sorted(services))
         return json_answer(200, {"number": number})
 
 
 def read_owners_body(body: bytes) -> tuple[int, dict[str, list[str]]]:
-    """The number and the sites of each service; an ExceptionGroup of all faults."""
+    """Parses the operator's record: its number and the sites of each service.
+
+    Raises an ExceptionGroup with one MeshError for each error.
+    """
     try:
         document = read_object(body)
     except BadBody as error:
         raise ExceptionGroup("owners", [MeshError("read", str(error))]) from error
-    faults = []
+    errors = []
     number = document.get("number")
     if isinstance(number, bool) or not isinstance(number, int):
-        faults.append("number: not a whole number")
-    elif not 1 <= number <= _LARGEST_NUMBER:
-        faults.append(f"number: not from 1 to {_LARGEST_NUMBER}")
+        errors.append("number: not a whole number")
+    elif not 1 <= number <= _MAX_NUMBER:
+        errors.append(f"number: not from 1 to {_MAX_NUMBER}")
     services = document.get("services")
     if not isinstance(services, dict):
-        faults.append("services: not an object")
+        errors.append("services: not an object")
         services = {}
     for upstream, sites in services.items():
         is_list = isinstance(sites, list) and all(isinstance(site, str) and site for site in sites)
         if not is_list or not sites:
-            faults.append(f"services.{upstream}: not a list of names of sites")
+            errors.append(f"services.{upstream}: not a list of names of sites")
         elif len(set(sites)) != len(sites):
-            faults.append(f"services.{upstream}: a site stands twice")
-    if faults or number is None:
-        raise ExceptionGroup("owners", [MeshError("check", line) for line in faults])
+            errors.append(f"services.{upstream}: a site stands twice")
+    if errors or number is None:
+        raise ExceptionGroup("owners", [MeshError("check", line) for line in errors])
     return number, services
--- a/marblefold/ownership/claims.py
+++ b/marblefold/ownership/claims.py
@@ -1,7 +1,8 @@
-"""Who owns a service: one rule, as pure functions.
+"""The rule that decides which site owns a service, as pure functions.
 
-A site that the operator does not list is refused, always.  Among those listed
-the present owner stays while it renews; else the order of the list decides.
+A site that the operator does not list is always refused.  Among the listed
+sites the current owner keeps the service while it renews its claim; otherwise the
+order of the list decides.
 """
 
 import enum
@@ -12,92 +13,94 @@
 
 
 class Verdict(enum.Enum):
-    """What becomes of a claim."""
+    """The decision on a claim."""
 
-    # The site owns the service, under the epoch that comes with it.
+    # The site owns the service, under the epoch in the returned Owner.
     OWNER = "owner"
-    # The site may come to own it; another does now.
+    # The site may own the service later; now another site does or takes precedence.
     WAITING = "waiting"
     REFUSED = "refused"
 
 
 class Owner(NamedTuple):
-    """What the register of one service holds."""
+    """The owner of a service, as stored in the service's register."""
 
     site: str
     agent: str
     epoch: int
-    # Rises with every renewal, so that anybody can see them going on.
+    # Increases with every renewal, so that other agents see that the owner still renews.
     renewals: int
 
     def pack(self) -> bytes:
-        """The owner as bytes."""
+        """Serializes the owner."""
         return json.dumps(list(self)).encode()
 
     @classmethod
     def read(cls, data: bytes) -> "Owner":
-        """The owner in the bytes; nothing means that nobody is."""
+        """Parses a stored owner; empty bytes mean that there is none."""
         return cls(*json.loads(data)) if data else cls("", "", 0, 0)
 
 
 class Claim(NamedTuple):
-    """A site's agent wants a service for its site."""
+    """A claim of a site's agent to a service."""
 
     site: str
     agent: str
-    # The epoch and renewals that the agent's disk says it wrote last.
+    # The epoch and renewals that the agent wrote last, according to its disk.
     epoch: int
     renewals: int
 
 
 def decide_claim(
-    listed: tuple[str, ...],
-    held: Owner,
+    listed_sites: tuple[str, ...],
+    current: Owner,
     claim: Claim,
     is_lapsed: bool,
     rivals: frozenset[str] = frozenset(),
 ) -> tuple[Verdict, Owner]:
-    """The verdict on a claim, and what the register should hold then.
+    """Decides a claim. Returns the verdict and the owner that the register should hold then.
 
     is_lapsed: the claimant saw the register unchanged for longer than a lease.
-    rivals: the other listed sites that claim it just now.
+    rivals: the other listed sites that claim the service at this time.
     """
-    if claim.site not in listed:
-        return Verdict.REFUSED, held
-    if not held.site:
-        is_first = all(listed.index(claim.site) <= listed.index(rival) for rival in rivals)
+    if claim.site not in listed_sites:
+        return Verdict.REFUSED, current
+    if not current.site:
+        is_first = all(
+            listed_sites.index(claim.site) <= listed_sites.index(rival) for rival in rivals
+        )
         if not is_first:
-            return Verdict.WAITING, held
-        return Verdict.OWNER, Owner(claim.site, claim.agent, held.epoch + 1, 0)
-    # The present owner, as it knows itself: a copy of its disk knows less,
-    # and an empty disk knows nothing.
-    is_present = (held.site, held.agent, held.epoch, held.renewals) == (
+            return Verdict.WAITING, current
+        return Verdict.OWNER, Owner(claim.site, claim.agent, current.epoch + 1, 0)
+    # Only the current owner knows the latest renewal: a copy of its disk has an older one,
+    # and an empty disk has none.
+    is_current_owner = (current.site, current.agent, current.epoch, current.renewals) == (
         claim.site,
         claim.agent,
         claim.epoch,
         claim.renewals,
     )
-    if is_present:
-        return Verdict.OWNER, held._replace(renewals=held.renewals + 1)
-    # Also where the operator's record ends an ownership, its leases must run out.
+    if is_current_owner:
+        return Verdict.OWNER, current._replace(renewals=current.renewals + 1)
+    # Leases must expire first, also if the operator's record ended the ownership.
     if not is_lapsed:
-        is_same_name = held.site == claim.site
-        return (Verdict.REFUSED if is_same_name else Verdict.WAITING), held
-    # The owner that lapsed is no rival: it does not renew, whatever it sends.
-    candidates = (rivals - {held.site}) | {claim.site}
-    best = min((site for site in candidates if site in listed), key=listed.index)
-    if best != claim.site:
-        return Verdict.WAITING, held
-    return Verdict.OWNER, Owner(claim.site, claim.agent, held.epoch + 1, 0)
+        is_same_site = current.site == claim.site
+        return (Verdict.REFUSED if is_same_site else Verdict.WAITING), current
+    # The lapsed owner is no rival: it does not renew, although it may still send claims.
+    candidates = (rivals - {current.site}) | {claim.site}
+    preferred = min((site for site in candidates if site in listed_sites), key=listed_sites.index)
+    if preferred != claim.site:
+        return Verdict.WAITING, current
+    return Verdict.OWNER, Owner(claim.site, claim.agent, current.epoch + 1, 0)
 
 
 def find_clashes(
-    claimed: dict[str, set[tuple[str, str]]],
+    claimants_by_service: dict[str, set[tuple[str, str]]],
     owners: dict[str, Owner],
 ) -> dict[str, list[str]]:
-    """The services that more than their owner claims, with the other claimants."""
+    """Returns the services with conflicting claims, and the claimants other than the owner."""
     clashes = {}
-    for upstream, claimants in claimed.items():
+    for upstream, claimants in claimants_by_service.items():
         owner = owners.get(upstream)
         others = sorted(
             f"{site}@{agent}"
@@ -110,7 +113,7 @@
 
 
 def read_owners(data: bytes) -> dict[str, tuple[str, ...]]:
-    """The operator's record: which sites may own each service, in order."""
+    """Parses the operator's record: the sites that may own each service, in order of preference."""
     if not data:
         return {}
     return {upstream: tuple(sites) for upstream, sites in json.loads(data)["services"].items()}
--- a/marblefold/partners/calls.py
+++ b/marblefold/partners/calls.py
@@ -1,4 +1,4 @@
-"""The administration calls for partners, and the call that partners make."""
+"""Administration calls for partners, and the call by which partners send their exports."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -29,13 +29,13 @@
 
 __all__ = ["PartnerCalls"]
 
-_LARGEST_WORD = 1024 * 1024
-_TRIES = 5
+_MAX_BODY_BYTES = 1024 * 1024
+_MAX_ATTEMPTS = 5
 _RETRY_SECONDS = 0.2
 
 
 class PartnerCalls:
-    """Reads, checks and has the stores hold what operators and partners say."""
+    """Validates requests of operators and partners and writes their changes to the stores."""
 
     def __init__(
         self,
@@ -50,27 +50,27 @@
         self._sleep = sleep
 
     def add_to(self, router: CallRouter) -> None:
-        """Serves these calls at the router."""
+        """Registers the handlers with the router."""
         router.add("GET", wire_names.PARTNERS_PATH, self._list)
-        router.add("PUT", wire_names.PARTNER_PATH, self._grant, _LARGEST_WORD)
+        router.add("PUT", wire_names.PARTNER_PATH, self._grant, _MAX_BODY_BYTES)
         router.add("DELETE", wire_names.PARTNER_PATH, self._withdraw)
-        router.add("PUT", wire_names.EXPORTS_PATH, self._export, _LARGEST_WORD)
+        router.add("PUT", wire_names.EXPORTS_PATH, self._export, _MAX_BODY_BYTES)
 
     async def _list(self, _call: Call) -> Answer:
         try:
-            held = await self._store_client.ask(RegisterCallKind.DESCRIBE, PARTNERS_REGISTER)
+            current = await self._store_client.ask(RegisterCallKind.DESCRIBE, PARTNERS_REGISTER)
         except MeshError as error:
             return not_now_answer(error)
         partners = {
-            # Not even its digest is anybody's business.
+            # The credential is not shown, not even its digest.
             name: {key: value for key, value in partner.items() if key != "credential"}
-            for name, partner in PartnersDocument.read(held.value).partners.items()
+            for name, partner in PartnersDocument.read(current.value).partners.items()
         }
         return json_answer(
             200,
             {
-                "number": held.number,
-                "digest": build_partner_table(held.number, held.value).digest,
+                "number": current.number,
+                "digest": build_partner_table(current.number, current.value).digest,
                 "partners": partners,
                 "nodes": self._nodes(),
             },
@@ -88,41 +88,41 @@
 
     async def _export(self, call: Call) -> Answer:
         try:
-            word = read_exports(call.body)
+            exports = read_exports(call.body)
         except ExceptionGroup as group:
             return faults_answer(group)
 
         def change(document: PartnersDocument) -> PartnersDocument:
-            held = document.partners.get(call.subject)
-            # An unknown partner takes as long to refuse, and looks the same.
-            if not is_credential(call.credential, held["credential"] if held else "0" * 64):
+            partner = document.partners.get(call.subject)
+            # An unknown partner gets the same response after the same time as a wrong credential.
+            if not is_credential(call.credential, partner["credential"] if partner else "0" * 64):
                 raise PartnerChangeError(401, "no such partner, or not its credential")
-            return put_exports(document, call.subject, word)
+            return put_exports(document, call.subject, exports)
 
         return await self._change(change)
 
     async def _change(self, change: Callable[[PartnersDocument], PartnersDocument]) -> Answer:
-        """Holds the change, and answers once it is enforced everywhere."""
+        """Stores the change by compare-and-set and answers once it is enforced on every node."""
         try:
-            for _ in range(_TRIES):
-                held = await self._store_client.ask(RegisterCallKind.DESCRIBE, PARTNERS_REGISTER)
-                value = change(PartnersDocument.read(held.value)).pack()
-                if value == held.value:
-                    return await self._answer_unchanged(held.number, value)
+            for _ in range(_MAX_ATTEMPTS):
+                current = await self._store_client.ask(RegisterCallKind.DESCRIBE, PARTNERS_REGISTER)
+                value = change(PartnersDocument.read(current.value)).pack()
+                if value == current.value:
+                    return await self._answer_unchanged(current.number, value)
                 answer = await self._store_client.ask(
-                    RegisterCallKind.DUTY, PARTNERS_REGISTER, held.number, value
+                    RegisterCallKind.DUTY, PARTNERS_REGISTER, current.number, value
                 )
                 if Outcome.read(answer.outcome) is Outcome.APPLIED:
                     self._coordinator.apply_document(answer.number, answer.value)
-                    return await self._wait_enforced(
-                        held.number, held.value, held.number + 1, value
+                    return await self._wait_until_enforced(
+                        current.number, current.value, current.number + 1, value
                     )
-        except PartnerChangeError as refused:
-            log.info("partner's word refused", status=refused.status, reason=refused.reason)
-            document = {wire_names.REASON: refused.reason}
-            if refused.number is not None:
-                document["number"] = refused.number
-            return json_answer(refused.status, document)
+        except PartnerChangeError as error:
+            log.info("partner change refused", status=error.status, reason=error.reason)
+            document = {wire_names.REASON: error.reason}
+            if error.number is not None:
+                document["number"] = error.number
+            return json_answer(error.status, document)
         except MeshError as error:
             return not_now_answer(error)
         return json_answer(
@@ -130,31 +130,34 @@
         )
 
     async def _answer_unchanged(self, number: int, value: bytes) -> Answer:
-        """It was taken before, perhaps only now: waited for as if it had been now."""
+        """Answers a resent change after the full delay, as it may have been stored just before."""
         await self._sleep(ENFORCED_AFTER.total_seconds())
         digest = build_partner_table(number, value).digest
         return json_answer(200, {"number": number, "digest": digest, "enforced": True})
 
-    async def _wait_enforced(
+    async def _wait_until_enforced(
         self,
         old_number: int,
-        old: bytes,
+        old_value: bytes,
         number: int,
         value: bytes,
     ) -> Answer:
-        before, after = build_partner_table(old_number, old), build_partner_table(number, value)
-        # Only what takes something away must be waited for.
-        if _takes_away(before, after):
+        before, after = (
+            build_partner_table(old_number, old_value),
+            build_partner_table(number, value),
+        )
+        # Only changes that remove or replace a route or an address must wait.
+        if _removes_access(before, after):
             await self._sleep(ENFORCED_AFTER.total_seconds())
-        log.info("partners held", number=number, digest=after.digest)
+        log.info("partners document stored", number=number, digest=after.digest)
         return json_answer(200, {"number": number, "digest": after.digest, "enforced": True})
 
 
-def _takes_away(before, after) -> bool:
+def _removes_access(before, after) -> bool:
     for host, prefixes in before.routes.items():
         for prefix, route in prefixes.items():
-            now = after.routes.get(host, {}).get(prefix)
-            if now != route:
+            new_route = after.routes.get(host, {}).get(prefix)
+            if new_route != route:
                 return True
     return any(
         after.addresses.get(name) != address
--- a/marblefold/partners/coordinator.py
+++ b/marblefold/partners/coordinator.py
@@ -1,4 +1,4 @@
-"""Partners at a registry: verifies the document, grants leases, marks lapses.
+"""A registry's side of partners: verifies the partners' document and marks lapsed partners.
 
 A registry grants a lease only from a read through a majority of the stores and
 only for as long as that read is valid.  So once a change is chosen, every lease
@@ -23,18 +23,18 @@
 
 PARTNERS_REGISTER = "partners"
 # A read is valid for one lease time and is repeated well before that ends.
-_VERIFY_EVERY = timedelta(seconds=0.8)
-# Time from the choice of a change until no node can act without it.
+_VERIFY_INTERVAL = timedelta(seconds=0.8)
+# Time after a change is chosen until no node can act on an older document.
 ENFORCED_AFTER = timedelta(seconds=LEASE_SECONDS * (1.0 + CLOCK_DRIFT_MARGIN))
 
 
 class PartnerCoordinator:
-    """The newest document known here, and until when it is certainly the newest."""
+    """Keeps the newest known document and the time until which it is certainly the newest."""
 
     def __init__(
         self,
         store_client: RegisterClient,
-        is_holder: Callable[[], bool],
+        is_leader: Callable[[], bool],
         clock: Callable[[], float] = time.monotonic,
         sleep: Callable[[float], Awaitable[None]] = asyncio.sleep,
     ) -> None:
@@ -42,55 +42,62 @@
         self.value = b""
         self.table: PartnerTable = PartnerTable(0, "", {}, {})
         self._store_client = store_client
-        self._is_holder = is_holder
+        self._is_leader = is_leader
         self._clock = clock
         self._sleep = sleep
         self._verified_until = -1e9
-        # By partner: its newest count of reads and when that was first seen, in seconds.
-        self._seen: dict[str, tuple[int, float]] = {}
+        # By partner: its latest count of reads, and the clock time in seconds when first seen.
+        self._observed_reads: dict[str, tuple[int, float]] = {}
 
     def apply_document(self, number: int, value: bytes) -> None:
-        """Takes in a document that a majority of the stores holds."""
+        """Applies a document that a majority of the stores accepted; ignores older numbers."""
         if number > self.number:
             self.number, self.value = number, value
             self.table = build_partner_table(number, value)
 
     def remaining_seconds(self) -> float:
-        """Seconds for which the table here is certainly the newest one."""
+        """Returns the seconds for which the local table is certainly the newest one."""
         return max(0.0, self._verified_until - self._clock())
 
     async def run(self) -> None:
-        """A step every 0.8 s, for ever; without partners it does nothing."""
+        """Runs a step every 0.8 s, forever; without partners it does nothing."""
         while True:
-            await self._sleep(_VERIFY_EVERY.total_seconds())
+            await self._sleep(_VERIFY_INTERVAL.total_seconds())
             if not self.number:
                 continue
             try:
                 await self.step()
             except MeshError as error:
-                log.info("partners not verified", step=error.step, reason=error.reason)
+                log.info(
+                    "partners document could not be verified; retrying",
+                    step=error.step,
+                    reason=error.reason,
+                )
 
     async def step(self) -> None:
-        """Reads through a majority, then marks lapsed partners. Raises MeshError without one."""
-        began = self._clock()
-        held = await self._store_client.ask(RegisterCallKind.DESCRIBE, PARTNERS_REGISTER)
-        self.apply_document(held.number, held.value)
-        # The read saw every change that was chosen before it began.
-        if held.number == self.number:
-            self._verified_until = began + LEASE_SECONDS
-        await self._judge_lapses(self._clock())
+        """Reads the document through a majority of the stores, then marks lapsed partners.
+
+        Raises MeshError if no majority answers.
+        """
+        started_at = self._clock()
+        current = await self._store_client.ask(RegisterCallKind.DESCRIBE, PARTNERS_REGISTER)
+        self.apply_document(current.number, current.value)
+        # The read includes every change that was chosen before the read started.
+        if current.number == self.number:
+            self._verified_until = started_at + LEASE_SECONDS
+        await self._mark_lapsed_partners(self._clock())
 
-    async def _judge_lapses(self, now: float) -> None:
+    async def _mark_lapsed_partners(self, now: float) -> None:
         document = PartnersDocument.read(self.value)
         for name, partner in document.partners.items():
-            reads, since = self._seen.get(name, (-1, now))
+            reads, since = self._observed_reads.get(name, (-1, now))
             if reads != partner["reads"]:
-                self._seen[name] = (partner["reads"], now)
+                self._observed_reads[name] = (partner["reads"], now)
                 continue
             if partner["withdrawn"] or partner["lapsed"] or not partner["exports"]:
                 continue
-            # A lapsed partner stays so until it sends its exports again.
-            if now - since > partner["lapse-after-s"] and self._is_holder():
+            # A lapsed partner stays lapsed until it sends its exports again.
+            if now - since > partner["lapse-after-s"] and self._is_leader():
                 changed = mark_lapsed(document, name, reads)
                 answer = await self._store_client.ask(
                     RegisterCallKind.DUTY, PARTNERS_REGISTER, self.number, changed.pack()
--- a/marblefold/partners/document.py
+++ b/marblefold/partners/document.py
@@ -1,7 +1,7 @@
-"""The partners' document, and one pure function for each change of it.
+"""The partners' document, and a pure function for each change of it.
 
 All partners are in one register, so that a conflict between two of them is
-found by the same compare-and-set that stores the change.
+detected by the same compare-and-set that stores the change.
 """
 
 import json
@@ -20,32 +20,32 @@
 
 
 class PartnerChangeError(Exception):
-    """A change that is refused, with the HTTP status and the reason for the caller."""
+    """A refused change, with the HTTP status and the reason for the caller."""
 
     def __init__(self, status: int, reason: object, number: int | None = None) -> None:
         super().__init__(str(reason))
         self.status = status
         self.reason = reason
-        # The number in force, where a lower one was sent.
+        # The current number, if the change had one that is not above it.
         self.number = number
 
 
 class PartnersDocument(NamedTuple):
-    """Every partner by name, as JSON values."""
+    """All partners by name, as JSON objects."""
 
     partners: dict[str, dict]
 
     def pack(self) -> bytes:
-        """The document as bytes; the same document gives the same bytes."""
+        """Serializes the document; equal documents give equal bytes."""
         return json.dumps({"partners": self.partners}, sort_keys=True).encode()
 
     @classmethod
     def read(cls, data: bytes) -> "PartnersDocument":
-        """The document in the bytes; no bytes give an empty one."""
+        """Parses a stored document; empty bytes give an empty document."""
         return cls(json.loads(data)["partners"] if data else {})
 
     def with_partner(self, name: str, partner: dict) -> "PartnersDocument":
-        """The document with the partner added or replaced."""
+        """Returns the document with the partner added or replaced."""
         return PartnersDocument({**self.partners, name: partner})
 
 
@@ -54,12 +54,12 @@
 
     Raises PartnerChangeError (409) if the number is not above the stored one.
     """
-    held = document.partners.get(name)
-    # Sent again after a lost answer: it was taken, so it is not refused.
-    if held is not None and _is_same_grant(held, grant):
+    current = document.partners.get(name)
+    # Resent after a lost response: it was accepted before, so it is not refused.
+    if current is not None and _is_same_grant(current, grant):
         return document
-    _check_number(held, "number", grant.number)
-    # Its earlier exports must be sent again under the new grant.
+    _check_number(current, "number", grant.number)
+    # The partner must resend its exports under the new grant.
     return document.with_partner(
         name,
         {
@@ -71,25 +71,25 @@
             "withdrawn": False,
             "lapsed": False,
             "reads": 0,
-            "exports-number": held["exports-number"] if held else 0,
+            "exports-number": current["exports-number"] if current else 0,
             "exports": [],
         },
     )
 
 
 def withdraw_partner(document: PartnersDocument, name: str) -> PartnersDocument:
-    """The operator withdraws a partner. Raises PartnerChangeError (404) where there is none."""
-    held = _find(document, name)
-    return document.with_partner(name, {**held, "withdrawn": True, "exports": []})
+    """Withdraws a partner for an operator. Raises PartnerChangeError (404) if it is unknown."""
+    current = _find(document, name)
+    return document.with_partner(name, {**current, "withdrawn": True, "exports": []})
 
 
 def put_exports(document: PartnersDocument, name: str, sent: Exports) -> PartnersDocument:
-    """The partner sends its exports, new ones or the same again as a sign of life.
+    """Applies exports that a partner sent; the same exports again serve as a heartbeat.
 
     Raises PartnerChangeError: 400 not granted, 403 withdrawn, 404 unknown, 409 number or conflict.
     """
-    held = _find(document, name)
-    if held["withdrawn"]:
+    current = _find(document, name)
+    if current["withdrawn"]:
         raise PartnerChangeError(403, f"partner {name} is withdrawn")
     rows = [
         {
@@ -101,76 +101,75 @@
         }
         for export in sent.exports
     ]
-    is_same = sent.number == held["exports-number"] and rows == held["exports"]
+    is_same = sent.number == current["exports-number"] and rows == current["exports"]
     if not is_same:
-        _check_number(held, "exports-number", sent.number)
-    faults = [
+        _check_number(current, "exports-number", sent.number)
+    errors = [
         f"exports[{index}].host: {row['host']!r} is not granted to {name}"
         for index, row in enumerate(rows)
-        if row["host"] not in held["hosts"]
+        if row["host"] not in current["hosts"]
     ]
     for index, row in enumerate(rows):
-        other = _find_exporter(document, name, row)
+        other = _find_other_exporter(document, name, row)
         if other:
-            faults.append(f"exports[{index}].prefix: {other} exports the same host and prefix")
-    if faults:
-        raise PartnerChangeError(409 if "same host" in faults[0] else 400, faults)
+            errors.append(f"exports[{index}].prefix: {other} exports the same host and prefix")
+    if errors:
+        raise PartnerChangeError(409 if "same host" in errors[0] else 400, errors)
     return document.with_partner(
         name,
         {
-            **held,
+            **current,
             "exports-number": sent.number,
             "exports": rows,
             "lapsed": False,
-            "reads": held["reads"] + 1,
+            "reads": current["reads"] + 1,
         },
     )
 
 
 def mark_lapsed(document: PartnersDocument, name: str, reads: int) -> PartnersDocument:
-    """Marks a partner that has not sent its exports for too long.
+    """Marks a partner as lapsed because it has not sent its exports for too long.
 
-    Changes nothing if it has sent them since `reads` was seen.
+    Changes nothing if it has sent them since `reads` was observed.
     """
-    held = document.partners.get(name)
-    # It may have sent them since.
-    if held is None or held["reads"] != reads or held["lapsed"]:
+    current = document.partners.get(name)
+    if current is None or current["reads"] != reads or current["lapsed"]:
         return document
-    return document.with_partner(name, {**held, "lapsed": True})
+    return document.with_partner(name, {**current, "lapsed": True})
 
 
-def _is_same_grant(held: dict, grant: Grant) -> bool:
-    return not held["withdrawn"] and (
-        held["number"],
-        tuple(held["hosts"]),
-        held["address"],
-        held["credential"],
-        held["lapse-after-s"],
+def _is_same_grant(current: dict, grant: Grant) -> bool:
+    return not current["withdrawn"] and (
+        current["number"],
+        tuple(current["hosts"]),
+        current["address"],
+        current["credential"],
+        current["lapse-after-s"],
     ) == (grant.number, grant.hosts, grant.address, grant.credential, grant.lapse_after_s)
 
 
 def _find(document: PartnersDocument, name: str) -> dict:
-    held = document.partners.get(name)
-    if held is None:
+    current = document.partners.get(name)
+    if current is None:
         raise PartnerChangeError(404, f"no partner {name!r}")
-    return held
+    return current
 
 
-def _check_number(held: dict | None, field: str, number: int) -> None:
-    if held is not None and number <= held[field]:
+def _check_number(current: dict | None, field: str, number: int) -> None:
+    if current is not None and number <= current[field]:
         raise PartnerChangeError(
-            409, f"{field}: {number} is not above {held[field]}, which holds", held[field]
+            409, f"{field}: {number} is not above {current[field]}, which holds", current[field]
         )
 
 
-def _find_exporter(document: PartnersDocument, name: str, row: dict) -> str:
+def _find_other_exporter(document: PartnersDocument, name: str, row: dict) -> str:
     for other, partner in document.partners.items():
         if other == name or partner["withdrawn"]:
             continue
-        # A lapsed partner may return: its hosts and prefixes stay reserved.
+        # The hosts and prefixes of a lapsed partner stay reserved, as it may return.
         if any(
-            (held["host"], held["prefix"]) == (row["host"], row["prefix"])
-            for held in partner["exports"]
+            (export["host"], export["prefix"]) == (row["host"], row["prefix"])
+            for export in partner["exports"]
         ):
             return other
     return ""
--- a/marblefold/partners/partner_table.py
+++ b/marblefold/partners/partner_table.py
@@ -1,7 +1,7 @@
-"""The merged table of partner routes: a pure function of the partners' document.
+"""The table of all partners' routes, as a pure function of the partners' document.
 
-Every node computes it from the same document and reports its digest; nodes
-need neither the parser of grants and exports nor its libraries.
+Every node computes it from the same document and reports its digest.  Nodes do
+not need the parser of grants and exports or its libraries.
 """
 
 import json
@@ -17,7 +17,7 @@
 
 
 class PartnerTable(NamedTuple):
-    """The exported routes, by host and prefix."""
+    """The exported routes by host and prefix, and the partners' addresses by name."""
 
     number: int
     digest: str
@@ -25,18 +25,18 @@
     addresses: dict[str, str]
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route with the longest prefix that a partner exports."""
+        """Returns the exported route with the longest matching prefix, or None."""
         prefixes = self.routes.get(host.partition(":")[0].lower())
         if prefixes is None:
             return None
         path = path.partition("?")[0]
-        fitting = [prefix for prefix in prefixes if path.startswith(prefix)]
-        return prefixes[max(fitting, key=len)] if fitting else None
+        matching = [prefix for prefix in prefixes if path.startswith(prefix)]
+        return prefixes[max(matching, key=len)] if matching else None
 
 
 def build_partner_table(number: int, value: bytes) -> PartnerTable:
-    """The table of the partners' document at its number."""
-    # Imported here: only a node with partners pays for this library.
+    """Builds the table from the partners' document at its number."""
+    # Imported lazily: only nodes with partners need this library.
     import hashlib
 
     partners = json.loads(value)["partners"] if value else {}
@@ -45,7 +45,7 @@
     lines = []
     for name in sorted(partners):
         partner = partners[name]
-        # Whatever no partner in force exports is private.
+        # Everything that no active partner exports is private.
         if partner["withdrawn"] or partner["lapsed"]:
             continue
         addresses[name] = partner["address"]
@@ -69,5 +69,5 @@
 
 
 def partner_of(upstream: str) -> str:
-    """The partner that an upstream name stands for, or an empty text."""
+    """Returns the partner that an upstream name refers to, or an empty string."""
     return upstream[len(UPSTREAM_PREFIX) :] if upstream.startswith(UPSTREAM_PREFIX) else ""
--- a/marblefold/partners/request_bodies.py
+++ b/marblefold/partners/request_bodies.py
@@ -1,4 +1,4 @@
-"""Reads and checks the grants of operators and the exports of partners."""
+"""Parses and validates the grants of operators and the exports of partners."""
 
 from datetime import timedelta
 from typing import Any
@@ -14,16 +14,16 @@
 
 __all__ = ["Export", "Exports", "Grant", "is_credential", "read_exports", "read_grant"]
 
-_KINDS = (wire_names.READ_ONLY, wire_names.MUTATING, wire_names.UPLOAD)
-_LONGEST_TIME = timedelta(minutes=10)
-_LONGEST_LAPSE = timedelta(days=1)
+_ROUTE_KINDS = (wire_names.READ_ONLY, wire_names.MUTATING, wire_names.UPLOAD)
+_MAX_TIMEOUT = timedelta(minutes=10)
+_MAX_LAPSE_TIME = timedelta(days=1)
 
 
 @attrs.frozen(slots=True)
 class Grant:
-    """An operator's grant: hosts a partner may export, its address and credential.
+    """An operator's grant: the hosts that a partner may export, its address and credential.
 
-    The credential is a digest once read_grant has checked it.
+    read_grant replaces the credential by its digest.
     """
 
     number: int
@@ -35,7 +35,7 @@
 
 @attrs.frozen(slots=True)
 class Export:
-    """One route of a partner that may be reached from outside."""
+    """One route of a partner that is reachable from outside."""
 
     host: str
     prefix: str
@@ -46,17 +46,17 @@
 
 @attrs.frozen(slots=True)
 class Exports:
-    """All that a partner exports; whatever is not listed is private."""
+    """All routes that a partner exports; everything else is private."""
 
     number: int
     exports: tuple[Export, ...]
 
 
-def _strict(kind: type | tuple[type, ...]):
-    def structure(value: Any, _kind: object) -> Any:
-        # Texts that look like numbers, and booleans, are refused.
-        is_of_kind = isinstance(value, kind) and not isinstance(value, bool)
-        if not is_of_kind:
+def _make_strict_hook(expected: type | tuple[type, ...]):
+    def structure(value: Any, _type: object) -> Any:
+        # Rejects strings that look like numbers, and booleans.
+        is_of_type = isinstance(value, expected) and not isinstance(value, bool)
+        if not is_of_type:
             raise ValueError(f"not of the right kind: {value!r}")
         if not isinstance(value, str) and not 0 <= value < 1e15:
             raise ValueError(f"out of range: {value!r}")
@@ -67,18 +67,19 @@
 
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(detailed_validation=True)
-    converter.register_structure_hook(str, _strict(str))
-    converter.register_structure_hook(int, _strict(int))
-    converter.register_structure_hook(float, _strict((int, float)))
+    converter.register_structure_hook(str, _make_strict_hook(str))
+    converter.register_structure_hook(int, _make_strict_hook(int))
+    converter.register_structure_hook(float, _make_strict_hook((int, float)))
     require_lists(converter)
-    for kind in (Export, Exports, Grant):
-        # Any: the function's other keyword arguments have types of their own.
+    for body_type in (Export, Exports, Grant):
+        # Any, because the function's other keyword arguments have different types.
         names: dict[str, Any] = {
             field.name: override(rename=field.name.replace("_", "-"))
-            for field in kind.__attrs_attrs__
+            for field in body_type.__attrs_attrs__
         }
         converter.register_structure_hook(
-            kind, make_dict_structure_fn(kind, converter, _cattrs_forbid_extra_keys=True, **names)
+            body_type,
+            make_dict_structure_fn(body_type, converter, _cattrs_forbid_extra_keys=True, **names),
         )
     return converter
 
@@ -87,20 +88,23 @@
 
 
 def read_grant(body: bytes) -> Grant:
-    """The checked grant in a body. Raises an ExceptionGroup of MeshError, one a fault."""
+    """Parses and validates a grant.
+
+    Raises an ExceptionGroup with one MeshError for each error.
+    """
     grant = _read(body, Grant)
-    faults = []
+    errors = []
     if not grant.hosts or any(not host for host in grant.hosts):
-        faults.append("hosts: none, or an empty one")
+        errors.append("hosts: none, or an empty one")
     if len(grant.credential) < 16:
-        faults.append("credential: shorter than 16 signs")
-    if not 1 <= grant.lapse_after_s <= _LONGEST_LAPSE.total_seconds():
-        faults.append("lapse-after-s: not from a second to a day")
+        errors.append("credential: shorter than 16 signs")
+    if not 1 <= grant.lapse_after_s <= _MAX_LAPSE_TIME.total_seconds():
+        errors.append("lapse-after-s: not from a second to a day")
     try:
         Address.parse(grant.address)
     except ValueError as error:
-        faults.append(f"address: {error}")
-    _raise(faults)
+        errors.append(f"address: {error}")
+    _raise_errors(errors)
     return attrs.evolve(
         grant,
         hosts=tuple(sorted({host.lower() for host in grant.hosts})),
@@ -109,22 +113,25 @@
 
 
 def read_exports(body: bytes) -> Exports:
-    """The checked exports in a body. Raises an ExceptionGroup of MeshError, one a fault."""
+    """Parses and validates exports.
+
+    Raises an ExceptionGroup with one MeshError for each error.
+    """
     sent = _read(body, Exports)
-    faults, places = [], set()
+    errors, seen_routes = [], set()
     for index, export in enumerate(sent.exports):
-        place = f"exports[{index}]"
+        path = f"exports[{index}]"
         if not export.prefix.startswith("/") or not export.prefix.endswith("/"):
-            faults.append(f"{place}.prefix: does not begin and end with a slash")
-        if export.kind not in _KINDS:
-            faults.append(f"{place}.kind: none of {', '.join(_KINDS)}")
-        if not 0 < export.timeout_ms <= _LONGEST_TIME / timedelta(milliseconds=1):
-            faults.append(f"{place}.timeout-ms: not within ten minutes")
+            errors.append(f"{path}.prefix: does not begin and end with a slash")
+        if export.kind not in _ROUTE_KINDS:
+            errors.append(f"{path}.kind: none of {', '.join(_ROUTE_KINDS)}")
+        if not 0 < export.timeout_ms <= _MAX_TIMEOUT / timedelta(milliseconds=1):
+            errors.append(f"{path}.timeout-ms: not within ten minutes")
         key = (export.host.lower(), export.prefix)
-        if key in places:
-            faults.append(f"{place}: the same host and prefix stand twice")
-        places.add(key)
-    _raise(faults)
+        if key in seen_routes:
+            errors.append(f"{path}: the same host and prefix stand twice")
+        seen_routes.add(key)
+    _raise_errors(errors)
     return attrs.evolve(
         sent,
         exports=tuple(attrs.evolve(export, host=export.host.lower()) for export in sent.exports),
@@ -132,36 +139,36 @@
 
 
 def is_credential(sent: str, held_digest: str) -> bool:
-    """Whether the credential is the granted one; compares in constant time."""
+    """Whether the credential matches the granted one; compares in constant time."""
     import hmac
 
     return hmac.compare_digest(_digest(sent), held_digest)
 
 
 def _digest(credential: str) -> str:
-    # Imported here: only a registry with partners pays for this library.
+    # Imported lazily: only registries with partners need this library.
     import hashlib
 
     return hashlib.sha256(credential.encode("utf-8", "replace")).hexdigest()
 
 
-def _read(body: bytes, kind: type):
+def _read(body: bytes, body_type: type):
     try:
         document = read_object(body)
     except BadBody as error:
-        raise ExceptionGroup("word", [MeshError("read word", str(error))]) from error
+        raise ExceptionGroup("body", [MeshError("read body", str(error))]) from error
     try:
-        return _converter.structure(document, kind)
+        return _converter.structure(document, body_type)
     except cattrs.BaseValidationError as error:
         lines = []
         for line in cattrs.transform_error(error):
-            fault, _sign, place = line.partition(" @ ")
-            # A message may contain the value, and a credential must not be shown.
-            shown = "bad value" if "credential" in place else fault
-            lines.append(f"{place.removeprefix('$.').replace('_', '-')}: {shown}")
-        raise ExceptionGroup("word", [MeshError("read word", line) for line in lines]) from None
+            message, _separator, path = line.partition(" @ ")
+            # The message may contain the value, and a credential must not be shown.
+            shown = "bad value" if "credential" in path else message
+            lines.append(f"{path.removeprefix('$.').replace('_', '-')}: {shown}")
+        raise ExceptionGroup("body", [MeshError("read body", line) for line in lines]) from None
 
 
-def _raise(faults: list[str]) -> None:
-    if faults:
-        raise ExceptionGroup("body", [MeshError("check body", line) for line in faults])
+def _raise_errors(errors: list[str]) -> None:
+    if errors:
+        raise ExceptionGroup("body", [MeshError("check body", line) for line in errors])
