--- a/tests/simulated_leases.py
+++ b/tests/simulated_leases.py
@@ -1,4 +1,4 @@
-"""Nodes, registries and one register under a clock that the test turns."""
+"""Simulated nodes, registries and one register on a clock that the test advances."""
 
 import types
 
@@ -44,7 +44,7 @@
 
 
 class World:
-    """The true time, the register that a majority holds, and all messages."""
+    """The true time, the register as a majority stores it, and what nodes forwarded."""
 
     def __init__(self):
         self.now = 100.0
@@ -52,37 +52,37 @@
         self.history = {0: frozenset()}
         self.acknowledged = 0
         self.pending_acknowledgements = []
-        self.forbidden_carried = 0
-        self.carried = 0
+        self.withdrawn_forwarded = 0
+        self.forwarded = 0
 
-    def choose(self, prefixes, rate=1.0):
+    def change_exports(self, prefixes, rate=1.0):
         self.number += 1
         self.value = make_document(prefixes)
         self.history[self.number] = frozenset(prefixes)
-        # The registry that acknowledges waits on a clock of its own.
-        at = self.now + ENFORCED_AFTER.total_seconds() / rate
-        self.pending_acknowledgements.append((at, self.number))
+        # The acknowledging registry waits on its own clock.
+        due_at = self.now + ENFORCED_AFTER.total_seconds() / rate
+        self.pending_acknowledgements.append((due_at, self.number))
 
-    def turn(self, seconds):
+    def advance_clock(self, seconds):
         self.now += seconds
-        for at, number in self.pending_acknowledgements:
-            if at <= self.now:
+        for due_at, number in self.pending_acknowledgements:
+            if due_at <= self.now:
                 self.acknowledged = max(self.acknowledged, number)
 
-    def carry(self, prefix):
-        self.carried += 1
-        # Allowed is what some word allows that is not older than the newest
-        # one acknowledged as enforced.
+    def forward(self, prefix):
+        self.forwarded += 1
+        # A prefix is allowed if any document exports it that is not older than the
+        # newest one acknowledged as enforced.
         if not any(
             prefix in prefixes
             for number, prefixes in self.history.items()
             if number >= self.acknowledged
         ):
-            self.forbidden_carried += 1
+            self.withdrawn_forwarded += 1
 
 
 class SimulatedRegistry:
-    """The real duty and granter over a read that the test may stretch."""
+    """The real coordinator and lease granter, with a read that the test can prolong."""
 
     def __init__(self, world, rate):
         self.world, self.rate, self.reading = world, rate, None
@@ -91,10 +91,10 @@
 
     def restart(self):
         self.drop_read()
-        self.duty = PartnerCoordinator(
+        self.coordinator = PartnerCoordinator(
             self, lambda: False, clock=lambda: self.world.now * self.rate
         )
-        self.granter = LeaseGranter(self.duty)
+        self.granter = LeaseGranter(self.coordinator)
 
     async def ask(self, kind, register, number=0, value=b""):
         if self.is_cut:
@@ -105,7 +105,7 @@
 
     def begin_read(self):
         self.drop_read()
-        self.reading = self.duty.step()
+        self.reading = self.coordinator.step()
         self._resume()
 
     def end_read(self):
@@ -130,7 +130,7 @@
 
 
 class SimulatedNode:
-    """The real view, leases and far end of one node."""
+    """The real view, lease client and partner forwarding of one node."""
 
     def __init__(self, world, rate):
         self.world, self.rate = world, rate
@@ -138,7 +138,7 @@
 
     def restart(self):
         self.view = MeshView("node")
-        self.asker = LeaseClient("node", self.view)
+        self.lease_client = LeaseClient("node", self.view)
         self.hops = PartnerHops(None, None, self.view)
         self.entered = []
 
@@ -146,11 +146,11 @@
     def clock(self):
         return self.world.now * self.rate
 
-    def hear(self, number, value):
+    def receive_document(self, number, value):
         self.view.take(kinds.Entry(kind="partners", key="partners", number=number, value=value))
 
-    def ask(self):
-        return self.asker.ask("registry", self.clock)
+    def request_lease(self):
+        return self.lease_client.ask("registry", self.clock)
 
     def enter(self, prefix):
         request = types.SimpleNamespace(host=HOST, path=prefix + "x")
@@ -162,8 +162,8 @@
         entered, self.entered = self.entered, []
         for prefix, request in entered:
             if self.hops.may_leave("dealer", "10.0.0.1:80", request, self.clock):
-                self.world.carry(prefix)
+                self.world.forward(prefix)
 
 
-def digest_of(world):
+def compute_digest(world):
     return build_partner_table(world.number, world.value).digest
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Windows planned together, against a slow plain model of a night of work."""
+"""Tests the planning of maintenance windows, also against a simple model of a night."""
 
 import json
 from datetime import UTC, datetime, timedelta
@@ -16,7 +16,7 @@
 )
 from marblefold.maintenance.planning import LiveSlots, change_state, find_shortfalls, plan_windows
 
-NIGHT = datetime(2026, 3, 1, 22, 0, tzinfo=UTC)
+NIGHT_START = datetime(2026, 3, 1, 22, 0, tzinfo=UTC)
 
 
 def minutes(count):
@@ -24,31 +24,33 @@
 
 
 def make_window(name, zone, start, length, latest):
-    return Window(name, zone, NIGHT + minutes(start), minutes(length), NIGHT + minutes(latest))
+    return Window(
+        name, zone, NIGHT_START + minutes(start), minutes(length), NIGHT_START + minutes(latest)
+    )
 
 
 def make_document(floors, *windows):
     return MaintenanceDocument(floors, {window.name: window for window in windows})
 
 
-LIVE = LiveSlots({("quotes", "a"): 10, ("quotes", "b"): 10, ("quotes", "c"): 10})
+LIVE_SLOTS = LiveSlots({("quotes", "a"): 10, ("quotes", "b"): 10, ("quotes", "c"): 10})
 
 
 def states(document):
     return {name: window.state.value for name, window in document.windows.items()}
 
 
-def test_two_windows_that_together_break_a_floor_run_one_after_the_other():
+def test_two_windows_that_together_violate_a_floor_run_one_after_the_other():
     document = make_document(
         {"quotes": 20}, make_window("one", "a", 0, 30, 60), make_window("two", "b", 10, 20, 90)
     )
-    document = plan_windows(document, LIVE, NIGHT)
+    document = plan_windows(document, LIVE_SLOTS, NIGHT_START)
     assert states(document) == {"one": "running", "two": "shifted"}
-    assert document.windows["two"].expected_start == NIGHT + minutes(30)
+    assert document.windows["two"].expected_start == NIGHT_START + minutes(30)
     assert "floor is 20" in document.windows["two"].reason
-    document = plan_windows(document, LIVE, NIGHT + minutes(15))
+    document = plan_windows(document, LIVE_SLOTS, NIGHT_START + minutes(15))
     assert states(document)["two"] == "waiting"
-    document = plan_windows(document, LIVE, NIGHT + minutes(30))
+    document = plan_windows(document, LIVE_SLOTS, NIGHT_START + minutes(30))
     assert states(document) == {"one": "finished", "two": "running"}
 
 
@@ -56,28 +58,28 @@
     document = make_document(
         {"quotes": 10}, make_window("one", "a", 0, 30, 60), make_window("two", "b", 0, 30, 60)
     )
-    assert set(states(plan_windows(document, LIVE, NIGHT)).values()) == {"running"}
+    assert set(states(plan_windows(document, LIVE_SLOTS, NIGHT_START)).values()) == {"running"}
 
 
 def test_a_window_that_cannot_fit_before_its_latest_end_is_impossible():
     document = make_document(
         {"quotes": 20}, make_window("one", "a", 0, 30, 60), make_window("two", "b", 0, 20, 40)
     )
-    document = plan_windows(document, LIVE, NIGHT)
+    document = plan_windows(document, LIVE_SLOTS, NIGHT_START)
     assert states(document)["two"] != "running"
-    document = plan_windows(document, LIVE, NIGHT + minutes(21))
+    document = plan_windows(document, LIVE_SLOTS, NIGHT_START + minutes(21))
     assert states(document)["two"] == "impossible"
 
 
-def test_lost_capacity_starts_no_drain_and_takes_none_back():
+def test_lost_capacity_prevents_new_windows_but_ends_no_running_one():
     document = make_document(
         {"quotes": 20}, make_window("one", "a", 0, 30, 60), make_window("two", "b", 40, 10, 90)
     )
-    document = plan_windows(document, LIVE, NIGHT)
-    poor = LiveSlots({("quotes", "b"): 10, ("quotes", "c"): 5})
-    document = plan_windows(document, poor, NIGHT + minutes(10))
+    document = plan_windows(document, LIVE_SLOTS, NIGHT_START)
+    reduced = LiveSlots({("quotes", "b"): 10, ("quotes", "c"): 5})
+    document = plan_windows(document, reduced, NIGHT_START + minutes(10))
     assert states(document)["one"] == "running"
-    document = plan_windows(document, poor, NIGHT + minutes(45))
+    document = plan_windows(document, reduced, NIGHT_START + minutes(45))
     assert states(document) == {"one": "finished", "two": "waiting"}
 
 
@@ -94,22 +96,22 @@
 
 @settings(max_examples=200)
 @given(windows=WINDOWS, events=EVENTS, floor=st.integers(0, 30))
-def test_a_night_of_work_never_starts_what_breaks_a_floor(windows, events, floor):
-    """At each start the plain count of what remains must keep the floor."""
+def test_a_simulated_night_never_starts_a_window_that_violates_a_floor(windows, events, floor):
+    """At each start the remaining slots, counted independently, must satisfy the floor."""
     document = make_document(
         {"quotes": floor},
         *(
-            make_window(f"w{index}", zone, start, length, start + length + spare)
-            for index, (zone, start, length, spare) in enumerate(windows)
+            make_window(f"w{index}", zone, start, length, start + length + slack)
+            for index, (zone, start, length, slack) in enumerate(windows)
         ),
     )
     slots = dict.fromkeys(ZONES, 10)
-    now = NIGHT
-    for ahead, zone, count, withdraw in events:
-        now += minutes(ahead)
+    now = NIGHT_START
+    for elapsed, zone, count, withdraw in events:
+        now += minutes(elapsed)
         slots[zone] = count
         before = document
-        live = LiveSlots({("quotes", place): number for place, number in slots.items()})
+        live = LiveSlots({("quotes", name): number for name, number in slots.items()})
         document = plan_windows(document, live, now)
         started = [
             name
@@ -117,13 +119,16 @@
             if window.state is WindowState.RUNNING
             and before.windows[name].state is not WindowState.RUNNING
         ]
-        emptied = {
+        evacuated_zones = {
             window.zone
             for window in document.windows.values()
             if window.state is WindowState.RUNNING
         }
         if started:
-            assert sum(number for place, number in slots.items() if place not in emptied) >= floor
+            assert (
+                sum(number for name, number in slots.items() if name not in evacuated_zones)
+                >= floor
+            )
         for name, window in document.windows.items():
             old = before.windows[name]
             if window.state is WindowState.RUNNING:
@@ -134,7 +139,7 @@
                 assert window == old
             if window.state is WindowState.IMPOSSIBLE:
                 assert window.reason
-        # The same question again changes nothing.
+        # Planning again with the same input changes nothing.
         assert plan_windows(document, live, now) == document
         assert MaintenanceDocument.read(document.pack()) == document
         if withdraw and document.windows:
@@ -145,7 +150,7 @@
                 )
 
 
-GOOD = {
+VALID_WINDOW = {
     "zone": "a",
     "wanted-start": "2026-03-01T22:00:00+00:00",
     "length-s": 600,
@@ -167,22 +172,22 @@
         ("latest-end", 5),
     ],
 )
-def test_a_bad_window_is_refused_with_its_field(field, value):
-    assert read_window_body("w", json.dumps(GOOD).encode(), {"a"}).length == minutes(10)
+def test_an_invalid_window_is_refused_with_the_name_of_its_field(field, value):
+    assert read_window_body("w", json.dumps(VALID_WINDOW).encode(), {"a"}).length == minutes(10)
     with pytest.raises(ExceptionGroup) as caught:
-        read_window_body("w", json.dumps({**GOOD, field: value}).encode(), {"a"})
+        read_window_body("w", json.dumps({**VALID_WINDOW, field: value}).encode(), {"a"})
     assert caught.value.exceptions[0].reason.startswith(field)
 
 
-def test_a_floor_above_all_there_is_is_refused():
+def test_a_floor_above_the_total_capacity_is_refused():
     assert read_floors_body(b'{"quotes": 30}', {"quotes": 30}) == {"quotes": 30}
     for body in (b'{"quotes": 31}', b'{"quotes": -1}', b'{"orders": 1}', b"[]", b"{"):
         with pytest.raises(ExceptionGroup):
             read_floors_body(body, {"quotes": 30})
 
 
-def test_what_is_over_stays_over():
+def test_a_final_state_does_not_change():
     window = make_window("w", "a", 0, 10, 60)._replace(state=WindowState.FINISHED)
     with pytest.raises(ValueError):
         change_state(window, WindowState.RUNNING)
-    assert find_shortfalls({"quotes": 30}, LIVE, set()) == []
+    assert find_shortfalls({"quotes": 30}, LIVE_SLOTS, set()) == []
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""One owner for a service: no two sites ever serve it at the same moment."""
+"""Tests service ownership: no two sites ever serve a service at the same time."""
 
 import contextlib
 import json
@@ -18,10 +18,10 @@
 from marblefold.request_path.mesh_view import MeshView
 
 LISTED = ("north", "south")
-WORD = json.dumps({"services": {"orders": LISTED}}).encode()
+OWNERS_RECORD = json.dumps({"services": {"orders": LISTED}}).encode()
 
 
-def test_the_rule_of_claims():
+def test_claims_are_decided_by_listing_current_owner_and_lapse():
     nobody, north = Owner.read(b""), Owner("north", "n", 3, 7)
     assert decide_claim(LISTED, nobody, Claim("stray", "x", 0, 0), True)[0] is Verdict.REFUSED
     assert (
@@ -33,7 +33,7 @@
         Owner("south", "s", 1, 0),
     )
     assert decide_claim(LISTED, north, Claim("north", "n", 3, 7), False)[1].renewals == 8
-    # An empty disk, an old copy of the disk, and the same name elsewhere.
+    # An empty disk, an outdated copy of the disk, and another agent with the same site name.
     for claim in (Claim("north", "n", 0, 0), Claim("north", "n", 3, 6), Claim("north", "x", 3, 7)):
         assert decide_claim(LISTED, north, claim, False) == (Verdict.REFUSED, north)
     assert decide_claim(LISTED, north, Claim("south", "s", 0, 0), False)[0] is Verdict.WAITING
@@ -47,7 +47,7 @@
 
 
 class Site:
-    """The real agent and guard terms of one site, on clocks of its own."""
+    """The real agent and guard leases of one site, each on a clock of its own rate."""
 
     def __init__(self, world, site, agent, rate, guard_rate, records):
         self.world, self.site, self.rate, self.guard_rate = world, site, rate, guard_rate
@@ -65,27 +65,29 @@
             self.world.claimed,
             clock=lambda: self.world.now * self.rate,
         )
-        self.agent.apply_owners_record(WORD)
+        self.agent.apply_owners_record(OWNERS_RECORD)
 
     async def ask(self, kind, register, number=0, value=b""):
         if self.is_cut:
             raise MeshError(kind, "cut off")
-        held = self.world.registers.setdefault(register, types.SimpleNamespace(number=0, value=b""))
-        if kind == "duty" and held.number == number:
-            held = types.SimpleNamespace(number=number + 1, value=value)
-            self.world.registers[register] = held
-            # Held, but whoever asked never hears of it.
+        current = self.world.registers.setdefault(
+            register, types.SimpleNamespace(number=0, value=b"")
+        )
+        if kind == "duty" and current.number == number:
+            current = types.SimpleNamespace(number=number + 1, value=value)
+            self.world.registers[register] = current
+            # The write is stored, but its response is lost.
             if self.world.loses_answers:
                 raise MeshError(kind, "answer lost")
-        return held
+        return current
 
     def step(self):
         with contextlib.suppress(StopIteration, MeshError):
             self.agent.step("orders").send(None)
 
     def renew_leases(self):
-        asking = self.leases.begin_request(self.world.now * self.guard_rate)
-        return Grant(asking, 0.0, "", self.agent.owned_leases())
+        request = self.leases.begin_request(self.world.now * self.guard_rate)
+        return Grant(request, 0.0, "", self.agent.owned_leases())
 
     def epoch(self):
         return self.leases.epoch("orders", self.world.now * self.guard_rate)
@@ -118,12 +120,12 @@
         return {"orders": {(site.site, site.agent_name) for site in self.sites}}
 
     def serving(self):
-        """The sites whose guards would take an order under the epoch they hold."""
+        """Returns the sites whose guards hold a valid epoch and would accept a request."""
         return [site for site in self.sites if site.epoch()]
 
 
 class Ownership(RuleBasedStateMachine):
-    """Clocks drift, sites are cut off, freeze, restart; answers and grants get lost."""
+    """Clocks drift; sites are cut off, pause and restart; responses and grants are lost."""
 
     @initialize(rates=st.lists(st.floats(0.98, 1.02), min_size=8, max_size=8))
     def begin(self, rates):
@@ -140,18 +142,18 @@
         site = self.world.sites[index]
         self.grants.append((site.leases, site.renew_leases()))
 
-    @rule(place=st.integers(0, 20))
-    def deliver(self, place):
+    @rule(position=st.integers(0, 20))
+    def deliver(self, position):
         if self.grants:
-            leases, grant = self.grants.pop(place % len(self.grants))
+            leases, grant = self.grants.pop(position % len(self.grants))
             leases.apply_grant(grant, "-")
 
     @rule(seconds=st.sampled_from([0.1, 0.7, 1.5, 3.2]))
-    def turn(self, seconds):
+    def advance_clock(self, seconds):
         self.world.now += seconds
 
     @rule(index=st.integers(0, 3), is_cut=st.booleans())
-    def cut(self, index, is_cut):
+    def set_cut(self, index, is_cut):
         self.world.sites[index].is_cut = is_cut
 
     @rule(index=st.integers(0, 1), is_wiped=st.booleans())
@@ -168,7 +170,7 @@
         copy.start()
 
     @invariant()
-    def one_site_serves_and_never_a_stray(self):
+    def at_most_one_listed_site_serves(self):
         if hasattr(self, "world"):
             serving = self.world.serving()
             assert len(serving) <= 1
@@ -179,11 +181,11 @@
 TestOwnership.settings = settings(max_examples=60, stateful_step_count=60, deadline=None)
 
 
-def frozen_owner(monkeypatch):
-    """The owner's machines sleep through their lease while another takes over.
+def count_executions_after_takeover(monkeypatch):
+    """Counts the executions of a request offered to a paused owner and to its successor.
 
-    Every order is offered first where an old view points, then where the new
-    one does, as long as it was never offered: how many run it?
+    The owner's machines pause for longer than their lease while another site takes over.
+    The request goes first to the site in the old view, then to the site in the new one.
     """
     world = OwnershipWorld([1.0] * 8)
     north, south = world.sites[:2]
@@ -198,26 +200,28 @@
     south.leases.apply_grant(south.renew_leases(), "-")
     owner = Owner.read(world.registers[OWNER_PREFIX + "orders"].value)
     assert (owner.site, owner.epoch) == ("south", 2) and south.epoch() == 2
-    ran = 0
+    executions = 0
     monkeypatch.setattr(
         "marblefold.request_path.guard.time", types.SimpleNamespace(monotonic=lambda: world.now)
     )
-    for site, epoch_of_sender in ((north, 1), (south, 2)):
+    for site, sender_epoch in ((north, 1), (south, 2)):
         view = MeshView("node")
         view.leases = site.leases
         guard = Guard(LocalTarget(lambda: None), view, None)
-        ran += guard._is_owner(kinds.RequestHead(upstream="orders", owner_epoch=epoch_of_sender))
-    return ran
+        executions += guard._is_owner(
+            kinds.RequestHead(upstream="orders", owner_epoch=sender_epoch)
+        )
+    return executions
 
 
-def test_a_frozen_owner_wakes_to_no_orders_and_each_is_placed_once(monkeypatch):
-    assert frozen_owner(monkeypatch) == 1
-    # Without the check beside the target both sites would book it.
+def test_a_resumed_owner_serves_no_requests_and_each_is_executed_once(monkeypatch):
+    assert count_executions_after_takeover(monkeypatch) == 1
+    # Without the guard's ownership check both sites would execute it.
     monkeypatch.setattr(Guard, "_is_owner", lambda self, head: True)
-    assert frozen_owner(monkeypatch) == 2
+    assert count_executions_after_takeover(monkeypatch) == 2
 
 
-def test_who_goes_first_but_does_not_come_is_waited_for_no_longer():
+def test_a_preferred_site_that_does_not_claim_is_waited_for_only_a_limited_time():
     world = OwnershipWorld([1.0] * 8)
     south = world.sites[1]
     south.step()
@@ -227,7 +231,7 @@
     assert south.agent.verdicts["orders"] is Verdict.OWNER
 
 
-def test_a_stray_with_the_same_name_never_serves_while_the_owner_renews():
+def test_another_agent_with_the_same_site_name_never_serves_while_the_owner_renews():
     world = OwnershipWorld([1.0] * 8)
     north, copy = world.sites[0], world.sites[3]
     north.step()
--- a/tests/test_partner_leases.py
+++ b/tests/test_partner_leases.py
@@ -1,11 +1,11 @@
-"""No node carries what a partner forbade; all agree once they are in touch."""
+"""Tests that no node forwards what a partner withdrew, and that reconnected nodes agree."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from marblefold.leases.held_leases import HeldLeases
-from tests.simulated_leases import SimulatedNode, SimulatedRegistry, World, digest_of
+from tests.simulated_leases import SimulatedNode, SimulatedRegistry, World, compute_digest
 
 PREFIXES = ("/a/", "/b/")
 NODES, REGISTRIES = 4, 2
@@ -13,7 +13,7 @@
 
 
 class PartnerLeases(RuleBasedStateMachine):
-    """Messages are held, delivered in any order, or lost for good."""
+    """Messages are delayed, delivered in any order, or lost."""
 
     @initialize(rates=st.lists(RATES, min_size=NODES + REGISTRIES, max_size=NODES + REGISTRIES))
     def begin(self, rates):
@@ -24,11 +24,11 @@
 
     @rule(prefixes=st.sets(st.sampled_from(PREFIXES)), rate=RATES)
     def change(self, prefixes, rate):
-        self.world.choose(prefixes, rate)
+        self.world.change_exports(prefixes, rate)
 
     @rule(seconds=st.floats(0.0, 2.0))
-    def turn(self, seconds):
-        self.world.turn(seconds)
+    def advance_clock(self, seconds):
+        self.world.advance_clock(seconds)
 
     @rule(index=st.integers(0, REGISTRIES - 1), part=st.sampled_from(("begin", "end", "both")))
     def read(self, index, part):
@@ -39,27 +39,27 @@
             registry.end_read()
 
     @rule(index=st.integers(0, NODES - 1), which=st.integers(0, REGISTRIES - 1))
-    def ask(self, index, which):
+    def request_lease(self, index, which):
         node, registry = self.nodes[index], self.registries[which]
-        asking, asker = node.ask(), node.asker
+        request, lease_client = node.request_lease(), node.lease_client
 
         def answer():
-            granted = registry.granter.grant(asking)
-            self.messages.append(lambda: asker.take(granted))
+            granted = registry.granter.grant(request)
+            self.messages.append(lambda: lease_client.take(granted))
 
         self.messages.append(answer)
 
     @rule(index=st.integers(0, NODES - 1), which=st.integers(0, REGISTRIES - 1))
-    def feed(self, index, which):
-        node, duty = self.nodes[index], self.registries[which].duty
-        number, value = duty.number, duty.value
+    def send_document(self, index, which):
+        node, coordinator = self.nodes[index], self.registries[which].coordinator
+        number, value = coordinator.number, coordinator.value
         if number:
-            self.messages.append(lambda: node.hear(number, value))
+            self.messages.append(lambda: node.receive_document(number, value))
 
-    @rule(place=st.integers(0, 50), is_lost=st.booleans())
-    def deliver(self, place, is_lost):
+    @rule(position=st.integers(0, 50), is_lost=st.booleans())
+    def deliver(self, position, is_lost):
         if self.messages:
-            message = self.messages.pop(place % len(self.messages))
+            message = self.messages.pop(position % len(self.messages))
             if not is_lost:
                 message()
 
@@ -82,23 +82,23 @@
             self.registries[index].restart()
 
     @invariant()
-    def nothing_forbidden_was_carried(self):
-        assert not getattr(self, "world", None) or self.world.forbidden_carried == 0
+    def nothing_withdrawn_was_forwarded(self):
+        assert not getattr(self, "world", None) or self.world.withdrawn_forwarded == 0
 
     def teardown(self):
         if not hasattr(self, "world"):
             return
-        # In touch again: every node holds the same routes and may use them.
+        # After reconnection every node has the same routes and may use them.
         for registry in self.registries:
             registry.is_cut = False
             registry.begin_read()
             registry.end_read()
         for node in self.nodes:
-            duty = self.registries[0].duty
-            if duty.number:
-                node.hear(duty.number, duty.value)
-                node.asker.take(self.registries[0].granter.grant(node.ask()))
-                assert node.view.partners.digest == digest_of(self.world)
+            coordinator = self.registries[0].coordinator
+            if coordinator.number:
+                node.receive_document(coordinator.number, coordinator.value)
+                node.lease_client.take(self.registries[0].granter.grant(node.request_lease()))
+                assert node.view.partners.digest == compute_digest(self.world)
                 assert node.view.leases.may_use_partners(node.clock)
         for registry in self.registries:
             registry.drop_read()
@@ -108,43 +108,43 @@
 TestPartnerLeases.settings = settings(max_examples=60, stateful_step_count=60, deadline=None)
 
 
-def carry_over_a_withdrawal(is_cut_off):
-    """A request comes in, the partner withdraws, and then it would leave."""
+def forward_after_withdrawal(is_cut_off):
+    """A request enters, the partner withdraws the route, and then the request would leave."""
     world = World()
     node, registry = SimulatedNode(world, 1.0), SimulatedRegistry(world, 1.0)
-    world.choose({"/a/"})
+    world.change_exports({"/a/"})
     registry.begin_read()
     registry.end_read()
-    node.hear(world.number, world.value)
-    node.asker.take(registry.granter.grant(node.ask()))
+    node.receive_document(world.number, world.value)
+    node.lease_client.take(registry.granter.grant(node.request_lease()))
     node.enter("/a/")
     node.enter("/b/")
     assert len(node.entered) == 1
-    world.choose(set())
-    world.turn(4.0)
+    world.change_exports(set())
+    world.advance_clock(4.0)
     assert world.acknowledged == 2
     if not is_cut_off:
-        node.hear(world.number, world.value)
+        node.receive_document(world.number, world.value)
     if is_cut_off:
         node.enter("/a/")
     node.leave()
     return world
 
 
-def test_a_withdrawal_binds_at_the_far_end_and_without_any_news():
+def test_a_withdrawal_is_enforced_at_the_last_node_and_without_an_update():
     for is_cut_off in (False, True):
-        world = carry_over_a_withdrawal(is_cut_off)
-        assert world.forbidden_carried == 0 and world.carried == 0
+        world = forward_after_withdrawal(is_cut_off)
+        assert world.withdrawn_forwarded == 0 and world.forwarded == 0
 
 
-def test_the_simulation_shows_what_the_lease_is_for(monkeypatch):
+def test_without_the_lease_the_simulation_forwards_withdrawn_requests(monkeypatch):
     monkeypatch.setattr(HeldLeases, "may_use_partners", lambda self, now: True)
-    assert carry_over_a_withdrawal(True).forbidden_carried == 2
+    assert forward_after_withdrawal(True).withdrawn_forwarded == 2
 
 
-def test_the_simulation_shows_what_the_far_end_check_is_for(monkeypatch):
+def test_without_the_check_before_leaving_the_simulation_forwards_withdrawn_requests(monkeypatch):
     monkeypatch.setattr(
         "marblefold.gateway.partner_hops.PartnerHops.may_leave", lambda *_args: True
     )
-    assert carry_over_a_withdrawal(False).forbidden_carried == 1
-    assert carry_over_a_withdrawal(True).forbidden_carried == 1
+    assert forward_after_withdrawal(False).withdrawn_forwarded == 1
+    assert forward_after_withdrawal(True).withdrawn_forwarded == 1
--- a/tests/test_partners.py
+++ b/tests/test_partners.py
@@ -1,4 +1,4 @@
-"""The partners' words: numbers, grants, clashes, lapses, and the merged table."""
+"""Tests partners: numbers, grants, conflicts, lapses and the table of routes."""
 
 import json
 
@@ -34,64 +34,66 @@
     )
 
 
-def exports(number, *places):
+def exports(number, *routes):
     return read_exports(
         json.dumps(
             {
                 "number": number,
                 "exports": [
-                    {"host": host, "prefix": prefix, "kind": "read_only"} for host, prefix in places
+                    {"host": host, "prefix": prefix, "kind": "read_only"} for host, prefix in routes
                 ],
             }
         ).encode()
     )
 
 
-def refusal(change, *arguments):
+def get_refusal(change, *arguments):
     with pytest.raises(PartnerChangeError) as caught:
         change(*arguments)
     return caught.value
 
 
-def test_only_what_is_exported_by_a_word_that_stands_is_reachable():
+def test_only_routes_exported_by_an_active_partner_are_reachable():
     document = grant_partner(PartnersDocument({}), "yard", grant())
     document = put_exports(document, "yard", exports(4, ("one", "/open/")))
     table = build_partner_table(1, document.pack())
     assert table.find("ONE:80", "/open/x?q").upstreams == ("partner/yard",)
     assert table.find("one", "/private/") is None and table.find("two", "/open/") is None
-    old = refusal(put_exports, document, "yard", exports(3))
+    old = get_refusal(put_exports, document, "yard", exports(3))
     assert (old.status, old.number) == (409, 4)
-    # The same word again is a sign of life; another under its number is not.
+    # The same exports again count as a heartbeat; others under the same number are refused.
     again = put_exports(document, "yard", exports(4, ("one", "/open/")))
     assert again.partners["yard"]["reads"] == 2
-    assert refusal(put_exports, document, "yard", exports(4)).status == 409
+    assert get_refusal(put_exports, document, "yard", exports(4)).status == 409
     assert build_partner_table(2, withdraw_partner(document, "yard").pack()).routes == {}
-    silent = mark_lapsed(document, "yard", 1)
-    assert build_partner_table(2, silent.pack()).routes == {}
+    lapsed = mark_lapsed(document, "yard", 1)
+    assert build_partner_table(2, lapsed.pack()).routes == {}
     assert mark_lapsed(again, "yard", 1) == again
-    back = put_exports(silent, "yard", exports(4, ("one", "/open/")))
-    assert build_partner_table(3, back.pack()).digest == table.digest
+    resumed = put_exports(lapsed, "yard", exports(4, ("one", "/open/")))
+    assert build_partner_table(3, resumed.pack()).digest == table.digest
 
 
-def test_a_place_belongs_to_one_partner_and_none_speaks_beyond_its_grant():
+def test_a_route_belongs_to_one_partner_and_none_exports_beyond_its_grant():
     document = PartnersDocument({})
     for name in ("yard", "mill"):
         document = grant_partner(document, name, grant())
     document = put_exports(document, "yard", exports(1, ("one", "/a/")))
-    clash = refusal(put_exports, document, "mill", exports(1, ("one", "/b/"), ("one", "/a/")))
-    assert clash.status == 409 and "exports[1].prefix" in clash.reason[0]
-    beyond = refusal(put_exports, document, "mill", exports(1, ("two", "/b/")))
+    conflict = get_refusal(
+        put_exports, document, "mill", exports(1, ("one", "/b/"), ("one", "/a/"))
+    )
+    assert conflict.status == 409 and "exports[1].prefix" in conflict.reason[0]
+    beyond = get_refusal(put_exports, document, "mill", exports(1, ("two", "/b/")))
     assert beyond.status == 400 and "exports[0].host" in beyond.reason[0]
-    assert refusal(put_exports, document, "nobody", exports(1)).status == 404
-    # The very same grant again was taken before; another one under its number is not.
+    assert get_refusal(put_exports, document, "nobody", exports(1)).status == 404
+    # The same grant again is accepted; another one under the same number is refused.
     assert grant_partner(document, "yard", grant()) == document
-    assert refusal(grant_partner, document, "yard", grant(hosts=("two",))).status == 409
+    assert get_refusal(grant_partner, document, "yard", grant(hosts=("two",))).status == 409
     withdrawn = withdraw_partner(document, "yard")
-    assert refusal(grant_partner, withdrawn, "yard", grant()).status == 409
+    assert get_refusal(grant_partner, withdrawn, "yard", grant()).status == 409
 
 
 @pytest.mark.parametrize(
-    "body, place",
+    "body, path",
     [
         (b"{", "body"),
         (b"[]", "body"),
@@ -107,33 +109,35 @@
         (b'{"number": 1, "exports": [], "more": 1}', "more"),
     ],
 )
-def test_bad_words_are_refused_with_their_place(body, place):
+def test_invalid_exports_are_refused_with_the_path_of_the_error(body, path):
     with pytest.raises(ExceptionGroup) as caught:
         read_exports(body)
-    assert any(place in fault.reason for fault in caught.value.exceptions)
+    assert any(path in error.reason for error in caught.value.exceptions)
 
 
 def test_a_credential_is_never_shown():
-    held = grant().credential
-    assert SECRET not in held
-    assert is_credential(SECRET, held) and not is_credential("another", held)
+    digest = grant().credential
+    assert SECRET not in digest
+    assert is_credential(SECRET, digest) and not is_credential("another", digest)
     with pytest.raises(ExceptionGroup) as caught:
         grant(credential=12345678901234567)
-    assert "12345678901234567" not in str([fault.reason for fault in caught.value.exceptions])
+    assert "12345678901234567" not in str([error.reason for error in caught.value.exceptions])
 
 
-PLACES = st.lists(
+HOSTS_AND_PREFIXES = st.lists(
     st.tuples(st.sampled_from(["one", "two"]), st.sampled_from(["/", "/a/", "/a/b/", "/c/"])),
     unique=True,
     max_size=5,
 )
 
 
-@given(PLACES, st.sampled_from(["/", "/a", "/a/", "/a/b/c", "/c/x", "/d/"]), st.randoms())
-def test_the_merged_table_finds_what_a_slow_model_finds_in_any_order(places, path, random):
+@given(
+    HOSTS_AND_PREFIXES, st.sampled_from(["/", "/a", "/a/", "/a/b/c", "/c/x", "/d/"]), st.randoms()
+)
+def test_the_table_matches_a_simple_model_for_exports_in_any_order(routes, path, random):
     document = grant_partner(PartnersDocument({}), "yard", grant(hosts=("one", "two")))
-    document = put_exports(document, "yard", exports(1, *places))
-    shuffled = list(places)
+    document = put_exports(document, "yard", exports(1, *routes))
+    shuffled = list(routes)
     random.shuffle(shuffled)
     other = put_exports(
         grant_partner(PartnersDocument({}), "yard", grant(hosts=("two", "one"))),
@@ -143,7 +147,7 @@
     table = build_partner_table(1, document.pack())
     assert table.digest == build_partner_table(7, other.pack()).digest
     best = ""
-    for host, prefix in places:
+    for host, prefix in routes:
         if host == "one" and path.startswith(prefix) and len(prefix) > len(best):
             best = prefix
     found = table.find("one", path)
