--- a/marblefold/maintenance/calls.py
+++ b/marblefold/maintenance/calls.py
@@ -27,7 +27,7 @@
 __all__ = ["MaintenanceCalls"]
 
 _MAX_ATTEMPTS = 5
-_RETRY_SECONDS = 0.2
+_RETRY_AFTER_SECONDS = 0.2
 _RETENTION = timedelta(days=2)
 # Sending the same window again in one of these states changes nothing, so that a finished
 # window does not run twice.
@@ -143,7 +143,7 @@
         except MeshError as error:
             return not_now_answer(error)
         return json_answer(
-            503, {wire_names.REASON: "others change it all the time"}, _RETRY_SECONDS
+            503, {wire_names.REASON: "others change it all the time"}, _RETRY_AFTER_SECONDS
         )
 
 
--- a/marblefold/partners/calls.py
+++ b/marblefold/partners/calls.py
@@ -31,7 +31,7 @@
 
 _MAX_BODY_BYTES = 1024 * 1024
 _MAX_ATTEMPTS = 5
-_RETRY_SECONDS = 0.2
+_RETRY_AFTER_SECONDS = 0.2
 
 
 class PartnerCalls:
@@ -126,7 +126,7 @@
         except MeshError as error:
             return not_now_answer(error)
         return json_answer(
-            503, {wire_names.REASON: "others change it all the time"}, _RETRY_SECONDS
+            503, {wire_names.REASON: "others change it all the time"}, _RETRY_AFTER_SECONDS
         )
 
     async def _answer_unchanged(self, number: int, value: bytes) -> Answer:
