--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -22,8 +22,8 @@
 from marblefold.proxy.traffic_teller import TrafficTeller
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.mesh_view import MeshView
+from marblefold.request_path.routing_state import RoutingState
 from marblefold.request_path.running_work import RunningWork
-from marblefold.request_path.surroundings import Surroundings
 from marblefold.request_path.target_selection import TargetSelector
 from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.starting import start_tracing
@@ -60,11 +60,11 @@
         )
         free = config.limits.file_descriptors - _KEPT_FOR_FILES - _KEPT_FOR_OURSELVES
         for_targets = max(4, int(free * _TARGET_SHARE))
-        self.surroundings = Surroundings(self.view, selector, config.bounds, config.limits)
+        self.routing_state = RoutingState(self.view, selector, config.bounds, config.limits)
         self.pool = TargetPool(for_targets, self._addresses)
         hops = TargetHops(self.pool)
         self.executor = RequestExecutor(
-            self.surroundings, PartnerHops(hops, hops, self.view), RunningWork(), ""
+            self.routing_state, PartnerHops(hops, hops, self.view), RunningWork(), ""
         )
         self.outbound = HttpServer(
             self.executor.serve, max(4, free - for_targets), self.executor.may_run_ahead
@@ -81,7 +81,7 @@
         )
         if self._tracing is not None:
             self.executor.tracer = self._tracing.tracer
-        self._traffic = TrafficTeller(self.surroundings.traffic, self.follower, config)
+        self._traffic = TrafficTeller(self.routing_state.traffic, self.follower, config)
 
     async def run(self) -> None:
         """Serves until a SIGTERM has been obeyed."""
@@ -148,4 +148,4 @@
     async def _look_for_overdue(self) -> None:
         while True:
             await asyncio.sleep(_OVERDUE_LOOK.total_seconds())
-            self.surroundings.log_overdue(_OVERDUE_LOOK)
+            self.routing_state.log_overdue(_OVERDUE_LOOK)
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -32,7 +32,7 @@
 from marblefold.request_path.hop_sender import HopSender
 from marblefold.request_path.local_target import LocalTarget
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.request_path.surroundings import Surroundings
+from marblefold.request_path.routing_state import RoutingState
 from marblefold.request_path.target_selection import TargetSelector
 from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.starting import start_tracing
@@ -66,7 +66,7 @@
         )
         self._membership = NodeMembership(watch, "proxy", PROXY, self._on_member)
         selector = TargetSelector(self.view, config.zone)
-        self.surroundings = Surroundings(self.view, selector, config.bounds, config.limits)
+        self.routing_state = RoutingState(self.view, selector, config.bounds, config.limits)
         self._peers = PeerBook(self, keep_alive=PEER_KEEP_ALIVE)
         self._hops = HopSender(
             self._peers,
@@ -74,7 +74,7 @@
             config.limits.link_mbps * 125_000,
         )
         self.executor = RequestExecutor(
-            self.surroundings, self._hops, self.guard.work, config.upstream
+            self.routing_state, self._hops, self.guard.work, config.upstream
         )
         self.view.on_partners = self._add_partner_hops
         self._tracing = start_tracing(
@@ -88,7 +88,7 @@
         if self._tracing is not None:
             self.executor.tracer = self.guard.tracer = self._tracing.tracer
         self._traffic = TrafficTeller(
-            self.surroundings.traffic,
+            self.routing_state.traffic,
             self.follower,
             config,
             lambda: self.guard.slots.service_seconds,
@@ -233,4 +233,4 @@
     async def _look_for_overdue(self) -> None:
         while True:
             await asyncio.sleep(_OVERDUE_LOOK.total_seconds())
-            self.surroundings.log_overdue(_OVERDUE_LOOK)
+            self.routing_state.log_overdue(_OVERDUE_LOOK)
--- a/marblefold/rehearsal/flight.py
+++ b/marblefold/rehearsal/flight.py
@@ -55,7 +55,7 @@
             True,
             kilobytes,
             False,
-            origin.surroundings,
+            origin.routing_state,
         )
         self._deadline = deadline
         self._hop: _Hop | None = None
@@ -66,7 +66,7 @@
     def begin(self) -> None:
         """The request arrives."""
         self._play.flights[self] = None
-        self._origin.surroundings.note_request(self._upstream, self._play.now)
+        self._origin.routing_state.note_request(self._upstream, self._play.now)
         self._step()
 
     def note_loss(self) -> None:
@@ -83,11 +83,11 @@
         if isinstance(step, Conclude):
             self._conclude(step)
             return
-        surroundings = self._origin.surroundings
+        routing_state = self._origin.routing_state
         self._offers = step.attempt_number
         if step.attempt_number > 1:
-            surroundings.note_repeat(self._upstream, self._play.now)
-        ticket = surroundings.begin(step.target, self._decision.weight, "rehearsed")
+            routing_state.note_repeat(self._upstream, self._play.now)
+        ticket = routing_state.begin(step.target, self._decision.weight, "rehearsed")
         hop = self._begin_hop(step, ticket)
         delay = self._play.delay(self._origin.zone, step.target)
         self._play.after(delay, lambda: self._reach(hop))
@@ -126,7 +126,7 @@
         play, target = self._play, hop.offer.target
         guard = play.guards[target.node]
         limits = find_cold_limits(play.view, target.upstream)
-        most = cold_most(limits, self._origin.surroundings.bounds)
+        most = cold_most(limits, self._origin.routing_state.bounds)
         if hop is not self._hop or not guard.cold.may_offer(play.now, most):
             # Returned after this call, as the guard is still assigning slots.
             play.after(0.0, guard.give_back)
@@ -166,7 +166,7 @@
         is_first = not self._was_dark
         self._was_dark = True
         hop, target = self._begin_hop(lost.offer, lost.ticket), lost.offer.target
-        surroundings = self._origin.surroundings
+        routing_state = self._origin.routing_state
         if play.now > play.loss_at + play.config.unheard_seconds:
             # The connection has been closed by now and a new one cannot be opened.
             self._was_dark = not is_first
@@ -174,7 +174,7 @@
             play.after(play.config.connect_seconds, lambda: self._take(hop, result))
             return
         silent = play.config.silent_seconds
-        play.after(silent, lambda: surroundings.selector.note_silent(target.peer, play.now))
+        play.after(silent, lambda: routing_state.selector.note_silent(target.peer, play.now))
         wait = silent if self._is_repeatable else play.config.unheard_seconds
         left = max(0.0, self._deadline - play.now)
         step = "silent" if self._is_repeatable else "connection"
@@ -188,7 +188,7 @@
         if hop is not self._hop or self._play.is_lost(self._origin.zone):
             return
         target = hop.offer.target
-        self._origin.surroundings.end(target, hop.ticket, result, self._decision.weight)
+        self._origin.routing_state.end(target, hop.ticket, result, self._decision.weight)
         self._decision.note(target, result)
         self._step()
 
--- a/marblefold/rehearsal/origins.py
+++ b/marblefold/rehearsal/origins.py
@@ -1,4 +1,4 @@
-"""The nodes of a rehearsal, each with the Surroundings of a real proxy."""
+"""The nodes of a rehearsal, each with the RoutingState of a real proxy."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
 from marblefold.node_config.model import Bounds, Limits
 from marblefold.rehearsal.snapshot import Snapshot
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.request_path.surroundings import Surroundings
+from marblefold.request_path.routing_state import RoutingState
 from marblefold.request_path.target_selection import TargetSelector
 from marblefold.wire_names import DRAINING, READY
 
@@ -21,9 +21,9 @@
 class Origin:
     """A node where requests begin."""
 
-    def __init__(self, zone: str, surroundings: Surroundings) -> None:
+    def __init__(self, zone: str, routing_state: RoutingState) -> None:
         self.zone = zone
-        self.surroundings = surroundings
+        self.routing_state = routing_state
 
 
 def make_view(snapshot: Snapshot) -> MeshView:
@@ -73,7 +73,7 @@
     for number, (_node, zone) in enumerate(sorted(nodes)):
         selector = TargetSelector(view, zone, seed=seed + number)
         origins.setdefault(zone, []).append(
-            Origin(zone, Surroundings(view, selector, bounds, _LIMITS, clock, _tell_nobody))
+            Origin(zone, RoutingState(view, selector, bounds, _LIMITS, clock, _tell_nobody))
         )
     return origins
 
--- a/marblefold/request_path/decision.py
+++ b/marblefold/request_path/decision.py
@@ -54,7 +54,7 @@
 
 
 class Facts(Protocol):
-    """What a decision reads from its surroundings; times are monotonic seconds."""
+    """What a decision reads from its routing_state; times are monotonic seconds."""
 
     def select(
         self,
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -19,8 +19,8 @@
 from marblefold.request_path.hop_sender import Hops
 from marblefold.request_path.outcome import HopOutcome, HopResult
 from marblefold.request_path.request_head import make_head
+from marblefold.request_path.routing_state import RoutingState
 from marblefold.request_path.running_work import RunningWork
-from marblefold.request_path.surroundings import Surroundings
 from marblefold.request_path.tracers import RequestTracer
 
 __all__ = ["RequestExecutor"]
@@ -40,7 +40,7 @@
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        routing_state: RoutingState,
         hops: Hops,
         work: RunningWork,
         caller: str,
@@ -49,20 +49,20 @@
         # Records every step, if this node traces.
         self.tracer: RequestTracer | None = None
         self._work = work
-        self._surroundings = surroundings
+        self._routing_state = routing_state
         self.hops = hops
         self._random = random.Random()
 
     async def serve(self, request: ClientRequest) -> Answer:
         """The answer to the request; ConnectionError if its client is lost."""
-        table = self._surroundings.view.table
+        table = self._routing_state.view.table
         if table is None:
             return own_answer(503, "no configuration yet", request.attempt_id, 0.5)
         route = self._find_route(request, table)
         if isinstance(route, Answer):
             return route
         # Decided on the head alone, before any work is done for the request.
-        concurrency_limiter = self._surroundings.concurrency
+        concurrency_limiter = self._routing_state.concurrency
         passage = concurrency_limiter.ask(route.name, route.priority, request.arrived)
         if not passage.allowed:
             log.warning("concurrency limit", route=route.name, attempt=request.attempt_id)
@@ -98,10 +98,10 @@
         is_whole: bool,
         body_limit: int,
     ) -> Answer:
-        surroundings = self._surroundings
+        routing_state = self._routing_state
         upstream = self._pick_upstream(route)
         parent = self._work.find_parent(request.attempt_id)
-        kilobytes = max(len(body), request.body_length) / 1024 + surroundings.answer_kilobytes(
+        kilobytes = max(len(body), request.body_length) / 1024 + routing_state.answer_kilobytes(
             route.name
         )
         decision = RequestDecision(
@@ -113,12 +113,12 @@
             is_whole,
             kilobytes,
             parent is not None,
-            surroundings,
+            routing_state,
         )
         now = time.monotonic()
-        surroundings.note_request(upstream, now)
-        owner = surroundings.view.owners.get(upstream)
-        table = surroundings.view.table
+        routing_state.note_request(upstream, now)
+        owner = routing_state.view.owners.get(upstream)
+        table = routing_state.view.table
         known = table.upstreams.get(upstream) if table is not None else None
         head = make_head(request, route, upstream, known, self.caller, body, is_whole)
         head.config_version = table.number if table is not None else 0
@@ -128,7 +128,7 @@
             head.priority = 0
             head.repeat_run = parent.is_repeat
             if parent.is_repeat:
-                surroundings.note_repeat(upstream, now)
+                routing_state.note_repeat(upstream, now)
         span = None
         tracer = self.tracer
         if tracer is not None:
@@ -152,7 +152,7 @@
                 decision.note(step.target, result)
             end = step
         finally:
-            surroundings.traffic.note(
+            routing_state.traffic.note(
                 route.name, end.answer.status, time.monotonic() - request.arrived, kilobytes
             )
             if tracer is not None and span is not None:
@@ -166,7 +166,7 @@
                 upstream=upstream,
             )
         if end.answer.status < 300:
-            surroundings.note_answer(route.name, len(end.answer.body) / 1024)
+            routing_state.note_answer(route.name, len(end.answer.body) / 1024)
         return end.answer
 
     async def _hop(
@@ -185,11 +185,11 @@
         head.aim_left_ms = int(offer.aim_seconds * 1000)
         head.attempt_number = offer.attempt_number
         head.last_resort = offer.is_last_resort
-        surroundings = self._surroundings
+        routing_state = self._routing_state
         # Any attempt after the first may reach a target as a repeat.
         if offer.attempt_number > 1:
-            surroundings.note_repeat(target.upstream, time.monotonic())
-        ticket = surroundings.begin(target, decision.weight, head.attempt_id)
+            routing_state.note_repeat(target.upstream, time.monotonic())
+        ticket = routing_state.begin(target, decision.weight, head.attempt_id)
         result = HopResult(HopOutcome.UNKNOWN, step="cancelled")
         hop = None
         tracer = self.tracer
@@ -202,7 +202,7 @@
             )
             return result
         finally:
-            surroundings.end(target, ticket, result, decision.weight)
+            routing_state.end(target, ticket, result, decision.weight)
             if tracer is not None and hop is not None:
                 tracer.finish_hop(hop, result)
 
@@ -211,7 +211,7 @@
 
         Whether a request may be repeated depends on its route, not on its method.
         """
-        table = self._surroundings.view.table
+        table = self._routing_state.view.table
         route = table.find(request.host, request.path) if table is not None else None
         return route is not None and route.kind == wire_names.READ_ONLY
 
@@ -224,7 +224,7 @@
             return own_answer(400, "no Attempt-Id")
         route = table.find(request.host, request.path)
         if route is None:
-            route = self._surroundings.view.find_partner_route(
+            route = self._routing_state.view.find_partner_route(
                 request.host, request.path, time.monotonic()
             )
         if route is None:
--- a/marblefold/request_path/surroundings.py
+++ b/marblefold/request_path/routing_state.py
@@ -15,7 +15,7 @@
 from marblefold.request_path.target_selection import SelectedTarget, TargetSelector
 from marblefold.request_path.traffic_count import TrafficCount
 
-__all__ = ["Surroundings"]
+__all__ = ["RoutingState"]
 
 
 _SHUN_SECONDS = 0.2
@@ -27,7 +27,7 @@
 _MEMORY_MB_EACH = 0.15
 
 
-class Surroundings:
+class RoutingState:
     """Provides the facts of a decision and learns from the results of hops.
 
     All times are monotonic seconds.
--- a/tests/simulated_cold.py
+++ b/tests/simulated_cold.py
@@ -22,8 +22,8 @@
 from marblefold.request_path.hop_sender import HopSender
 from marblefold.request_path.local_target import Beat, LocalTarget
 from marblefold.request_path.mesh_view import MeshView
+from marblefold.request_path.routing_state import RoutingState
 from marblefold.request_path.running_work import RunningWork
-from marblefold.request_path.surroundings import Surroundings
 from marblefold.request_path.target_selection import TargetSelector
 from tests.mesh_on_loopback import make_config
 from tests.simulated_connections import ListTransport, Stage
@@ -61,10 +61,10 @@
         view.take(make_entry(1))
         selector = TargetSelector(view, "hall", seed=1)
         limits = Limits(1e6, 1_000_000)
-        surroundings = Surroundings(view, selector, self.bounds, limits)
+        routing_state = RoutingState(view, selector, self.bounds, limits)
         peers = PeerBook(SimpleNamespace(on_lost=lambda _connection: None))
         sender = HopSender(peers, lambda _peer: None)
-        executor = RequestExecutor(surroundings, sender, RunningWork(), "shop")
+        executor = RequestExecutor(routing_state, sender, RunningWork(), "shop")
         self._server = HttpServer(executor.serve, may_run_ahead=executor.may_run_ahead)
 
     def start_proxy(self):
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -25,9 +25,9 @@
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.mesh_view import KnownOwner, MeshView
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult, TargetLoad
+from marblefold.request_path.routing_state import RoutingState
 from marblefold.request_path.running_work import RunningWork
 from marblefold.request_path.slot_queue import SlotQueue, Turn
-from marblefold.request_path.surroundings import Surroundings
 from marblefold.request_path.target_selection import TargetSelector
 from tests.region_document import SERVICE, ZONES
 
@@ -75,15 +75,15 @@
                 view.owners[name] = KnownOwner(row["site"], row["agent"], 1)
             for row in self.targets.values():
                 view.take(self.entry(row))
-            surroundings = Surroundings(
+            routing_state = RoutingState(
                 view,
                 TargetSelector(view, zone, seed=number),
                 _make_bounds(snapshot),
                 Limits(1e6, 1_000_000),
             )
-            self.nodes[node] = SimpleNamespace(zone=zone, view=view, surroundings=surroundings)
+            self.nodes[node] = SimpleNamespace(zone=zone, view=view, routing_state=routing_state)
             self.nodes[node].executor = RequestExecutor(
-                surroundings, SimulatedHops(self, self.nodes[node]), RunningWork(), "shop"
+                routing_state, SimulatedHops(self, self.nodes[node]), RunningWork(), "shop"
             )
 
     def entry(self, row):
@@ -151,7 +151,7 @@
 
     def tell(self):
         for name, node in self.nodes.items():
-            notice = node.surroundings.traffic.make_notice(name, node.zone, ZONES[node.zone], 0.0)
+            notice = node.routing_state.traffic.make_notice(name, node.zone, ZONES[node.zone], 0.0)
             if notice is not None:
                 self.book.take(notice, time.monotonic())
 
@@ -229,7 +229,7 @@
                 left = max(0.0, seconds - (time.monotonic() - began))
                 asyncio.get_running_loop().call_later(
                     0.45,
-                    lambda: self.node.surroundings.selector.note_silent(peer, time.monotonic()),
+                    lambda: self.node.routing_state.selector.note_silent(peer, time.monotonic()),
                 )
                 await asyncio.sleep(min(wait, left))
                 step = "deadline" if left < wait else ("silent" if is_read else "connection")
--- a/tests/test_decision.py
+++ b/tests/test_decision.py
@@ -33,7 +33,7 @@
 
 
 class Facts:
-    """Surroundings with as many targets as are asked for."""
+    """RoutingState with as many targets as are asked for."""
 
     def __init__(self, budget=True, passage=Passage(True, 0.0), targets=50):
         self.budget, self.passage, self.targets, self.selected = budget, passage, targets, 0
--- a/tests/test_region_loss.py
+++ b/tests/test_region_loss.py
@@ -190,7 +190,7 @@
         records = [
             record
             for node in mesh.nodes.values()
-            for record in node.surroundings.selector._records.values()
+            for record in node.routing_state.selector._records.values()
         ]
         return records, time.monotonic()
 
--- a/tests/test_sent_at_most_once.py
+++ b/tests/test_sent_at_most_once.py
@@ -24,8 +24,8 @@
 from marblefold.request_path.hop_sender import HopSender
 from marblefold.request_path.local_target import Beat, LocalTarget
 from marblefold.request_path.mesh_view import MeshView
+from marblefold.request_path.routing_state import RoutingState
 from marblefold.request_path.running_work import RunningWork
-from marblefold.request_path.surroundings import Surroundings
 from marblefold.request_path.target_selection import TargetSelector
 from tests.mesh_on_loopback import make_config
 from tests.simulated_connections import ListTransport, Stage
@@ -59,10 +59,10 @@
             self.view.take(make_entry(number))
             self.guards[number] = self.stage.call(self.make_guard, number, config.bounds)
         selector = TargetSelector(self.view, "hall", seed=1)
-        surroundings = Surroundings(self.view, selector, config.bounds, Limits(1e6, 1_000_000))
+        routing_state = RoutingState(self.view, selector, config.bounds, Limits(1e6, 1_000_000))
         peers = PeerBook(SimpleNamespace(on_lost=lambda _connection: None))
         sender = HopSender(peers, lambda peer: selector.note_silent(peer, self.stage.now))
-        executor = RequestExecutor(surroundings, sender, RunningWork(), "shop")
+        executor = RequestExecutor(routing_state, sender, RunningWork(), "shop")
         self.server = HttpServer(executor.serve, may_run_ahead=executor.may_run_ahead)
         for run in (sender.run, self.server.run, *(guard.run for guard in self.guards.values())):
             self.stage.start(run())
