--- a/marblefold/circuit_breaker/breaker.py
+++ b/marblefold/circuit_breaker/breaker.py
@@ -8,8 +8,8 @@
 import enum
 from typing import NamedTuple, Protocol
 
+from marblefold.circuit_breaker.in_flight_tracker import InFlightTracker, Permit
 from marblefold.circuit_breaker.latency_statistics import LatencyStatistics
-from marblefold.circuit_breaker.work_tracker import Ticket, WorkTracker
 
 __all__ = ["Breaker", "BreakerConfig", "BreakerState", "Gate", "Passage"]
 
@@ -46,9 +46,9 @@
 
     def ask(self, now: float) -> Passage: ...
 
-    def begin(self, now: float, weight: float, what: str) -> Ticket: ...
+    def begin(self, now: float, weight: float, label: str) -> Permit: ...
 
-    def end(self, ticket: Ticket, now: float, success: bool) -> None: ...
+    def end(self, permit: Permit, now: float, success: bool) -> None: ...
 
 
 class Breaker:
@@ -57,7 +57,7 @@
     def __init__(self, config: BreakerConfig = BreakerConfig()) -> None:
         self.state = BreakerState.CLOSED
         self._config = config
-        self._tracker = WorkTracker()
+        self._tracker = InFlightTracker()
         self._statistics = LatencyStatistics(config.window)
         self._refused_since_probe = 0
 
@@ -73,18 +73,18 @@
             return None
         return self._statistics.mean + self._config.deviations * self._statistics.deviation
 
-    def begin(self, now: float, weight: float, what: str) -> Ticket:
+    def begin(self, now: float, weight: float, label: str) -> Permit:
         """A call leaves at `now`, in seconds; its times are divided by `weight`."""
-        return self._tracker.take(now, weight, what)
+        return self._tracker.acquire(now, weight, label)
 
-    def end(self, ticket: Ticket, now: float, success: bool) -> None:
+    def end(self, permit: Permit, now: float, success: bool) -> None:
         """A call ended; only successes enter the statistics."""
-        if self._tracker.give_back(ticket) and success:
-            self._statistics.record((now - ticket.started) / ticket.weight)
+        if self._tracker.release(permit) and success:
+            self._statistics.record((now - permit.started) / permit.weight)
 
     def ask(self, now: float) -> Passage:
         """Whether a new call may leave at `now`, in seconds."""
-        self._tracker.clean(now, self._config.longest_seconds)
+        self._tracker.expire(now, self._config.longest_seconds)
         self._change_state(self._judge(now))
         if self.state is BreakerState.CLOSED:
             return Passage(True, 0.0)
@@ -95,13 +95,13 @@
         self._refused_since_probe += 1
         return Passage(False, self._retry_after(now))
 
-    def overdue(self, now: float, longest: float) -> list[Ticket]:
+    def overdue(self, now: float, longest: float) -> list[Permit]:
         """The calls in flight for longer than `longest` seconds, for the log."""
         found = []
-        for ticket in self._tracker.oldest_first():
-            if now - ticket.started <= longest:
+        for permit in self._tracker.oldest_first():
+            if now - permit.started <= longest:
                 break
-            found.append(ticket)
+            found.append(permit)
         return found
 
     def _judge(self, now: float) -> BreakerState:
@@ -112,12 +112,12 @@
             return BreakerState.CLOSED
         total = 0.0
         oldest = True
-        for ticket in self._tracker.oldest_first():
+        for permit in self._tracker.oldest_first():
             # The oldest may be a single stuck or legitimately long call.
             if oldest:
                 oldest = False
                 continue
-            total += (now - ticket.started) / ticket.weight
+            total += (now - permit.started) / permit.weight
         average = total / (outstanding - 1)
         return BreakerState.OPEN if average > threshold else BreakerState.CLOSED
 
@@ -130,6 +130,6 @@
 
     def _retry_after(self, now: float) -> float:
         # The age of the oldest call in flight, within bounds.
-        for ticket in self._tracker.oldest_first():
-            return max(0.1, min(5.0, now - ticket.started))
+        for permit in self._tracker.oldest_first():
+            return max(0.1, min(5.0, now - permit.started))
         return 0.1
--- a/marblefold/circuit_breaker/concurrency_limit.py
+++ b/marblefold/circuit_breaker/concurrency_limit.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple
 
 from marblefold.circuit_breaker.breaker import Passage
-from marblefold.circuit_breaker.work_tracker import Ticket, WorkTracker
+from marblefold.circuit_breaker.in_flight_tracker import InFlightTracker, Permit
 
 __all__ = ["ConcurrencyLimits", "ConcurrencyLimiter"]
 
@@ -31,7 +31,7 @@
     __slots__ = ("tracker", "normal")
 
     def __init__(self) -> None:
-        self.tracker = WorkTracker()
+        self.tracker = InFlightTracker()
         self.normal = 0.0
 
 
@@ -67,14 +67,14 @@
         known.normal += _LEARN * (count + 1 - known.normal)
         return Passage(True, 0.0)
 
-    def begin(self, sort: str, now: float, what: str) -> Ticket:
+    def begin(self, sort: str, now: float, label: str) -> Permit:
         """Starts to count an admitted request."""
         self._total += 1
-        return self._find(sort).tracker.take(now, 1.0, what)
+        return self._find(sort).tracker.acquire(now, 1.0, label)
 
-    def end(self, sort: str, ticket: Ticket) -> None:
-        """Stops counting a request; a second call for one ticket changes nothing."""
-        if self._find(sort).tracker.give_back(ticket):
+    def end(self, sort: str, permit: Permit) -> None:
+        """Stops counting a request; a second call for one permit changes nothing."""
+        if self._find(sort).tracker.release(permit):
             self._total -= 1
 
     def _find(self, sort: str) -> _Sort:
@@ -85,6 +85,6 @@
 
     def _retry_after(self, known: _Sort, now: float) -> float:
         # The age of the oldest request of the sort, within bounds.
-        for ticket in known.tracker.oldest_first():
-            return max(0.1, min(5.0, now - ticket.started))
+        for permit in known.tracker.oldest_first():
+            return max(0.1, min(5.0, now - permit.started))
         return 0.1
--- /dev/null
+++ b/marblefold/circuit_breaker/in_flight_tracker.py
@@ -0,0 +1,57 @@
+"""Tracks the calls in flight: acquire a permit, return it, list them by age."""
+
+from collections.abc import Iterator
+from typing import NamedTuple
+
+__all__ = ["Permit", "InFlightTracker"]
+
+
+class Permit(NamedTuple):
+    """One call in flight; `started` is in seconds on the caller's clock."""
+
+    number: int
+    started: float
+    weight: float
+    label: str
+
+
+class InFlightTracker:
+    """Holds permits oldest first; each comes out without a search.
+
+    A dict keeps its insertion order and removes by key in constant time, so no
+    collection of our own is needed.
+    """
+
+    def __init__(self) -> None:
+        self._permits: dict[int, Permit] = {}
+        self._next_number = 0
+
+    def __len__(self) -> int:
+        return len(self._permits)
+
+    def acquire(self, now: float, weight: float, label: str) -> Permit:
+        """Starts to track a call that leaves at `now`, in seconds."""
+        self._next_number += 1
+        permit = Permit(self._next_number, now, weight, label)
+        self._permits[permit.number] = permit
+        return permit
+
+    def release(self, permit: Permit) -> bool:
+        """Stops tracking a call. False if it was no longer tracked."""
+        return self._permits.pop(permit.number, None) is not None
+
+    def oldest_first(self) -> Iterator[Permit]:
+        """The calls in flight, oldest first."""
+        return iter(self._permits.values())
+
+    def expire(self, now: float, max_seconds: float) -> list[Permit]:
+        """Drops and returns permits older than `max_seconds`; their holders never released them."""
+        forgotten = []
+        for permit in self._permits.values():
+            # Tickets are ordered by age: all that follow are younger.
+            if now - permit.started <= max_seconds:
+                break
+            forgotten.append(permit)
+        for permit in forgotten:
+            self.release(permit)
+        return forgotten
--- a/marblefold/rehearsal/flight.py
+++ b/marblefold/rehearsal/flight.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from marblefold import wire_names
-from marblefold.circuit_breaker.work_tracker import Ticket
+from marblefold.circuit_breaker.in_flight_tracker import Permit
 from marblefold.configuration.rows import Route
 from marblefold.http_connections.answer import Answer
 from marblefold.rehearsal.guards import RehearsedGuard
@@ -25,7 +25,7 @@
     """The offer under way; a callback that holds an older one is stale."""
 
     offer: Offer
-    ticket: Ticket
+    permit: Permit
 
 
 class Flight:
@@ -87,14 +87,14 @@
         self._offers = step.attempt_number
         if step.attempt_number > 1:
             routing_state.note_repeat(self._upstream, self._play.now)
-        ticket = routing_state.begin(step.target, self._decision.weight, "rehearsed")
-        hop = self._begin_hop(step, ticket)
+        permit = routing_state.begin(step.target, self._decision.weight, "rehearsed")
+        hop = self._begin_hop(step, permit)
         delay = self._play.delay(self._origin.zone, step.target)
         self._play.after(delay, lambda: self._reach(hop))
 
-    def _begin_hop(self, offer: Offer, ticket: Ticket) -> _Hop:
+    def _begin_hop(self, offer: Offer, permit: Permit) -> _Hop:
         """Makes a hop the one under way: callbacks of earlier ones do nothing from now on."""
-        self._hop = _Hop(offer, ticket)
+        self._hop = _Hop(offer, permit)
         return self._hop
 
     def _reach(self, hop: _Hop) -> None:
@@ -165,7 +165,7 @@
         self._is_slot_held = False
         is_first = not self._was_dark
         self._was_dark = True
-        hop, target = self._begin_hop(lost.offer, lost.ticket), lost.offer.target
+        hop, target = self._begin_hop(lost.offer, lost.permit), lost.offer.target
         routing_state = self._origin.routing_state
         if play.now > play.loss_at + play.config.unheard_seconds:
             # The connection has been closed by now and a new one cannot be opened.
@@ -188,7 +188,7 @@
         if hop is not self._hop or self._play.is_lost(self._origin.zone):
             return
         target = hop.offer.target
-        self._origin.routing_state.end(target, hop.ticket, result, self._decision.weight)
+        self._origin.routing_state.end(target, hop.permit, result, self._decision.weight)
         self._decision.note(target, result)
         self._step()
 
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -67,11 +67,11 @@
         if not passage.allowed:
             log.warning("concurrency limit", route=route.name, attempt=request.attempt_id)
             return own_answer(429, "too many alike", request.attempt_id, passage.retry_after)
-        ticket = concurrency_limiter.begin(route.name, request.arrived, request.attempt_id)
+        permit = concurrency_limiter.begin(route.name, request.arrived, request.attempt_id)
         try:
             return await self._serve_on_route(request, route, table.limits.body_bytes)
         finally:
-            concurrency_limiter.end(route.name, ticket)
+            concurrency_limiter.end(route.name, permit)
 
     async def _serve_on_route(
         self, request: ClientRequest, route: Route, body_limit: int
@@ -189,7 +189,7 @@
         # Any attempt after the first may reach a target as a repeat.
         if offer.attempt_number > 1:
             routing_state.note_repeat(target.upstream, time.monotonic())
-        ticket = routing_state.begin(target, decision.weight, head.attempt_id)
+        permit = routing_state.begin(target, decision.weight, head.attempt_id)
         result = HopResult(HopOutcome.UNKNOWN, step="cancelled")
         hop = None
         tracer = self.tracer
@@ -202,7 +202,7 @@
             )
             return result
         finally:
-            routing_state.end(target, ticket, result, decision.weight)
+            routing_state.end(target, permit, result, decision.weight)
             if tracer is not None and hop is not None:
                 tracer.finish_hop(hop, result)
 
--- a/marblefold/request_path/routing_state.py
+++ b/marblefold/request_path/routing_state.py
@@ -6,7 +6,7 @@
 
 from marblefold.circuit_breaker.breaker import Breaker, Passage
 from marblefold.circuit_breaker.concurrency_limit import ConcurrencyLimiter, ConcurrencyLimits
-from marblefold.circuit_breaker.work_tracker import Ticket
+from marblefold.circuit_breaker.in_flight_tracker import Permit
 from marblefold.logs import log
 from marblefold.node_config.reading import Bounds, Limits
 from marblefold.request_path.mesh_view import KnownTarget, MeshView
@@ -96,12 +96,12 @@
         """A retry leaves."""
         self._budget(upstream).note_repeat(now)
 
-    def begin(self, target: KnownTarget, weight: float, what: str) -> Ticket:
+    def begin(self, target: KnownTarget, weight: float, label: str) -> Permit:
         """A hop leaves."""
         self.selector.begin(target)
-        return self.breaker(target.upstream).begin(self._clock(), weight, what)
+        return self.breaker(target.upstream).begin(self._clock(), weight, label)
 
-    def end(self, target: KnownTarget, ticket: Ticket, result: HopResult, weight: float) -> None:
+    def end(self, target: KnownTarget, permit: Permit, result: HopResult, weight: float) -> None:
         """A hop is over."""
         now = self._clock()
         selector = self.selector
@@ -110,7 +110,7 @@
         status = result.answer.status if result.answer is not None else 0
         success = answered and 0 < status < 400
         # Errors and refusals say nothing about normal latency.
-        self.breaker(target.upstream).end(ticket, now, success)
+        self.breaker(target.upstream).end(permit, now, success)
         if result.load is not None:
             selector.note_load(target, result.load, now)
         if success:
@@ -134,12 +134,12 @@
         """Logs the calls that have been in flight for longer than `longest`."""
         now = time.monotonic()
         for upstream, breaker in self._breakers.items():
-            for ticket in breaker.overdue(now, longest.total_seconds()):
+            for permit in breaker.overdue(now, longest.total_seconds()):
                 log.warning(
                     "overdue",
                     upstream=upstream,
-                    attempt=ticket.what,
-                    seconds=round(now - ticket.started, 1),
+                    attempt=permit.label,
+                    seconds=round(now - permit.started, 1),
                 )
 
     def answer_kilobytes(self, route: str) -> float:
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -24,7 +24,7 @@
         window = self.successes[-CONFIG.window :]
         mean = sum(window) / len(window)
         deviation = math.sqrt(sum((value - mean) ** 2 for value in window) / len(window))
-        ages = [(now - started) / weight for started, weight, _ticket in self.flying[1:]]
+        ages = [(now - started) / weight for started, weight, _permit in self.flying[1:]]
         margin = sum(ages) / len(ages) - (mean + CONFIG.deviations * deviation)
         # Sums kept as they go may differ from these in the last digits.
         return None if abs(margin) < 1e-6 else margin > 0
@@ -44,16 +44,16 @@
 
     @rule(weight=st.sampled_from([0.1, 0.5, 1.0]))
     def begin(self, weight):
-        ticket = self.breaker.begin(self.now, weight, "call")
-        self.plain.flying.append((self.now, weight, ticket))
+        permit = self.breaker.begin(self.now, weight, "call")
+        self.plain.flying.append((self.now, weight, permit))
 
     @rule(index=st.integers(0, 20), success=st.booleans())
     def end(self, index, success):
         if not self.plain.flying:
             return
-        started, weight, ticket = self.plain.flying.pop(index % len(self.plain.flying))
-        self.breaker.end(ticket, self.now, success)
-        self.breaker.end(ticket, self.now, success)
+        started, weight, permit = self.plain.flying.pop(index % len(self.plain.flying))
+        self.breaker.end(permit, self.now, success)
+        self.breaker.end(permit, self.now, success)
         if success:
             self.plain.successes.append((self.now - started) / weight)
 
@@ -100,8 +100,8 @@
     answers = [breaker.ask(now + 5.0).allowed for _ in range(20)]
     assert breaker.state is BreakerState.OPEN
     assert answers.count(True) == 4
-    for ticket in stuck:
-        breaker.end(ticket, now + 5.0, False)
+    for permit in stuck:
+        breaker.end(permit, now + 5.0, False)
     assert breaker.ask(now + 5.1).allowed and breaker.state is BreakerState.CLOSED
 
 
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -9,19 +9,19 @@
 
 
 def fill(concurrency_limiter, sort, rank, count):
-    tickets = []
+    permits = []
     for number in range(count):
         if concurrency_limiter.ask(sort, rank, float(number)).allowed:
-            tickets.append(concurrency_limiter.begin(sort, float(number), "x"))
-    return tickets
+            permits.append(concurrency_limiter.begin(sort, float(number), "x"))
+    return permits
 
 
 def test_a_flood_leaves_what_others_normally_need():
     concurrency_limiter = ConcurrencyLimiter(CONFIG)
     for _ in range(300):
         held = fill(concurrency_limiter, "bookings", 0, 20)
-        for ticket in held:
-            concurrency_limiter.end("bookings", ticket)
+        for permit in held:
+            concurrency_limiter.end("bookings", permit)
     normal = 100 * 0.9 - concurrency_limiter.allowed("views", 0)
     assert 5 < normal <= 20
     views = fill(concurrency_limiter, "views", 2, 300)
@@ -29,8 +29,8 @@
     assert len(fill(concurrency_limiter, "bookings", 0, 8)) == 8
     refusal = concurrency_limiter.ask("views", 2, 302.0)
     assert not refusal.allowed and refusal.retry_after == 5.0
-    for ticket in views:
-        concurrency_limiter.end("views", ticket)
+    for permit in views:
+        concurrency_limiter.end("views", permit)
     assert concurrency_limiter.ask("views", 2, 303.0).allowed
 
 
@@ -47,5 +47,5 @@
             concurrency_limiter.end(sort, held[sort].pop())
         elif concurrency_limiter.ask(sort, rank, float(number)).allowed:
             held[sort].append(concurrency_limiter.begin(sort, float(number), "x"))
-        counts = sum(len(tickets) for tickets in held.values())
+        counts = sum(len(permits) for permits in held.values())
         assert concurrency_limiter.total == counts <= 90
