--- a/marblefold/circuit_breaker/breaker.py
+++ b/marblefold/circuit_breaker/breaker.py
@@ -11,7 +11,7 @@
 from marblefold.circuit_breaker.in_flight_tracker import InFlightTracker, Permit
 from marblefold.circuit_breaker.latency_statistics import LatencyStatistics
 
-__all__ = ["Breaker", "BreakerConfig", "BreakerState", "Gate", "Passage"]
+__all__ = ["Breaker", "BreakerConfig", "BreakerState", "AdmissionControl", "Admission"]
 
 
 class BreakerConfig(NamedTuple):
@@ -34,17 +34,17 @@
     OPEN = "open"
 
 
-class Passage(NamedTuple):
+class Admission(NamedTuple):
     """Whether a call is admitted, and if not, after how many seconds to try again."""
 
     allowed: bool
     retry_after: float
 
 
-class Gate(Protocol):
+class AdmissionControl(Protocol):
     """What the request path needs of a breaker; times are in seconds."""
 
-    def ask(self, now: float) -> Passage: ...
+    def admit(self, now: float) -> Admission: ...
 
     def begin(self, now: float, weight: float, label: str) -> Permit: ...
 
@@ -82,18 +82,18 @@
         if self._tracker.release(permit) and success:
             self._statistics.record((now - permit.started) / permit.weight)
 
-    def ask(self, now: float) -> Passage:
+    def admit(self, now: float) -> Admission:
         """Whether a new call may leave at `now`, in seconds."""
         self._tracker.expire(now, self._config.longest_seconds)
         self._change_state(self._judge(now))
         if self.state is BreakerState.CLOSED:
-            return Passage(True, 0.0)
+            return Admission(True, 0.0)
         # Some calls must pass, else nothing would show that it is over.
         if self._refused_since_probe >= self._config.probe_every - 1:
             self._refused_since_probe = 0
-            return Passage(True, 0.0)
+            return Admission(True, 0.0)
         self._refused_since_probe += 1
-        return Passage(False, self._retry_after(now))
+        return Admission(False, self._retry_after(now))
 
     def overdue(self, now: float, longest: float) -> list[Permit]:
         """The calls in flight for longer than `longest` seconds, for the log."""
--- a/marblefold/circuit_breaker/concurrency_limit.py
+++ b/marblefold/circuit_breaker/concurrency_limit.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from marblefold.circuit_breaker.breaker import Passage
+from marblefold.circuit_breaker.breaker import Admission
 from marblefold.circuit_breaker.in_flight_tracker import InFlightTracker, Permit
 
 __all__ = ["ConcurrencyLimits", "ConcurrencyLimiter"]
@@ -56,16 +56,16 @@
         headroom = config.headroom + config.headroom_per_rank * ranks
         return max(1.0, config.resources * (1.0 - headroom) - others)
 
-    def ask(self, sort: str, rank: int, now: float) -> Passage:
+    def admit(self, sort: str, rank: int, now: float) -> Admission:
         """Whether one more request of the sort is admitted; `now` in seconds."""
         known = self._find(sort)
         count = len(known.tracker)
         is_full = self._total >= self._config.resources * self._config.usable
         if is_full or count + 1 > self.allowed(sort, rank):
-            return Passage(False, self._retry_after(known, now))
+            return Admission(False, self._retry_after(known, now))
         # Only admitted requests count as normal load: a flood must not raise its own limit.
         known.normal += _LEARN * (count + 1 - known.normal)
-        return Passage(True, 0.0)
+        return Admission(True, 0.0)
 
     def begin(self, sort: str, now: float, label: str) -> Permit:
         """Starts to count an admitted request."""
--- a/marblefold/request_path/decision.py
+++ b/marblefold/request_path/decision.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple, Protocol
 
 from marblefold import wire_names
-from marblefold.circuit_breaker.breaker import Passage
+from marblefold.circuit_breaker.breaker import Admission
 from marblefold.configuration.rows import Route
 from marblefold.http_connections.answer import Answer, own_answer
 from marblefold.request_path.mesh_view import KnownTarget
@@ -65,7 +65,7 @@
         now: float,
     ) -> SelectedTarget | None: ...
 
-    def ask_breaker(self, upstream: str, now: float) -> Passage: ...
+    def check_breaker(self, upstream: str, now: float) -> Admission: ...
 
     def may_repeat(self, upstream: str, now: float) -> bool: ...
 
@@ -147,9 +147,9 @@
         # A repeat after an offer counts against the shared budget.
         if self._offered and not self._facts.may_repeat(self.upstream, now):
             return self._give_up("retry budget", now)
-        passage = self._facts.ask_breaker(self.upstream, now)
-        if not passage.allowed:
-            return self._give_up("breaker", now, passage.retry_after)
+        admission = self._facts.check_breaker(self.upstream, now)
+        if not admission.allowed:
+            return self._give_up("breaker", now, admission.retry_after)
         selected = self._select(now)
         if selected is None:
             return self._give_up("select", now)
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -63,10 +63,10 @@
             return route
         # Decided on the head alone, before any work is done for the request.
         concurrency_limiter = self._routing_state.concurrency
-        passage = concurrency_limiter.ask(route.name, route.priority, request.arrived)
-        if not passage.allowed:
+        admission = concurrency_limiter.admit(route.name, route.priority, request.arrived)
+        if not admission.allowed:
             log.warning("concurrency limit", route=route.name, attempt=request.attempt_id)
-            return own_answer(429, "too many alike", request.attempt_id, passage.retry_after)
+            return own_answer(429, "too many alike", request.attempt_id, admission.retry_after)
         permit = concurrency_limiter.begin(route.name, request.arrived, request.attempt_id)
         try:
             return await self._serve_on_route(request, route, table.limits.body_bytes)
--- a/marblefold/request_path/routing_state.py
+++ b/marblefold/request_path/routing_state.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Collection
 from datetime import timedelta
 
-from marblefold.circuit_breaker.breaker import Breaker, Passage
+from marblefold.circuit_breaker.breaker import Admission, Breaker
 from marblefold.circuit_breaker.concurrency_limit import ConcurrencyLimiter, ConcurrencyLimits
 from marblefold.circuit_breaker.in_flight_tracker import Permit
 from marblefold.logs import log
@@ -67,11 +67,11 @@
         """The target for the next hop."""
         return self.selector.select(upstream, tried, homes, kilobytes, now)
 
-    def ask_breaker(self, upstream: str, now: float) -> Passage:
+    def check_breaker(self, upstream: str, now: float) -> Admission:
         """Whether the breaker admits one more call to the upstream."""
         breaker = self.breaker(upstream)
         state = breaker.state
-        passage = breaker.ask(now)
+        admission = breaker.admit(now)
         if breaker.state is not state:
             self._tell(
                 "breaker",
@@ -80,7 +80,7 @@
                 outstanding=breaker.outstanding,
                 threshold=breaker.threshold,
             )
-        return passage
+        return admission
 
     def may_repeat(self, upstream: str, now: float) -> bool:
         """Whether a retry is within this proxy's share of the budget."""
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -65,18 +65,18 @@
         ]
         expected = self.plain.is_open(self.now)
         was_open = self.breaker.state is BreakerState.OPEN
-        passage = self.breaker.ask(self.now)
+        admission = self.breaker.admit(self.now)
         if expected is None:
             self.refused_in_a_row = 0
             return
         assert (self.breaker.state is BreakerState.OPEN) == expected
         if not expected:
-            assert passage.allowed
-        if passage.allowed or not was_open:
+            assert admission.allowed
+        if admission.allowed or not was_open:
             self.refused_in_a_row = 0
-        if not passage.allowed:
+        if not admission.allowed:
             self.refused_in_a_row += 1
-            assert passage.retry_after > 0
+            assert admission.retry_after > 0
             # Some calls pass even while it is open.
             assert self.refused_in_a_row < CONFIG.probe_every
 
@@ -96,13 +96,13 @@
         breaker.end(breaker.begin(now, 0.4, "normal"), now + 0.1, True)
         now += 0.1
     stuck = [breaker.begin(now, 0.4, "stuck") for _ in range(20)]
-    assert breaker.ask(now + 0.1).allowed
-    answers = [breaker.ask(now + 5.0).allowed for _ in range(20)]
+    assert breaker.admit(now + 0.1).allowed
+    answers = [breaker.admit(now + 5.0).allowed for _ in range(20)]
     assert breaker.state is BreakerState.OPEN
     assert answers.count(True) == 4
     for permit in stuck:
         breaker.end(permit, now + 5.0, False)
-    assert breaker.ask(now + 5.1).allowed and breaker.state is BreakerState.CLOSED
+    assert breaker.admit(now + 5.1).allowed and breaker.state is BreakerState.CLOSED
 
 
 def test_one_poisoned_call_alone_does_not_open_it():
@@ -112,4 +112,4 @@
     breaker.begin(0.0, 1.0, "poisoned")
     for _ in range(6):
         breaker.begin(50.0, 1.0, "fresh")
-    assert breaker.ask(50.05).allowed and breaker.state is BreakerState.CLOSED
+    assert breaker.admit(50.05).allowed and breaker.state is BreakerState.CLOSED
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -11,7 +11,7 @@
 def fill(concurrency_limiter, sort, rank, count):
     permits = []
     for number in range(count):
-        if concurrency_limiter.ask(sort, rank, float(number)).allowed:
+        if concurrency_limiter.admit(sort, rank, float(number)).allowed:
             permits.append(concurrency_limiter.begin(sort, float(number), "x"))
     return permits
 
@@ -27,11 +27,11 @@
     views = fill(concurrency_limiter, "views", 2, 300)
     assert len(views) < 80
     assert len(fill(concurrency_limiter, "bookings", 0, 8)) == 8
-    refusal = concurrency_limiter.ask("views", 2, 302.0)
+    refusal = concurrency_limiter.admit("views", 2, 302.0)
     assert not refusal.allowed and refusal.retry_after == 5.0
     for permit in views:
         concurrency_limiter.end("views", permit)
-    assert concurrency_limiter.ask("views", 2, 303.0).allowed
+    assert concurrency_limiter.admit("views", 2, 303.0).allowed
 
 
 @given(
@@ -45,7 +45,7 @@
     for number, (sort, rank, is_end) in enumerate(events):
         if is_end and held[sort]:
             concurrency_limiter.end(sort, held[sort].pop())
-        elif concurrency_limiter.ask(sort, rank, float(number)).allowed:
+        elif concurrency_limiter.admit(sort, rank, float(number)).allowed:
             held[sort].append(concurrency_limiter.begin(sort, float(number), "x"))
         counts = sum(len(permits) for permits in held.values())
         assert concurrency_limiter.total == counts <= 90
--- a/tests/test_decision.py
+++ b/tests/test_decision.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marblefold.circuit_breaker.breaker import Passage
+from marblefold.circuit_breaker.breaker import Admission
 from marblefold.configuration.rows import Route
 from marblefold.http_connections.answer import Answer
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
@@ -35,8 +35,8 @@
 class Facts:
     """RoutingState with as many targets as are asked for."""
 
-    def __init__(self, budget=True, passage=Passage(True, 0.0), targets=50):
-        self.budget, self.passage, self.targets, self.selected = budget, passage, targets, 0
+    def __init__(self, budget=True, admission=Admission(True, 0.0), targets=50):
+        self.budget, self.admission, self.targets, self.selected = budget, admission, targets, 0
 
     def select(self, upstream, tried, homes, kilobytes, now):
         if self.selected >= self.targets:
@@ -44,8 +44,8 @@
         self.selected += 1
         return SelectedTarget(make_target(self.selected), False)
 
-    def ask_breaker(self, upstream, now):
-        return self.passage
+    def check_breaker(self, upstream, now):
+        return self.admission
 
     def may_repeat(self, upstream, now):
         return self.budget
@@ -115,7 +115,7 @@
 
 
 def test_a_breaker_that_refuses_is_a_promise_with_a_time():
-    decision = make_decision("mutating", Facts(passage=Passage(False, 0.7)))
+    decision = make_decision("mutating", Facts(admission=Admission(False, 0.7)))
     step = decision.next_step(0.0)
     assert step.answer.status == 503 and b"Retry-After: 0.700" in step.answer.header_block
 
