--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -23,7 +23,7 @@
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.routing_state import RoutingState
-from marblefold.request_path.running_work import RunningWork
+from marblefold.request_path.running_requests import RunningRequests
 from marblefold.request_path.target_selection import TargetSelector
 from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.starting import start_tracing
@@ -64,7 +64,7 @@
         self.pool = TargetPool(for_targets, self._addresses)
         hops = TargetHops(self.pool)
         self.executor = RequestExecutor(
-            self.routing_state, PartnerHops(hops, hops, self.view), RunningWork(), ""
+            self.routing_state, PartnerHops(hops, hops, self.view), RunningRequests(), ""
         )
         self.outbound = HttpServer(
             self.executor.serve, max(4, free - for_targets), self.executor.may_run_ahead
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -74,7 +74,7 @@
             config.limits.link_mbps * 125_000,
         )
         self.executor = RequestExecutor(
-            self.routing_state, self._hops, self.guard.work, config.upstream
+            self.routing_state, self._hops, self.guard.running_requests, config.upstream
         )
         self.view.on_partners = self._add_partner_hops
         self._tracing = start_tracing(
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -20,7 +20,7 @@
 from marblefold.request_path.outcome import HopOutcome, HopResult
 from marblefold.request_path.request_head import make_head
 from marblefold.request_path.routing_state import RoutingState
-from marblefold.request_path.running_work import RunningWork
+from marblefold.request_path.running_requests import RunningRequests
 from marblefold.request_path.tracers import RequestTracer
 
 __all__ = ["RequestExecutor"]
@@ -42,13 +42,13 @@
         self,
         routing_state: RoutingState,
         hops: Hops,
-        work: RunningWork,
+        running_requests: RunningRequests,
         caller: str,
     ) -> None:
         self.caller = caller
         # Records every step, if this node traces.
         self.tracer: RequestTracer | None = None
-        self._work = work
+        self._running_requests = running_requests
         self._routing_state = routing_state
         self.hops = hops
         self._random = random.Random()
@@ -100,7 +100,7 @@
     ) -> Answer:
         routing_state = self._routing_state
         upstream = self._pick_upstream(route)
-        parent = self._work.find_parent(request.attempt_id)
+        parent = self._running_requests.find_parent(request.attempt_id)
         kilobytes = max(len(body), request.body_length) / 1024 + routing_state.answer_kilobytes(
             route.name
         )
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -22,7 +22,7 @@
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.offered_hops import OfferedHops
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, refuse
-from marblefold.request_path.running_work import Run, RunningWork
+from marblefold.request_path.running_requests import RunningRequest, RunningRequests
 from marblefold.request_path.slot_queue import SlotQueue, Turn
 from marblefold.request_path.target_caller import TargetCaller
 from marblefold.request_path.tracers import GuardTracer
@@ -56,7 +56,7 @@
     ) -> None:
         self.cold = ColdStart(target, view, bounds)
         self.slots = SlotQueue(1)
-        self.work = RunningWork()
+        self.running_requests = RunningRequests()
         self._target = target
         self._view = view
         self._bounds = bounds
@@ -166,7 +166,7 @@
             wait = max(_REFUSED_RETRY_SECONDS, self.slots.expected_wait(turn))
             return refuse(NO_SLOT, wait)
         started = time.monotonic()
-        run = Run(head.attempt_id, head.repeat_run or head.attempt_number > 1, span)
+        run = RunningRequest(head.attempt_id, head.repeat_run or head.attempt_number > 1, span)
         if span is not None:
             span.queued = started - came
         try:
@@ -183,12 +183,12 @@
                 return refuse(COLD_STEP, self.cold.retry_after(started))
             head.deadline_left_ms = max(1, int(left * 1000))
             self._offered.begin(exchange, started)
-            self.work.begin(run)
+            self.running_requests.begin(run)
             exchange.is_repeatable = head.route_type == wire_names.READ_ONLY
             answer = await caller.offer(exchange, head, left, lambda: self._find_obstacle(head))
         finally:
             self._offered.end(exchange)
-            self.work.end(run)
+            self.running_requests.end(run)
             self.slots.give_back()
         return self._conclude(answer, started, time.monotonic())
 
--- a/marblefold/request_path/running_work.py
+++ b/marblefold/request_path/running_requests.py
@@ -8,10 +8,10 @@
 
 from typing import NamedTuple
 
-__all__ = ["Run", "RunningWork"]
+__all__ = ["RunningRequest", "RunningRequests"]
 
 
-class Run(NamedTuple):
+class RunningRequest(NamedTuple):
     """One request that the target is running."""
 
     attempt_id: str
@@ -20,21 +20,21 @@
     span: object = None
 
 
-class RunningWork:
+class RunningRequests:
     """Updated by the guard and read by the outbound side of the same proxy."""
 
     def __init__(self) -> None:
-        self._runs: dict[str, Run] = {}
+        self._runs: dict[str, RunningRequest] = {}
 
-    def begin(self, run: Run) -> None:
+    def begin(self, run: RunningRequest) -> None:
         """The request was offered to the target."""
         self._runs[run.attempt_id] = run
 
-    def end(self, run: Run) -> None:
+    def end(self, run: RunningRequest) -> None:
         """The request is over."""
         self._runs.pop(run.attempt_id, None)
 
-    def find_parent(self, attempt_id: str) -> Run | None:
+    def find_parent(self, attempt_id: str) -> RunningRequest | None:
         """The running request that made the call, if it can be recognised."""
         for known, run in self._runs.items():
             if len(attempt_id) > len(known) and attempt_id.startswith(known):
--- a/tests/simulated_cold.py
+++ b/tests/simulated_cold.py
@@ -23,7 +23,7 @@
 from marblefold.request_path.local_target import Beat, LocalTarget
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.routing_state import RoutingState
-from marblefold.request_path.running_work import RunningWork
+from marblefold.request_path.running_requests import RunningRequests
 from marblefold.request_path.target_selection import TargetSelector
 from tests.mesh_on_loopback import make_config
 from tests.simulated_connections import ListTransport, Stage
@@ -64,7 +64,7 @@
         routing_state = RoutingState(view, selector, self.bounds, limits)
         peers = PeerBook(SimpleNamespace(on_lost=lambda _connection: None))
         sender = HopSender(peers, lambda _peer: None)
-        executor = RequestExecutor(routing_state, sender, RunningWork(), "shop")
+        executor = RequestExecutor(routing_state, sender, RunningRequests(), "shop")
         self._server = HttpServer(executor.serve, may_run_ahead=executor.may_run_ahead)
 
     def start_proxy(self):
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -26,7 +26,7 @@
 from marblefold.request_path.mesh_view import KnownOwner, MeshView
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult, TargetLoad
 from marblefold.request_path.routing_state import RoutingState
-from marblefold.request_path.running_work import RunningWork
+from marblefold.request_path.running_requests import RunningRequests
 from marblefold.request_path.slot_queue import SlotQueue, Turn
 from marblefold.request_path.target_selection import TargetSelector
 from tests.region_document import SERVICE, ZONES
@@ -83,7 +83,7 @@
             )
             self.nodes[node] = SimpleNamespace(zone=zone, view=view, routing_state=routing_state)
             self.nodes[node].executor = RequestExecutor(
-                routing_state, SimulatedHops(self, self.nodes[node]), RunningWork(), "shop"
+                routing_state, SimulatedHops(self, self.nodes[node]), RunningRequests(), "shop"
             )
 
     def entry(self, row):
--- a/tests/test_decision.py
+++ b/tests/test_decision.py
@@ -11,7 +11,7 @@
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
 from marblefold.request_path.mesh_view import KnownTarget
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult
-from marblefold.request_path.running_work import Run, RunningWork
+from marblefold.request_path.running_requests import RunningRequest, RunningRequests
 from marblefold.request_path.target_selection import SelectedTarget
 
 PROMISES = (408, 421, 429, 503)
@@ -182,10 +182,13 @@
 
 
 def test_calls_are_told_by_the_id_of_the_run_they_belong_to():
-    work = RunningWork()
-    run = Run("9c41", True)
-    work.begin(run)
-    assert work.find_parent("9c41.7e") is run
-    assert work.find_parent("9c41") is None and work.find_parent("77aa.9c41") is None
-    work.end(run)
-    assert work.find_parent("9c41.7e") is None
+    running_requests = RunningRequests()
+    run = RunningRequest("9c41", True)
+    running_requests.begin(run)
+    assert running_requests.find_parent("9c41.7e") is run
+    assert (
+        running_requests.find_parent("9c41") is None
+        and running_requests.find_parent("77aa.9c41") is None
+    )
+    running_requests.end(run)
+    assert running_requests.find_parent("9c41.7e") is None
--- a/tests/test_sent_at_most_once.py
+++ b/tests/test_sent_at_most_once.py
@@ -25,7 +25,7 @@
 from marblefold.request_path.local_target import Beat, LocalTarget
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.routing_state import RoutingState
-from marblefold.request_path.running_work import RunningWork
+from marblefold.request_path.running_requests import RunningRequests
 from marblefold.request_path.target_selection import TargetSelector
 from tests.mesh_on_loopback import make_config
 from tests.simulated_connections import ListTransport, Stage
@@ -62,7 +62,7 @@
         routing_state = RoutingState(self.view, selector, config.bounds, Limits(1e6, 1_000_000))
         peers = PeerBook(SimpleNamespace(on_lost=lambda _connection: None))
         sender = HopSender(peers, lambda peer: selector.note_silent(peer, self.stage.now))
-        executor = RequestExecutor(routing_state, sender, RunningWork(), "shop")
+        executor = RequestExecutor(routing_state, sender, RunningRequests(), "shop")
         self.server = HttpServer(executor.serve, may_run_ahead=executor.may_run_ahead)
         for run in (sender.run, self.server.run, *(guard.run for guard in self.guards.values())):
             self.stage.start(run())
