--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -17,12 +17,12 @@
 from marblefold.node_config.model import Address, Bounds
 from marblefold.request_path.cold_start import COLD_STEP, ColdStart
 from marblefold.request_path.intake import Intake
-from marblefold.request_path.leaving_rule import LeavingRule
 from marblefold.request_path.local_target import LocalTarget, TargetState
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.offered_hops import OfferedHops
-from marblefold.request_path.outcome import NO_SLOT, HopOutcome, refuse
+from marblefold.request_path.outcome import NO_SLOT, HopOutcome, make_refusal
 from marblefold.request_path.running_requests import RunningRequest, RunningRequests
+from marblefold.request_path.shutdown_rule import ShutdownRule
 from marblefold.request_path.slot_queue import SlotQueue, Turn
 from marblefold.request_path.target_caller import TargetCaller
 from marblefold.request_path.tracers import GuardTracer
@@ -67,7 +67,7 @@
         self._offered = OfferedHops()
         self._watch = LoopWatch(_LOOK_SECONDS)
         self._unreachable_until = 0.0
-        self._leaving = LeavingRule(bounds)
+        self._shutdown = ShutdownRule(bounds)
         # Records every hop, if this node traces.
         self.tracer: GuardTracer | None = None
 
@@ -78,7 +78,7 @@
 
     def begin_leaving(self, now: float) -> None:
         """The proxy shuts down: what is accepted must finish in time; `now`: monotonic seconds."""
-        self._leaving.since = now
+        self._shutdown.started_at = now
 
     def set_address(self, address: Address) -> None:
         """Sets the address of the target and closes its idle connections."""
@@ -161,10 +161,10 @@
             patience = max(_LEAST_PATIENCE, _BODY_AIM_SHARE * head.aim_left_ms / 1000.0)
             step = await self._intake.take(exchange, head, deadline - came, patience)
             if step:
-                return refuse(step, _REFUSED_RETRY_SECONDS)
+                return make_refusal(step, _REFUSED_RETRY_SECONDS)
         if not await self.slots.take(turn, longest):
             wait = max(_REFUSED_RETRY_SECONDS, self.slots.expected_wait(turn))
-            return refuse(NO_SLOT, wait)
+            return make_refusal(NO_SLOT, wait)
         started = time.monotonic()
         run = RunningRequest(head.attempt_id, head.repeat_run or head.attempt_number > 1, span)
         if span is not None:
@@ -178,9 +178,9 @@
                 return refusal
             left = deadline - started
             if left < _LEAST_SECONDS:
-                return refuse("deadline", 0.0)
+                return make_refusal("deadline", 0.0)
             if not self.cold.has_room(head, started):
-                return refuse(COLD_STEP, self.cold.retry_after(started))
+                return make_refusal(COLD_STEP, self.cold.retry_after(started))
             head.deadline_left_ms = max(1, int(left * 1000))
             self._offered.begin(exchange, started)
             self.running_requests.begin(run)
@@ -195,7 +195,7 @@
     def _conclude(self, answer, started: float, now: float):
         """The answer with the time that the target took, or with when to come back."""
         if answer.step == COLD_STEP:
-            return refuse(COLD_STEP, self.cold.retry_after(now))
+            return make_refusal(COLD_STEP, self.cold.retry_after(now))
         if answer.outcome == HopOutcome.NEVER_OFFERED:
             if answer.step == CONNECT_STEP:
                 self._unreachable_until = now + _SHUN_SECONDS
@@ -209,24 +209,24 @@
         """The refusal of a hop that must not go to the target, or None."""
         target = self._target
         if self._caller is None or target.instance != head.expected_instance:
-            return refuse("another instance", 0.0)
+            return make_refusal("another instance", 0.0)
         if time.monotonic() < self._unreachable_until:
-            return refuse("target out of reach", _SHUN_SECONDS)
+            return make_refusal("target out of reach", _SHUN_SECONDS)
         if target.upstream != head.upstream:
-            return refuse("another upstream", 0.0)
+            return make_refusal("another upstream", 0.0)
         if not self._is_owner(head):
-            return refuse("another owner", _REFUSED_RETRY_SECONDS)
+            return make_refusal("another owner", _REFUSED_RETRY_SECONDS)
         if target.state is TargetState.DRAINING:
             # Peers may not know of the drain yet; other targets can serve meanwhile.
             share = self._bounds.drain_time.total_seconds() * _DRAIN_SHARE
             if not head.last_resort or time.monotonic() - target.drain_since > share:
-                return refuse("draining", 0.0)
-        elif self._leaving.is_too_late(time.monotonic(), head.last_resort):
-            return refuse("leaving", 0.0)
+                return make_refusal("draining", 0.0)
+        elif self._shutdown.is_refused(time.monotonic(), head.last_resort):
+            return make_refusal("leaving", 0.0)
         elif target.state is not TargetState.READY:
-            return refuse(target.state.value, 0.0)
+            return make_refusal(target.state.value, 0.0)
         if target.zone in self._view.evacuated:
-            return refuse("evacuated", 0.0)
+            return make_refusal("evacuated", 0.0)
         limit = find_slots(self._view, target)
         if self.slots.limit != limit:
             self.slots.set_limit(limit)
--- a/marblefold/request_path/outcome.py
+++ b/marblefold/request_path/outcome.py
@@ -6,7 +6,7 @@
 from marblefold.http_connections.answer import Answer
 from marblefold.inner_protocol.messages import kinds
 
-__all__ = ["NO_SLOT", "HopOutcome", "HopResult", "TargetLoad", "refuse"]
+__all__ = ["NO_SLOT", "HopOutcome", "HopResult", "TargetLoad", "make_refusal"]
 
 # The step of a hop that was refused only because no slot was free.
 NO_SLOT = "no slot in time"
@@ -44,7 +44,7 @@
     service_seconds: float = 0.0
 
 
-def refuse(step: str, retry_after: float):
+def make_refusal(step: str, retry_after: float):
     """The AnswerHead of a hop that was not offered; `retry_after` is in seconds."""
     return kinds.AnswerHead(
         outcome=HopOutcome.NEVER_OFFERED, step=step, retry_after_ms=int(retry_after * 1000)
--- a/marblefold/request_path/leaving_rule.py
+++ b/marblefold/request_path/shutdown_rule.py
@@ -2,7 +2,7 @@
 
 from marblefold.node_config.model import Bounds
 
-__all__ = ["LeavingRule"]
+__all__ = ["ShutdownRule"]
 
 # Hops without an alternative are accepted for this share of the grace period.
 _LEAVING_SHARE = 0.3
@@ -11,22 +11,22 @@
 _UNANNOUNCED_SHARE = 0.16
 
 
-class LeavingRule:
+class ShutdownRule:
     """The shutdown rule of a guard."""
 
     def __init__(self, bounds: Bounds) -> None:
         # Monotonic seconds at which the SIGTERM came, if any.
-        self.since: float | None = None
+        self.started_at: float | None = None
         self._bounds = bounds
 
-    def is_too_late(self, now: float, is_last_resort: bool) -> bool:
+    def is_refused(self, now: float, is_last_resort: bool) -> bool:
         """Whether a hop that arrives now (monotonic seconds) is refused."""
-        if self.since is None:
+        if self.started_at is None:
             return False
         # Peers without an alternative are served a little longer; the rest of
         # the grace period is for the requests in progress.
         grace = self._bounds.grace_period.total_seconds()
-        age = now - self.since
+        age = now - self.started_at
         if age < grace * _UNANNOUNCED_SHARE:
             return False
         return not is_last_resort or age > grace * _LEAVING_SHARE
