--- a/marblefold/rehearsal/flight.py
+++ b/marblefold/rehearsal/flight.py
@@ -86,7 +86,7 @@
         routing_state = self._origin.routing_state
         self._offers = step.attempt_number
         if step.attempt_number > 1:
-            routing_state.note_repeat(self._upstream, self._play.now)
+            routing_state.note_retry(self._upstream, self._play.now)
         permit = routing_state.begin(step.target, self._decision.weight, "rehearsed")
         hop = self._begin_hop(step, permit)
         delay = self._play.delay(self._origin.zone, step.target)
--- a/marblefold/request_path/decision.py
+++ b/marblefold/request_path/decision.py
@@ -67,7 +67,7 @@
 
     def check_breaker(self, upstream: str, now: float) -> Admission: ...
 
-    def may_repeat(self, upstream: str, now: float) -> bool: ...
+    def may_retry(self, upstream: str, now: float) -> bool: ...
 
 
 class RequestDecision:
@@ -145,7 +145,7 @@
         if self._offered >= self._route.max_attempts:
             return self._give_up("attempt limit", now)
         # A repeat after an offer counts against the shared budget.
-        if self._offered and not self._facts.may_repeat(self.upstream, now):
+        if self._offered and not self._facts.may_retry(self.upstream, now):
             return self._give_up("retry budget", now)
         admission = self._facts.check_breaker(self.upstream, now)
         if not admission.allowed:
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -128,7 +128,7 @@
             head.priority = 0
             head.repeat_run = parent.is_repeat
             if parent.is_repeat:
-                routing_state.note_repeat(upstream, now)
+                routing_state.note_retry(upstream, now)
         span = None
         tracer = self.tracer
         if tracer is not None:
@@ -188,7 +188,7 @@
         routing_state = self._routing_state
         # Any attempt after the first may reach a target as a repeat.
         if offer.attempt_number > 1:
-            routing_state.note_repeat(target.upstream, time.monotonic())
+            routing_state.note_retry(target.upstream, time.monotonic())
         permit = routing_state.begin(target, decision.weight, head.attempt_id)
         result = HopResult(HopOutcome.UNKNOWN, step="cancelled")
         hop = None
--- a/marblefold/request_path/retry_budget.py
+++ b/marblefold/request_path/retry_budget.py
@@ -52,11 +52,11 @@
         """A first attempt was sent to the upstream."""
         self._requests.add(now)
 
-    def note_repeat(self, now: float) -> None:
+    def note_retry(self, now: float) -> None:
         """A retry was sent, or a call that counts as one."""
         self._repeats.add(now)
 
-    def may_repeat(self, now: float, proxies: int) -> bool:
+    def may_retry(self, now: float, proxies: int) -> bool:
         """Whether one more retry stays within this proxy's share."""
         allowed = self._ratio * self._requests.total(now) + self._slack / max(1, proxies)
         return self._repeats.total(now) + 1 <= _SPENT_SHARE * allowed
--- a/marblefold/request_path/routing_state.py
+++ b/marblefold/request_path/routing_state.py
@@ -82,19 +82,19 @@
             )
         return admission
 
-    def may_repeat(self, upstream: str, now: float) -> bool:
+    def may_retry(self, upstream: str, now: float) -> bool:
         """Whether a retry is within this proxy's share of the budget."""
         # Until the other proxies are counted, many are assumed.
         proxies = self.view.proxies or 1000
-        return self._budget(upstream).may_repeat(now, proxies)
+        return self._budget(upstream).may_retry(now, proxies)
 
     def note_request(self, upstream: str, now: float) -> None:
         """A request for the upstream arrived."""
         self._budget(upstream).note_request(now)
 
-    def note_repeat(self, upstream: str, now: float) -> None:
+    def note_retry(self, upstream: str, now: float) -> None:
         """A retry leaves."""
-        self._budget(upstream).note_repeat(now)
+        self._budget(upstream).note_retry(now)
 
     def begin(self, target: KnownTarget, weight: float, label: str) -> Permit:
         """A hop leaves."""
--- a/tests/test_decision.py
+++ b/tests/test_decision.py
@@ -47,7 +47,7 @@
     def check_breaker(self, upstream, now):
         return self.admission
 
-    def may_repeat(self, upstream, now):
+    def may_retry(self, upstream, now):
         return self.budget
 
 
--- a/tests/test_guard_parts.py
+++ b/tests/test_guard_parts.py
@@ -139,8 +139,8 @@
         if not is_repeat:
             budget.note_request(now)
             requests.append(now)
-        elif budget.may_repeat(now, proxies):
-            budget.note_repeat(now)
+        elif budget.may_retry(now, proxies):
+            budget.note_retry(now)
             repeats.append(now)
     for end in repeats:
         inside = sum(1 for at in repeats if end - window <= at <= end)
