--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -56,7 +56,7 @@
             asker=LeaseClient(config.node_name, self.view),
         )
         selector = TargetSelector(
-            self.view, config.zone, subset_of=config.node_name, has_guards=False
+            self.view, config.zone, subset_key=config.node_name, has_guards=False
         )
         free = config.limits.file_descriptors - _KEPT_FOR_FILES - _KEPT_FOR_OURSELVES
         for_targets = max(4, int(free * _TARGET_SHARE))
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -70,7 +70,7 @@
         self._peers = PeerBook(self, keep_alive=PEER_KEEP_ALIVE)
         self._hops = HopSender(
             self._peers,
-            lambda peer: selector.note_silent(peer, time.monotonic()),
+            lambda peer: selector.note_unresponsive(peer, time.monotonic()),
             config.limits.link_mbps * 125_000,
         )
         self.executor = RequestExecutor(
--- a/marblefold/rehearsal/flight.py
+++ b/marblefold/rehearsal/flight.py
@@ -174,7 +174,7 @@
             play.after(play.config.connect_seconds, lambda: self._take(hop, result))
             return
         silent = play.config.silent_seconds
-        play.after(silent, lambda: routing_state.selector.note_silent(target.peer, play.now))
+        play.after(silent, lambda: routing_state.selector.note_unresponsive(target.peer, play.now))
         wait = silent if self._is_repeatable else play.config.unheard_seconds
         left = max(0.0, self._deadline - play.now)
         step = "silent" if self._is_repeatable else "connection"
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -53,12 +53,12 @@
     def __init__(
         self,
         peers: PeerBook,
-        on_silent: Callable[[str], None],
+        on_unresponsive: Callable[[str], None],
         link_bytes_per_second: float = 1e9,
     ) -> None:
         self._peers = peers
         self._patience = _PATIENCE_SECONDS + _AHEAD_BYTES / max(1.0, link_bytes_per_second)
-        self._on_silent = on_silent
+        self._on_unresponsive = on_unresponsive
 
     async def run(self) -> None:
         """Checks forever for unresponsive peers.
@@ -71,7 +71,7 @@
             now = time.monotonic()
             for connection in self._peers.connections():
                 if connection.is_silent(now, _QUIET_SECONDS, self._patience):
-                    self._on_silent(connection.peer)
+                    self._on_unresponsive(connection.peer)
                     connection.break_off_repeatable(
                         MeshError("silent", "no sign of life", connection.peer)
                     )
--- a/marblefold/request_path/target_selection.py
+++ b/marblefold/request_path/target_selection.py
@@ -50,7 +50,7 @@
         view: MeshView,
         zone: str,
         seed: int | None = None,
-        subset_of: str = "",
+        subset_key: str = "",
         has_guards: bool = True,
     ) -> None:
         self._view = view
@@ -60,9 +60,9 @@
         self._zone = zone
         self._records: dict[str, TargetRecord] = {}
         self._usual: dict[str, float] = {}
-        self._silent_until: dict[str, float] = {}
+        self._unresponsive_until: dict[str, float] = {}
         self._random = random.Random(seed)
-        self._subset_of = subset_of
+        self._subset_key = subset_key
 
     def select(
         self,
@@ -139,9 +139,9 @@
         """Records that the peer or its target could not be reached."""
         self._record(target.node).note_error(now)
 
-    def note_silent(self, peer: str, now: float) -> None:
+    def note_unresponsive(self, peer: str, now: float) -> None:
         """Records that the peer is unresponsive."""
-        self._silent_until[peer] = now + _SHUN_SECONDS
+        self._unresponsive_until[peer] = now + _SHUN_SECONDS
 
     def note_refusal(self, target: KnownTarget, until: float) -> None:
         """Records that the guard refuses hops until that time."""
@@ -152,7 +152,7 @@
         return (
             target.node in self._view.suspects
             or now < record.broken_until
-            or now < self._silent_until.get(target.peer, 0.0)
+            or now < self._unresponsive_until.get(target.peer, 0.0)
         )
 
     def _draw(self, candidates: list[KnownTarget]) -> list[KnownTarget]:
@@ -161,7 +161,7 @@
             return candidates
         near = [target for target in candidates if target.zone == self._zone]
         far = [target for target in candidates if target.zone != self._zone]
-        if self._subset_of and len(near) > _SUBSET:
+        if self._subset_key and len(near) > _SUBSET:
             # Ranked by hash: the subset changes little when targets come or go.
             near.sort(key=lambda target: self._record(target.node).rank)
             del near[_SUBSET:]
@@ -172,7 +172,7 @@
     def _record(self, node: str) -> TargetRecord:
         record = self._records.get(node)
         if record is None:
-            rank = zlib.crc32(f"{self._subset_of}|{node}".encode()) if self._subset_of else 0
+            rank = zlib.crc32(f"{self._subset_key}|{node}".encode()) if self._subset_key else 0
             record = self._records[node] = TargetRecord(rank)
         return record
 
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -229,7 +229,9 @@
                 left = max(0.0, seconds - (time.monotonic() - began))
                 asyncio.get_running_loop().call_later(
                     0.45,
-                    lambda: self.node.routing_state.selector.note_silent(peer, time.monotonic()),
+                    lambda: self.node.routing_state.selector.note_unresponsive(
+                        peer, time.monotonic()
+                    ),
                 )
                 await asyncio.sleep(min(wait, left))
                 step = "deadline" if left < wait else ("silent" if is_read else "connection")
--- a/tests/test_sent_at_most_once.py
+++ b/tests/test_sent_at_most_once.py
@@ -61,7 +61,7 @@
         selector = TargetSelector(self.view, "hall", seed=1)
         routing_state = RoutingState(self.view, selector, config.bounds, Limits(1e6, 1_000_000))
         peers = PeerBook(SimpleNamespace(on_lost=lambda _connection: None))
-        sender = HopSender(peers, lambda peer: selector.note_silent(peer, self.stage.now))
+        sender = HopSender(peers, lambda peer: selector.note_unresponsive(peer, self.stage.now))
         executor = RequestExecutor(routing_state, sender, RunningRequests(), "shop")
         self.server = HttpServer(executor.serve, may_run_ahead=executor.may_run_ahead)
         for run in (sender.run, self.server.run, *(guard.run for guard in self.guards.values())):
--- a/tests/test_target_selection.py
+++ b/tests/test_target_selection.py
@@ -57,7 +57,7 @@
 
 
 def test_a_gateway_keeps_to_a_subset_that_changes_little():
-    selector, targets = make_selector(40, subset_of="gateway-1")
+    selector, targets = make_selector(40, subset_key="gateway-1")
     before = set(shares(selector, 1.0))
     assert len(before) == 6
     gone = next(target for target in targets if target.node in before)
