--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -102,7 +102,7 @@
         self._prober = TargetProber(
             lambda: watch.config, self.view, self.target, self.guard.cold, self._tasks
         )
-        self.view.on_own_notice = self._on_own_notice
+        self.view.on_own_target_entry = self._on_own_target_entry
         self.view.on_configuration = self._on_configuration
         self._stop = asyncio.Event()
 
@@ -205,7 +205,7 @@
     def _on_target_change(self) -> None:
         self.follower.tell()
 
-    def _on_own_notice(self, life: int) -> None:
+    def _on_own_target_entry(self, life: int) -> None:
         # Our clock may have been set back: outbid the older life of ours.
         if self._notices.outbid(life):
             self.follower.tell()
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -39,7 +39,7 @@
 
     def take(self, entry) -> bool: ...
 
-    def is_news(self, entry) -> bool: ...
+    def is_newer(self, entry) -> bool: ...
 
 
 class RegistryFollower:
@@ -62,7 +62,7 @@
         # How many registries are followed at once; None follows them all.
         self._most = most
         self._peers = PeerBook(self)
-        self._wants = Wants(view.is_news, self.send_to)
+        self._wants = Wants(view.is_newer, self.send_to)
         self._first_news = FirstNews()
         self._places: dict[str, tuple[int, int]] = {}
         self._following: set[str] = set()
--- a/marblefold/proxy/wants.py
+++ b/marblefold/proxy/wants.py
@@ -24,16 +24,16 @@
 
     def __init__(
         self,
-        is_news: Callable[[object], bool],
+        is_newer: Callable[[object], bool],
         send: Callable[[str, kinds.Want], bool],
     ) -> None:
-        self._is_news = is_news
+        self._is_newer = is_newer
         self._send = send
         self._wanted: dict[tuple[str, str], _Wanted] = {}
 
     def hear(self, peer: str, entry, now: float) -> None:
         """A registry announced this entry."""
-        if not self._is_news(entry):
+        if not self._is_newer(entry):
             return
         key = (entry.kind, entry.key)
         wanted = self._wanted.get(key)
@@ -47,7 +47,7 @@
     def repeat(self, now: float) -> None:
         """Asks another registry for each entry that did not arrive in time."""
         for key, wanted in list(self._wanted.items()):
-            if not self._is_news(wanted.entry):
+            if not self._is_newer(wanted.entry):
                 del self._wanted[key]
                 continue
             self._ask(wanted, now)
--- a/marblefold/registry/peer_news.py
+++ b/marblefold/registry/peer_news.py
@@ -27,7 +27,7 @@
         """Whom to follow."""
         return self._others()
 
-    def is_news(self, entry: kinds.Entry) -> bool:
+    def is_newer(self, entry: kinds.Entry) -> bool:
         """Whether a deferred entry is worth asking for; ours never are large."""
         return False
 
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -55,7 +55,7 @@
         self.suspects: set[str] = set()
         self.registries: set[str] = set()
         # Called when an entry of another life of this node is the newest.
-        self.on_own_notice: Callable[[int], None] | None = None
+        self.on_own_target_entry: Callable[[int], None] | None = None
         self.on_evacuation: Callable[[str, bool], None] | None = None
         self.on_partners: Callable[[], None] | None = None
         self.on_configuration: Callable[[RouteTable], None] | None = None
@@ -79,7 +79,7 @@
         """Where hops to the known targets go."""
         return {target.peer for targets in self._targets.values() for target in targets.values()}
 
-    def is_news(self, entry) -> bool:
+    def is_newer(self, entry) -> bool:
         """Whether the entry is newer than the one held under its key."""
         return (entry.life, entry.number) > self._versions.get((entry.kind, entry.key), (-1, -1))
 
@@ -89,7 +89,7 @@
         Raises ValueError, KeyError, TypeError, zlib.error or DecodeError if its value is
         malformed; the entry then counts as known.
         """
-        if not self.is_news(entry):
+        if not self.is_newer(entry):
             return False
         self._versions[entry.kind, entry.key] = (entry.life, entry.number)
         if entry.kind == "configuration":
@@ -143,8 +143,8 @@
 
     def _take_target(self, entry) -> None:
         node = entry.key
-        if node == self._node and self.on_own_notice is not None:
-            self.on_own_notice(entry.life)
+        if node == self._node and self.on_own_target_entry is not None:
+            self.on_own_target_entry(entry.life)
         old = self._upstream_of.pop(node, None)
         if old is not None:
             self._targets[old].pop(node, None)
--- a/tests/test_starting_proxies.py
+++ b/tests/test_starting_proxies.py
@@ -39,7 +39,7 @@
     world.machines["b"].feed.follow(Wire(follower, "b"), kinds.Follow())
     assert (
         view.evacuated == set()
-        and view.is_news(kinds.Entry(kind="evacuation", key="z", number=2)) is False
+        and view.is_newer(kinds.Entry(kind="evacuation", key="z", number=2)) is False
     )
 
 
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -113,7 +113,7 @@
         self.follower = RegistryFollower(
             config.node_name, lambda: seeds, self.view, NoticeMaker(config, self.target).make
         )
-        self.view.on_own_notice = lambda life: None
+        self.view.on_own_target_entry = lambda life: None
         self.suspected_at: dict[str, float] = {}
         self.membership = NodeMembership(watch, "proxy", PROXY, self._on_member)
         self.tasks: list[asyncio.Task] = []
