--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -37,7 +37,7 @@
     @property
     def registries(self) -> set[str]: ...
 
-    def take(self, entry) -> bool: ...
+    def apply(self, entry) -> bool: ...
 
     def is_newer(self, entry) -> bool: ...
 
@@ -164,7 +164,7 @@
         if isinstance(feed, kinds.LeaseGrant) and self._asker is not None:
             self._asker.take(feed)
         if isinstance(feed, kinds.Entry):
-            self._view.take(feed)
+            self._view.apply(feed)
         if not isinstance(feed, kinds.Feed):
             return
         self._heard[connection.peer] = time.monotonic()
@@ -194,7 +194,7 @@
             if entry.deferred:
                 self._wants.hear(peer, entry, now)
             else:
-                self._view.take(entry)
+                self._view.apply(entry)
 
     def _take_count(self, proxies: int, now: float) -> None:
         """Records how many proxies share the retry budget."""
--- a/marblefold/registry/peer_news.py
+++ b/marblefold/registry/peer_news.py
@@ -31,6 +31,6 @@
         """Whether a deferred entry is worth asking for; ours never are large."""
         return False
 
-    def take(self, entry: kinds.Entry) -> bool:
+    def apply(self, entry: kinds.Entry) -> bool:
         """Takes in an entry of another registry, if it is newer than ours."""
         return entry.kind in self._kinds and self._catalogue.put(entry)
--- a/marblefold/rehearsal/origins.py
+++ b/marblefold/rehearsal/origins.py
@@ -47,7 +47,7 @@
             site=target.site,
             site_agent=target.site_agent,
         )
-        view.take(
+        view.apply(
             kinds.Entry(
                 kind="target", key=target.node, life=1, number=1, value=notice.SerializeToString()
             )
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -83,7 +83,7 @@
         """Whether the entry is newer than the one held under its key."""
         return (entry.life, entry.number) > self._versions.get((entry.kind, entry.key), (-1, -1))
 
-    def take(self, entry) -> bool:
+    def apply(self, entry) -> bool:
         """Applies an entry; returns whether it was newer than the one held.
 
         Raises ValueError, KeyError, TypeError, zlib.error or DecodeError if its value is
--- a/tests/simulated_cold.py
+++ b/tests/simulated_cold.py
@@ -58,7 +58,7 @@
     def _start_peer(self):
         view = MeshView("n9")
         view.table, view.proxies = self.table, 1
-        view.take(make_entry(1))
+        view.apply(make_entry(1))
         selector = TargetSelector(view, "hall", seed=1)
         limits = Limits(1e6, 1_000_000)
         routing_state = RoutingState(view, selector, self.bounds, limits)
--- a/tests/simulated_leases.py
+++ b/tests/simulated_leases.py
@@ -145,7 +145,7 @@
         return self.world.now * self.rate
 
     def hear(self, number, value):
-        self.view.take(kinds.Entry(kind="partners", key="partners", number=number, value=value))
+        self.view.apply(kinds.Entry(kind="partners", key="partners", number=number, value=value))
 
     def ask(self):
         return self.asker.ask("registry", self.clock)
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -74,7 +74,7 @@
             for name, row in self.document["owners"].items():
                 view.owners[name] = KnownOwner(row["site"], row["agent"], 1)
             for row in self.targets.values():
-                view.take(self.entry(row))
+                view.apply(self.entry(row))
             routing_state = RoutingState(
                 view,
                 TargetSelector(view, zone, seed=number),
--- a/tests/test_sent_at_most_once.py
+++ b/tests/test_sent_at_most_once.py
@@ -56,7 +56,7 @@
         self.view.table, self.view.proxies = RouteTable(make_rows()), 1
         self.guards = {}
         for number in self.nodes:
-            self.view.take(make_entry(number))
+            self.view.apply(make_entry(number))
             self.guards[number] = self.stage.call(self.make_guard, number, config.bounds)
         selector = TargetSelector(self.view, "hall", seed=1)
         routing_state = RoutingState(self.view, selector, config.bounds, Limits(1e6, 1_000_000))
--- a/tests/test_zone_taken_back.py
+++ b/tests/test_zone_taken_back.py
@@ -26,6 +26,6 @@
     proxy = make_proxy()
     proxy.target.take_beat(Beat("i1", "quotes", "", "hall", 12, False, timedelta(seconds=2.5), 1))
     now[0] += 0.03
-    proxy.view.take(kinds.Entry(kind="evacuation", key="hall", life=1, number=2, value=b"off"))
+    proxy.view.apply(kinds.Entry(kind="evacuation", key="hall", life=1, number=2, value=b"off"))
     now[0] += 1.6
     assert proxy.target.cold_until > now[0]
