--- a/tests/mesh_on_loopback.py
+++ b/tests/mesh_on_loopback.py
@@ -203,15 +203,15 @@
             self.watch(proxy.view)
 
     def watch(self, view):
-        take = view.take
+        apply_entry = view.apply
 
         def note(entry):
             try:
-                return take(entry)
+                return apply_entry(entry)
             finally:
                 self.news.set()
 
-        view.take = note
+        view.apply = note
 
     async def until(self, condition):
         async with asyncio.timeout(20):
