--- a/marblefold/circuit_breaker/breaker.py
+++ b/marblefold/circuit_breaker/breaker.py
@@ -46,7 +46,7 @@
 
     def admit(self, now: float) -> Admission: ...
 
-    def begin(self, now: float, weight: float, label: str) -> Permit: ...
+    def begin(self, now: float, latency_target: float, label: str) -> Permit: ...
 
     def end(self, permit: Permit, now: float, success: bool) -> None: ...
 
@@ -68,19 +68,19 @@
 
     @property
     def threshold(self) -> float | None:
-        """Seconds per unit of weight; None until enough successes were recorded."""
+        """Seconds per unit of latency_target; None until enough successes were recorded."""
         if len(self._statistics) < self._config.trusted_hits:
             return None
         return self._statistics.mean + self._config.deviations * self._statistics.deviation
 
-    def begin(self, now: float, weight: float, label: str) -> Permit:
-        """A call leaves at `now`, in seconds; its times are divided by `weight`."""
-        return self._tracker.acquire(now, weight, label)
+    def begin(self, now: float, latency_target: float, label: str) -> Permit:
+        """A call leaves at `now`, in seconds; its times are divided by `latency_target`."""
+        return self._tracker.acquire(now, latency_target, label)
 
     def end(self, permit: Permit, now: float, success: bool) -> None:
         """A call ended; only successes enter the statistics."""
         if self._tracker.release(permit) and success:
-            self._statistics.record((now - permit.started) / permit.weight)
+            self._statistics.record((now - permit.started) / permit.latency_target)
 
     def admit(self, now: float) -> Admission:
         """Whether a new call may leave at `now`, in seconds."""
@@ -117,7 +117,7 @@
             if oldest:
                 oldest = False
                 continue
-            total += (now - permit.started) / permit.weight
+            total += (now - permit.started) / permit.latency_target
         average = total / (outstanding - 1)
         return BreakerState.OPEN if average > threshold else BreakerState.CLOSED
 
--- a/marblefold/circuit_breaker/in_flight_tracker.py
+++ b/marblefold/circuit_breaker/in_flight_tracker.py
@@ -11,7 +11,7 @@
 
     number: int
     started: float
-    weight: float
+    latency_target: float
     label: str
 
 
@@ -29,10 +29,10 @@
     def __len__(self) -> int:
         return len(self._permits)
 
-    def acquire(self, now: float, weight: float, label: str) -> Permit:
+    def acquire(self, now: float, latency_target: float, label: str) -> Permit:
         """Starts to track a call that leaves at `now`, in seconds."""
         self._next_number += 1
-        permit = Permit(self._next_number, now, weight, label)
+        permit = Permit(self._next_number, now, latency_target, label)
         self._permits[permit.number] = permit
         return permit
 
--- a/marblefold/circuit_breaker/latency_statistics.py
+++ b/marblefold/circuit_breaker/latency_statistics.py
@@ -20,7 +20,7 @@
         return len(self._values)
 
     def record(self, value: float) -> None:
-        """Adds one elapsed time, in seconds per unit of weight."""
+        """Adds one elapsed time, in seconds per unit of latency_target."""
         self._values.append(value)
         self._sum += value
         self._square_sum += value * value
--- a/marblefold/rehearsal/flight.py
+++ b/marblefold/rehearsal/flight.py
@@ -87,7 +87,7 @@
         self._offers = step.attempt_number
         if step.attempt_number > 1:
             routing_state.note_retry(self._upstream, self._play.now)
-        permit = routing_state.begin(step.target, self._decision.weight, "rehearsed")
+        permit = routing_state.begin(step.target, self._decision.latency_target, "rehearsed")
         hop = self._begin_hop(step, permit)
         delay = self._play.delay(self._origin.zone, step.target)
         self._play.after(delay, lambda: self._reach(hop))
@@ -188,7 +188,7 @@
         if hop is not self._hop or self._play.is_lost(self._origin.zone):
             return
         target = hop.offer.target
-        self._origin.routing_state.end(target, hop.permit, result, self._decision.weight)
+        self._origin.routing_state.end(target, hop.permit, result, self._decision.latency_target)
         self._decision.note(target, result)
         self._step()
 
--- a/marblefold/request_path/decision.py
+++ b/marblefold/request_path/decision.py
@@ -41,7 +41,7 @@
     target: KnownTarget
     seconds_left: float
     queue_seconds: float
-    aim_seconds: float
+    latency_target_seconds: float
     attempt_number: int
     is_last_resort: bool
 
@@ -91,9 +91,11 @@
         self._attempt_id = attempt_id
         self._facts = facts
         self._arrived = arrived
-        self._aim = max(0.02, route.target_latency.total_seconds())
+        self._latency_target = max(0.02, route.target_latency.total_seconds())
         self._queue_end = arrived + (
-            _QUEUE_CALL_SHARE * (deadline - arrived) if is_call else _QUEUE_AIM_SHARE * self._aim
+            _QUEUE_CALL_SHARE * (deadline - arrived)
+            if is_call
+            else _QUEUE_AIM_SHARE * self._latency_target
         )
         self._is_call = is_call
         self._is_repeatable = route.kind == wire_names.READ_ONLY
@@ -109,9 +111,9 @@
         self._last: HopResult | None = None
 
     @property
-    def weight(self) -> float:
+    def latency_target(self) -> float:
         """The latency aim in seconds; elapsed times are divided by it to be compared."""
-        return self._aim
+        return self._latency_target
 
     @property
     def may_have_run(self) -> bool:
@@ -158,7 +160,7 @@
             selected.target,
             left,
             0.0 if self._is_asking else queue,
-            self._arrived + self._aim - now,
+            self._arrived + self._latency_target - now,
             self._offered + 1,
             selected.is_last_resort,
         )
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -182,14 +182,14 @@
         head.expected_instance = target.instance
         head.deadline_left_ms = int(offer.seconds_left * 1000)
         head.queue_left_ms = int(offer.queue_seconds * 1000)
-        head.aim_left_ms = int(offer.aim_seconds * 1000)
+        head.aim_left_ms = int(offer.latency_target_seconds * 1000)
         head.attempt_number = offer.attempt_number
         head.last_resort = offer.is_last_resort
         routing_state = self._routing_state
         # Any attempt after the first may reach a target as a repeat.
         if offer.attempt_number > 1:
             routing_state.note_retry(target.upstream, time.monotonic())
-        permit = routing_state.begin(target, decision.weight, head.attempt_id)
+        permit = routing_state.begin(target, decision.latency_target, head.attempt_id)
         result = HopResult(HopOutcome.UNKNOWN, step="cancelled")
         hop = None
         tracer = self.tracer
@@ -202,7 +202,7 @@
             )
             return result
         finally:
-            routing_state.end(target, permit, result, decision.weight)
+            routing_state.end(target, permit, result, decision.latency_target)
             if tracer is not None and hop is not None:
                 tracer.finish_hop(hop, result)
 
--- a/marblefold/request_path/routing_state.py
+++ b/marblefold/request_path/routing_state.py
@@ -96,12 +96,14 @@
         """A retry leaves."""
         self._budget(upstream).note_retry(now)
 
-    def begin(self, target: KnownTarget, weight: float, label: str) -> Permit:
+    def begin(self, target: KnownTarget, latency_target: float, label: str) -> Permit:
         """A hop leaves."""
         self.selector.begin(target)
-        return self.breaker(target.upstream).begin(self._clock(), weight, label)
+        return self.breaker(target.upstream).begin(self._clock(), latency_target, label)
 
-    def end(self, target: KnownTarget, permit: Permit, result: HopResult, weight: float) -> None:
+    def end(
+        self, target: KnownTarget, permit: Permit, result: HopResult, latency_target: float
+    ) -> None:
         """A hop is over."""
         now = self._clock()
         selector = self.selector
@@ -114,7 +116,7 @@
         if result.load is not None:
             selector.note_load(target, result.load, now)
         if success:
-            selector.note_latency(target, result.service_seconds / weight, now)
+            selector.note_latency(target, result.service_seconds / latency_target, now)
         elif (
             result.outcome is HopOutcome.NEVER_OFFERED
             and result.load is None
--- a/marblefold/request_path/target_record.py
+++ b/marblefold/request_path/target_record.py
@@ -30,8 +30,8 @@
     __slots__ = (
         "in_flight",
         "rank",
-        "refused_until",
-        "broken_until",
+        "refusing_until",
+        "unreachable_until",
         "_reported",
         "_reported_at",
         "_latency",
@@ -45,8 +45,8 @@
     def __init__(self, rank: int = 0) -> None:
         self.in_flight = 0
         self.rank = rank
-        self.refused_until = 0.0
-        self.broken_until = 0.0
+        self.refusing_until = 0.0
+        self.unreachable_until = 0.0
         self._reported: TargetLoad | None = None
         self._reported_at = 0.0
         self._latency = 0.0
@@ -61,45 +61,45 @@
         self._reported = load
         self._reported_at = now
 
-    def note_success(self, weighted: float, now: float) -> None:
-        """Records an answer; `weighted` is its time divided by the latency aim."""
-        known = self.latency(weighted, now) if self._latency else weighted
-        self._latency = known + _LEARN_LATENCY * (weighted - known)
+    def note_success(self, relative_latency: float, now: float) -> None:
+        """Records an answer; `relative_latency` is its time divided by the latency aim."""
+        known = self.relative_latency(relative_latency, now) if self._latency else relative_latency
+        self._latency = known + _LEARN_LATENCY * (relative_latency - known)
         self._latency_at = now
-        self._failing = self.failing(now) * (1.0 - _LEARN_FAILURE)
+        self._failing = self.failure_share(now) * (1.0 - _LEARN_FAILURE)
         self._failing_at = now
 
     def note_failure(self, now: float) -> None:
         """Records a request that failed or was refused."""
-        known = self.failing(now)
+        known = self.failure_share(now)
         self._failing = known + _LEARN_FAILURE * (1.0 - known)
         self._failing_at = now
 
     def note_error(self, now: float) -> None:
         """Records that the target could not be reached."""
-        is_still_known = now < self.broken_until
+        is_still_known = now < self.unreachable_until
         # A flapping target is avoided for longer each time.
         if not is_still_known:
             flaps = now - self._broken_at < _FLAP_SECONDS
             self._wait = min(_LONGEST_WAIT, self._wait * 2) if flaps else _FIRST_WAIT
         self._broken_at = now
-        self.broken_until = now + self._wait
+        self.unreachable_until = now + self._wait
         self.note_failure(now)
 
-    def failing(self, now: float) -> float:
+    def failure_share(self, now: float) -> float:
         """The decayed share of requests that fail there, from 0 to 1."""
         if not self._failing:
             return 0.0
         return self._failing * math.exp((self._failing_at - now) / _FADE_FAILURE_SECONDS)
 
-    def latency(self, usual: float, now: float) -> float:
+    def relative_latency(self, usual: float, now: float) -> float:
         """Its time divided by the aim, decaying to `usual` without new answers."""
         if not self._latency:
             return usual
         fade = math.exp((self._latency_at - now) / _FADE_LATENCY_SECONDS)
         return usual + (self._latency - usual) * fade
 
-    def use(self, slots: int, now: float) -> float:
+    def slot_utilization(self, slots: int, now: float) -> float:
         """The share of its slots in use after one more request."""
         load = float(self.in_flight)
         if self._reported is not None:
--- a/marblefold/request_path/target_selection.py
+++ b/marblefold/request_path/target_selection.py
@@ -88,7 +88,7 @@
                     ending.append(target)
             elif self._is_unreachable(target, now):
                 unreachable.append(target)
-            elif now < self._record(target.node).refused_until:
+            elif now < self._record(target.node).refusing_until:
                 busy.append(target)
             else:
                 preferred.append(target)
@@ -125,11 +125,11 @@
         """Records the load reported by the target or the proxy beside it."""
         self._record(target.node).note_load(load, now)
 
-    def note_latency(self, target: KnownTarget, weighted: float, now: float) -> None:
-        """Records an answer; `weighted` is its time divided by the latency aim."""
-        self._record(target.node).note_success(weighted, now)
-        usual = self._usual.get(target.upstream, weighted)
-        self._usual[target.upstream] = usual + _LEARN_USUAL * (weighted - usual)
+    def note_latency(self, target: KnownTarget, relative_latency: float, now: float) -> None:
+        """Records an answer; `relative_latency` is its time divided by the latency aim."""
+        self._record(target.node).note_success(relative_latency, now)
+        usual = self._usual.get(target.upstream, relative_latency)
+        self._usual[target.upstream] = usual + _LEARN_USUAL * (relative_latency - usual)
 
     def note_failure(self, target: KnownTarget, now: float) -> None:
         """Records a request that failed or was refused."""
@@ -145,13 +145,13 @@
 
     def note_refusal(self, target: KnownTarget, until: float) -> None:
         """Records that the guard refuses hops until that time."""
-        self._record(target.node).refused_until = until
+        self._record(target.node).refusing_until = until
 
     def _is_unreachable(self, target: KnownTarget, now: float) -> bool:
         record = self._record(target.node)
         return (
             target.node in self._view.suspects
-            or now < record.broken_until
+            or now < record.unreachable_until
             or now < self._unresponsive_until.get(target.peer, 0.0)
         )
 
@@ -178,11 +178,11 @@
 
     def _expected(self, target: KnownTarget, now: float) -> float:
         record = self._record(target.node)
-        use = record.use(target.slots, now)
+        use = record.slot_utilization(target.slots, now)
         # While slots are free, more load hardly slows a target; beyond them it queues.
         factor = 1.0 + 0.3 * use + 4.0 * max(0.0, use - 0.8)
-        latency = record.latency(self._usual.get(target.upstream, _FIRST_LATENCY), now)
+        latency = record.relative_latency(self._usual.get(target.upstream, _FIRST_LATENCY), now)
         if target.cold_until > now:
             factor *= 3.0
-        failing = _FAILURE_SURCHARGE * record.failing(now)
+        failing = _FAILURE_SURCHARGE * record.failure_share(now)
         return (latency * factor + failing) * (1.0 + 0.1 * self._random.random())
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -24,7 +24,9 @@
         window = self.successes[-CONFIG.window :]
         mean = sum(window) / len(window)
         deviation = math.sqrt(sum((value - mean) ** 2 for value in window) / len(window))
-        ages = [(now - started) / weight for started, weight, _permit in self.flying[1:]]
+        ages = [
+            (now - started) / latency_target for started, latency_target, _permit in self.flying[1:]
+        ]
         margin = sum(ages) / len(ages) - (mean + CONFIG.deviations * deviation)
         # Sums kept as they go may differ from these in the last digits.
         return None if abs(margin) < 1e-6 else margin > 0
@@ -42,20 +44,20 @@
     def wait(self, seconds):
         self.now += seconds
 
-    @rule(weight=st.sampled_from([0.1, 0.5, 1.0]))
-    def begin(self, weight):
-        permit = self.breaker.begin(self.now, weight, "call")
-        self.plain.flying.append((self.now, weight, permit))
+    @rule(latency_target=st.sampled_from([0.1, 0.5, 1.0]))
+    def begin(self, latency_target):
+        permit = self.breaker.begin(self.now, latency_target, "call")
+        self.plain.flying.append((self.now, latency_target, permit))
 
     @rule(index=st.integers(0, 20), success=st.booleans())
     def end(self, index, success):
         if not self.plain.flying:
             return
-        started, weight, permit = self.plain.flying.pop(index % len(self.plain.flying))
+        started, latency_target, permit = self.plain.flying.pop(index % len(self.plain.flying))
         self.breaker.end(permit, self.now, success)
         self.breaker.end(permit, self.now, success)
         if success:
-            self.plain.successes.append((self.now - started) / weight)
+            self.plain.successes.append((self.now - started) / latency_target)
 
     @rule()
     def ask(self):
--- a/tests/test_target_selection.py
+++ b/tests/test_target_selection.py
@@ -71,12 +71,12 @@
     record, now, last, pause_before, until_before = TargetRecord(), 100.0, 0.0, 0.0, 0.0
     for pause in pauses:
         record.note_error(now)
-        wait = record.broken_until - now
+        wait = record.unreachable_until - now
         assert 0.999 <= wait <= 8.001
         flapped = last and pause_before < 9.9 and now >= until_before
         if flapped:
             assert wait > min(8.0, last) - 0.001
-        last, pause_before, until_before = wait, pause, record.broken_until
+        last, pause_before, until_before = wait, pause, record.unreachable_until
         now += pause
 
 
