--- a/marblefold/request_path/decision.py
+++ b/marblefold/request_path/decision.py
@@ -14,7 +14,7 @@
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult
 from marblefold.request_path.target_selection import SelectedTarget
 
-__all__ = ["Conclude", "Facts", "Offer", "RequestDecision"]
+__all__ = ["Conclude", "DecisionInputs", "Offer", "RequestDecision"]
 
 # Less time than this is not worth a hop.
 _LEAST_SECONDS = 0.004
@@ -53,14 +53,14 @@
     step: str
 
 
-class Facts(Protocol):
+class DecisionInputs(Protocol):
     """What a decision reads from its routing_state; times are monotonic seconds."""
 
     def select(
         self,
         upstream: str,
         tried: Collection[str],
-        homes: Collection[str] | None,
+        allowed_regions: Collection[str] | None,
         kilobytes: float,
         now: float,
     ) -> SelectedTarget | None: ...
@@ -82,22 +82,22 @@
         deadline: float,
         is_replayable: bool,
         kilobytes: float,
-        is_call: bool,
-        facts: Facts,
+        is_nested_call: bool,
+        inputs: DecisionInputs,
     ) -> None:
         self.upstream = upstream
         self.deadline = deadline
         self._route = route
         self._attempt_id = attempt_id
-        self._facts = facts
+        self._inputs = inputs
         self._arrived = arrived
         self._latency_target = max(0.02, route.target_latency.total_seconds())
         self._queue_end = arrived + (
             _QUEUE_CALL_SHARE * (deadline - arrived)
-            if is_call
+            if is_nested_call
             else _QUEUE_AIM_SHARE * self._latency_target
         )
-        self._is_call = is_call
+        self._is_nested_call = is_nested_call
         self._is_repeatable = route.kind == wire_names.READ_ONLY
         self._is_replayable = is_replayable
         self._kilobytes = kilobytes
@@ -147,9 +147,9 @@
         if self._offered >= self._route.max_attempts:
             return self._give_up("attempt limit", now)
         # A repeat after an offer counts against the shared budget.
-        if self._offered and not self._facts.may_retry(self.upstream, now):
+        if self._offered and not self._inputs.may_retry(self.upstream, now):
             return self._give_up("retry budget", now)
-        admission = self._facts.check_breaker(self.upstream, now)
+        admission = self._inputs.check_breaker(self.upstream, now)
         if not admission.allowed:
             return self._give_up("breaker", now, admission.retry_after)
         selected = self._select(now)
@@ -167,15 +167,15 @@
 
     def _select(self, now: float) -> SelectedTarget | None:
         """Selects the next target and decides whether the hop may queue there."""
-        self._is_asking = self._is_call and self._refused_hops < _HOPS_WITHOUT_QUEUE
+        self._is_asking = self._is_nested_call and self._refused_hops < _HOPS_WITHOUT_QUEUE
         tried = self._tried | self._asked if self._is_asking else self._tried
-        selected = self._facts.select(
+        selected = self._inputs.select(
             self.upstream, tried, self._route.allowed_regions, self._kilobytes, now
         )
         if selected is None and self._is_asking and self._asked:
             # All eligible targets were asked for a free slot: queue at one of them.
             self._is_asking = False
-            selected = self._facts.select(
+            selected = self._inputs.select(
                 self.upstream, self._tried, self._route.allowed_regions, self._kilobytes, now
             )
         return selected
--- a/marblefold/request_path/eligibility.py
+++ b/marblefold/request_path/eligibility.py
@@ -10,7 +10,7 @@
 def is_eligible(
     target: KnownTarget,
     evacuated: Collection[str],
-    homes: Collection[str] | None,
+    allowed_regions: Collection[str] | None,
     owner: KnownOwner | None = None,
 ) -> bool:
     """Whether a hop may go to the target."""
@@ -20,7 +20,7 @@
     if owner is not None and (target.site, target.site_agent) != (owner.site, owner.agent):
         return False
     # Outside the allowed regions of its route a request must not run.
-    return not homes or target.region in homes
+    return not allowed_regions or target.region in allowed_regions
 
 
 def is_last_resort(target: KnownTarget) -> bool:
--- a/marblefold/request_path/routing_state.py
+++ b/marblefold/request_path/routing_state.py
@@ -60,12 +60,12 @@
         self,
         upstream: str,
         tried: Collection[str],
-        homes: Collection[str] | None,
+        allowed_regions: Collection[str] | None,
         kilobytes: float,
         now: float,
     ) -> SelectedTarget | None:
         """The target for the next hop."""
-        return self.selector.select(upstream, tried, homes, kilobytes, now)
+        return self.selector.select(upstream, tried, allowed_regions, kilobytes, now)
 
     def check_breaker(self, upstream: str, now: float) -> Admission:
         """Whether the breaker admits one more call to the upstream."""
--- a/marblefold/request_path/target_selection.py
+++ b/marblefold/request_path/target_selection.py
@@ -68,7 +68,7 @@
         self,
         upstream: str,
         tried: Collection[str],
-        homes: Collection[str] | None,
+        allowed_regions: Collection[str] | None,
         kilobytes: float,
         now: float,
     ) -> SelectedTarget | None:
@@ -81,7 +81,7 @@
         for target in self._view.targets(upstream):
             if target.instance in tried:
                 continue
-            if not is_eligible(target, self._view.evacuated, homes, owner):
+            if not is_eligible(target, self._view.evacuated, allowed_regions, owner):
                 continue
             if is_last_resort(target):
                 if self._has_guards:
--- a/tests/test_decision.py
+++ b/tests/test_decision.py
@@ -32,13 +32,13 @@
     )
 
 
-class Facts:
+class DecisionInputs:
     """RoutingState with as many targets as are asked for."""
 
     def __init__(self, budget=True, admission=Admission(True, 0.0), targets=50):
         self.budget, self.admission, self.targets, self.selected = budget, admission, targets, 0
 
-    def select(self, upstream, tried, homes, kilobytes, now):
+    def select(self, upstream, tried, allowed_regions, kilobytes, now):
         if self.selected >= self.targets:
             return None
         self.selected += 1
@@ -51,7 +51,7 @@
         return self.budget
 
 
-def make_decision(kind, facts, max_attempts=3, is_replayable=True, is_call=False):
+def make_decision(kind, inputs, max_attempts=3, is_replayable=True, is_nested_call=False):
     route = Route(
         "r",
         "h",
@@ -65,7 +65,9 @@
         (1.0,),
         (),
     )
-    return RequestDecision(route, "quotes", "id", 0.0, 2.0, is_replayable, 1.0, is_call, facts)
+    return RequestDecision(
+        route, "quotes", "id", 0.0, 2.0, is_replayable, 1.0, is_nested_call, inputs
+    )
 
 
 def result(outcome, status=200):
@@ -86,7 +88,7 @@
 )
 def test_promises_and_repeats_are_kept(kind, ends, budget, replayable):
     """The plain rules, said again over the whole history of a request."""
-    decision = make_decision(kind, Facts(budget), is_replayable=replayable)
+    decision = make_decision(kind, DecisionInputs(budget), is_replayable=replayable)
     now, history = 0.0, []
     for outcome, status, seconds in ends + [(HopOutcome.UNKNOWN, 200, 3.0)]:
         step = decision.next_step(now)
@@ -115,18 +117,18 @@
 
 
 def test_a_breaker_that_refuses_is_a_promise_with_a_time():
-    decision = make_decision("mutating", Facts(admission=Admission(False, 0.7)))
+    decision = make_decision("mutating", DecisionInputs(admission=Admission(False, 0.7)))
     step = decision.next_step(0.0)
     assert step.answer.status == 503 and b"Retry-After: 0.700" in step.answer.header_block
 
 
 def test_without_targets_the_final_answer_comes_at_once():
-    step = make_decision("read_only", Facts(targets=0)).next_step(0.0)
+    step = make_decision("read_only", DecisionInputs(targets=0)).next_step(0.0)
     assert isinstance(step, Conclude) and step.answer.status == 503
 
 
 def test_a_refusal_late_in_the_aim_ends_the_search():
-    decision = make_decision("read_only", Facts())
+    decision = make_decision("read_only", DecisionInputs())
     offer = decision.next_step(0.0)
     assert isinstance(offer, Offer) and abs(offer.queue_seconds - 0.08) < 1e-9
     decision.note(offer.target, result(HopOutcome.NEVER_OFFERED))
@@ -145,24 +147,26 @@
 
 
 def test_free_slots_are_asked_for_before_a_queue_is_joined():
-    asked, offer = ask_until_queued(make_decision("read_only", Facts(), is_call=True))
+    asked, offer = ask_until_queued(
+        make_decision("read_only", DecisionInputs(), is_nested_call=True)
+    )
     assert len(asked) == 2 and abs(offer.queue_seconds - 1.2) < 1e-9
     # What holds no slot elsewhere waits where it was sent first.
-    asked, offer = ask_until_queued(make_decision("read_only", Facts()))
+    asked, offer = ask_until_queued(make_decision("read_only", DecisionInputs()))
     assert not asked and abs(offer.queue_seconds - 0.08) < 1e-9
 
 
 def test_where_all_were_asked_one_of_them_is_waited_at():
-    class Two(Facts):
-        def select(self, upstream, tried, homes, kilobytes, now):
+    class Two(DecisionInputs):
+        def select(self, upstream, tried, allowed_regions, kilobytes, now):
             left = [make_target(n) for n in (1, 2) if f"i-{n}" not in tried]
             return SelectedTarget(left[0], False) if left else None
 
-    asked, offer = ask_until_queued(make_decision("mutating", Two(), is_call=True))
+    asked, offer = ask_until_queued(make_decision("mutating", Two(), is_nested_call=True))
     assert [target.node for target in asked] == ["node-1", "node-2"]
     assert offer.target in asked and offer.queue_seconds > 0
     # One that turned it away for another reason is not gone back to.
-    decision = make_decision("mutating", Two(), is_call=True)
+    decision = make_decision("mutating", Two(), is_nested_call=True)
     decision.note(
         decision.next_step(0.0).target, HopResult(HopOutcome.NEVER_OFFERED, step="draining")
     )
@@ -171,13 +175,15 @@
 
 
 def test_a_failed_answer_of_a_target_is_passed_on_when_no_more_may_be_tried():
-    decision = make_decision("read_only", Facts(budget=False))
+    decision = make_decision("read_only", DecisionInputs(budget=False))
     decision.note(decision.next_step(0.0).target, result(HopOutcome.ANSWERED, 500))
     assert decision.next_step(0.1).answer.status == 500
 
 
 def test_a_call_in_the_midst_of_a_run_may_wait_longer_for_a_slot():
-    _asked, offer = ask_until_queued(make_decision("read_only", Facts(), is_call=True))
+    _asked, offer = ask_until_queued(
+        make_decision("read_only", DecisionInputs(), is_nested_call=True)
+    )
     assert abs(offer.queue_seconds - 1.2) < 1e-9
 
 
