--- a/marblefold/gateway/partner_hops.py
+++ b/marblefold/gateway/partner_hops.py
@@ -10,7 +10,7 @@
 from marblefold.gateway.target_pool import TargetPool
 from marblefold.http_connections.client_request import SentRequest
 from marblefold.partners.merging import partner_of
-from marblefold.request_path.hop_sender import Hops
+from marblefold.request_path.hop_sender import HopTransport
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.outcome import HopResult
 from marblefold.task_keeper import TaskKeeper
@@ -24,7 +24,7 @@
 class PartnerHops:
     """Sends hops to partners through their own sender, and all others as usual."""
 
-    def __init__(self, usual: Hops, to_partners: TargetHops, view: MeshView) -> None:
+    def __init__(self, usual: HopTransport, to_partners: TargetHops, view: MeshView) -> None:
         self._usual = usual
         self._to_partners = to_partners
         self._view = view
@@ -38,16 +38,16 @@
         peer: str,
         head,
         request: SentRequest,
-        body_bound: int,
+        max_body_bytes: int,
         seconds: float,
     ) -> HopResult:
         """The result of the hop, sent within `seconds`.
 
-        Raises BodyTooLarge if the request has more than `body_bound` bytes.
+        Raises BodyTooLarge if the request has more than `max_body_bytes` bytes.
         """
         partner = partner_of(head.upstream)
         if not partner:
-            return await self._usual.send(peer, head, request, body_bound, seconds)
+            return await self._usual.send(peer, head, request, max_body_bytes, seconds)
         # A partner does not know our instances.
         head.expected_instance = ""
 
@@ -55,7 +55,9 @@
             may_leave = self.may_leave(partner, peer, request, time.monotonic())
             return "" if may_leave else "not allowed any more"
 
-        return await self._to_partners.send(peer, head, request, body_bound, seconds, find_obstacle)
+        return await self._to_partners.send(
+            peer, head, request, max_body_bytes, seconds, find_obstacle
+        )
 
     def may_leave(
         self,
@@ -72,7 +74,7 @@
         return partners is not None and partners.addresses.get(partner) == peer
 
 
-def add_partner_hops(usual: Hops, view: MeshView, tasks: TaskKeeper) -> PartnerHops:
+def add_partner_hops(usual: HopTransport, view: MeshView, tasks: TaskKeeper) -> PartnerHops:
     """Adds a sender for hops to partners to the usual one of a proxy."""
     pool = TargetPool(
         _DESCRIPTORS, lambda: set(view.partners.addresses.values()) if view.partners else set()
--- a/marblefold/gateway/target_hops.py
+++ b/marblefold/gateway/target_hops.py
@@ -79,7 +79,7 @@
         peer: str,
         head,
         request: SentRequest,
-        body_bound: int,
+        max_body_bytes: int,
         seconds: float,
         find_obstacle: Callable[[], str] | None = None,
     ) -> HopResult:
@@ -89,7 +89,7 @@
             # Nothing was sent: certain.
             return HopResult(HopOutcome.NEVER_OFFERED, step="no descriptor", retry_after=0.1)
         started = time.monotonic()
-        exchange = _TargetExchange(request, body_bound)
+        exchange = _TargetExchange(request, max_body_bytes)
         offer = asyncio.get_running_loop().create_task(
             caller.offer(exchange, head, seconds, find_obstacle)
         )
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -16,7 +16,7 @@
 )
 from marblefold.logs import log
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
-from marblefold.request_path.hop_sender import Hops
+from marblefold.request_path.hop_sender import HopTransport
 from marblefold.request_path.outcome import HopOutcome, HopResult
 from marblefold.request_path.request_head import make_head
 from marblefold.request_path.routing_state import RoutingState
@@ -41,7 +41,7 @@
     def __init__(
         self,
         routing_state: RoutingState,
-        hops: Hops,
+        hops: HopTransport,
         running_requests: RunningRequests,
         caller: str,
     ) -> None:
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -17,7 +17,7 @@
 from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.request_path.outcome import HopOutcome, HopResult, TargetLoad
 
-__all__ = ["HopSender", "Hops", "make_result"]
+__all__ = ["HopSender", "HopTransport", "make_result"]
 
 # A peer that holds hops and sends nothing for so many seconds is pinged, and
 # counts as unresponsive if no frame arrives in time.
@@ -32,7 +32,7 @@
 _GUARD_ANSWER_SECONDS = 0.03
 
 
-class Hops(Protocol):
+class HopTransport(Protocol):
     """Where a hop ends: at a peer's guard, or at a target itself."""
 
     async def send(
@@ -40,7 +40,7 @@
         peer: str,
         head,
         request: SentRequest,
-        body_bound: int,
+        max_body_bytes: int,
         seconds: float,
     ) -> HopResult: ...
 
@@ -85,12 +85,12 @@
         peer: str,
         head,
         request: SentRequest,
-        body_bound: int,
+        max_body_bytes: int,
         seconds: float,
     ) -> HopResult:
         """The result of the hop, sent within `seconds`.
 
-        Raises BodyTooLarge if the request has more than `body_bound` bytes.
+        Raises BodyTooLarge if the request has more than `max_body_bytes` bytes.
         """
         started = time.monotonic()
         try:
@@ -114,7 +114,7 @@
             exchange.send(FrameKind.HEAD, head.SerializeToString())
             if head.body_follows:
                 sender = asyncio.get_running_loop().create_task(
-                    _send_rest(exchange, request, body_bound)
+                    _send_rest(exchange, request, max_body_bytes)
                 )
             async with asyncio.timeout(seconds + _GUARD_ANSWER_SECONDS):
                 payload = await exchange.answer
