--- a/marblefold/circuit_breaker/breaker.py
+++ b/marblefold/circuit_breaker/breaker.py
@@ -18,13 +18,13 @@
     """Settings; times in seconds. The operator's configuration holds none of them."""
 
     deviations: float = 5.0
-    trusted_hits: int = 100
-    least_outstanding: int = 5
+    min_successes: int = 100
+    min_in_flight: int = 5
     window: int = 1000
     # One call in this many passes while the circuit is open.
-    probe_every: int = 5
+    calls_per_probe: int = 5
     # No call is tracked for longer: its deadline is long past.
-    longest_seconds: float = 60.0
+    max_in_flight_seconds: float = 60.0
 
 
 class BreakerState(enum.Enum):
@@ -62,14 +62,14 @@
         self._refused_since_probe = 0
 
     @property
-    def outstanding(self) -> int:
+    def in_flight(self) -> int:
         """How many calls are in flight."""
         return len(self._tracker)
 
     @property
     def threshold(self) -> float | None:
         """Seconds per unit of latency_target; None until enough successes were recorded."""
-        if len(self._statistics) < self._config.trusted_hits:
+        if len(self._statistics) < self._config.min_successes:
             return None
         return self._statistics.mean + self._config.deviations * self._statistics.deviation
 
@@ -84,31 +84,31 @@
 
     def admit(self, now: float) -> Admission:
         """Whether a new call may leave at `now`, in seconds."""
-        self._tracker.expire(now, self._config.longest_seconds)
+        self._tracker.expire(now, self._config.max_in_flight_seconds)
         self._change_state(self._judge(now))
         if self.state is BreakerState.CLOSED:
             return Admission(True, 0.0)
         # Some calls must pass, else nothing would show that it is over.
-        if self._refused_since_probe >= self._config.probe_every - 1:
+        if self._refused_since_probe >= self._config.calls_per_probe - 1:
             self._refused_since_probe = 0
             return Admission(True, 0.0)
         self._refused_since_probe += 1
         return Admission(False, self._retry_after(now))
 
-    def overdue(self, now: float, longest: float) -> list[Permit]:
-        """The calls in flight for longer than `longest` seconds, for the log."""
+    def overdue(self, now: float, max_seconds: float) -> list[Permit]:
+        """The calls in flight for longer than `max_seconds` seconds, for the log."""
         found = []
         for permit in self._tracker.oldest_first():
-            if now - permit.started <= longest:
+            if now - permit.started <= max_seconds:
                 break
             found.append(permit)
         return found
 
     def _judge(self, now: float) -> BreakerState:
         threshold = self.threshold
-        outstanding = len(self._tracker)
+        in_flight = len(self._tracker)
         # Too few successes or calls in flight to judge by: deadlines bound them.
-        if threshold is None or outstanding < self._config.least_outstanding:
+        if threshold is None or in_flight < self._config.min_in_flight:
             return BreakerState.CLOSED
         total = 0.0
         oldest = True
@@ -118,7 +118,7 @@
                 oldest = False
                 continue
             total += (now - permit.started) / permit.latency_target
-        average = total / (outstanding - 1)
+        average = total / (in_flight - 1)
         return BreakerState.OPEN if average > threshold else BreakerState.CLOSED
 
     def _change_state(self, state: BreakerState) -> None:
--- a/marblefold/circuit_breaker/concurrency_limit.py
+++ b/marblefold/circuit_breaker/concurrency_limit.py
@@ -22,10 +22,10 @@
     headroom: float = 0.1
     # Additional free share for each rank below the first.
     headroom_per_rank: float = 0.03
-    most_ranks: int = 5
+    max_ranks: int = 5
 
 
-class _Sort:
+class _RouteLoad:
     """The requests of one route."""
 
     __slots__ = ("tracker", "normal")
@@ -36,11 +36,11 @@
 
 
 class ConcurrencyLimiter:
-    """Counts the requests in this process by sort, which is their route (its name)."""
+    """Counts the requests in this process by route, which is their route (its name)."""
 
     def __init__(self, config: ConcurrencyLimits) -> None:
         self._config = config
-        self._sorts: dict[str, _Sort] = {}
+        self._loads: dict[str, _RouteLoad] = {}
         self._total = 0
 
     @property
@@ -48,43 +48,43 @@
         """How many requests are in this process."""
         return self._total
 
-    def allowed(self, sort: str, rank: int) -> float:
-        """How many requests of the sort may be in progress at once."""
+    def allowed(self, route: str, rank: int) -> float:
+        """How many requests of the route may be in progress at once."""
         config = self._config
-        others = sum(known.normal for name, known in self._sorts.items() if name != sort)
-        ranks = min(max(0, rank), config.most_ranks)
+        others = sum(load.normal for name, load in self._loads.items() if name != route)
+        ranks = min(max(0, rank), config.max_ranks)
         headroom = config.headroom + config.headroom_per_rank * ranks
         return max(1.0, config.resources * (1.0 - headroom) - others)
 
-    def admit(self, sort: str, rank: int, now: float) -> Admission:
-        """Whether one more request of the sort is admitted; `now` in seconds."""
-        known = self._find(sort)
-        count = len(known.tracker)
+    def admit(self, route: str, rank: int, now: float) -> Admission:
+        """Whether one more request of the route is admitted; `now` in seconds."""
+        load = self._find(route)
+        count = len(load.tracker)
         is_full = self._total >= self._config.resources * self._config.usable
-        if is_full or count + 1 > self.allowed(sort, rank):
-            return Admission(False, self._retry_after(known, now))
+        if is_full or count + 1 > self.allowed(route, rank):
+            return Admission(False, self._retry_after(load, now))
         # Only admitted requests count as normal load: a flood must not raise its own limit.
-        known.normal += _LEARN * (count + 1 - known.normal)
+        load.normal += _LEARN * (count + 1 - load.normal)
         return Admission(True, 0.0)
 
-    def begin(self, sort: str, now: float, label: str) -> Permit:
+    def begin(self, route: str, now: float, label: str) -> Permit:
         """Starts to count an admitted request."""
         self._total += 1
-        return self._find(sort).tracker.acquire(now, 1.0, label)
+        return self._find(route).tracker.acquire(now, 1.0, label)
 
-    def end(self, sort: str, permit: Permit) -> None:
+    def end(self, route: str, permit: Permit) -> None:
         """Stops counting a request; a second call for one permit changes nothing."""
-        if self._find(sort).tracker.release(permit):
+        if self._find(route).tracker.release(permit):
             self._total -= 1
 
-    def _find(self, sort: str) -> _Sort:
-        known = self._sorts.get(sort)
-        if known is None:
-            known = self._sorts[sort] = _Sort()
-        return known
+    def _find(self, route: str) -> _RouteLoad:
+        load = self._loads.get(route)
+        if load is None:
+            load = self._loads[route] = _RouteLoad()
+        return load
 
-    def _retry_after(self, known: _Sort, now: float) -> float:
-        # The age of the oldest request of the sort, within bounds.
-        for permit in known.tracker.oldest_first():
+    def _retry_after(self, load: _RouteLoad, now: float) -> float:
+        # The age of the oldest request of the route, within bounds.
+        for permit in load.tracker.oldest_first():
             return max(0.1, min(5.0, now - permit.started))
         return 0.1
--- a/marblefold/request_path/retry_budget.py
+++ b/marblefold/request_path/retry_budget.py
@@ -7,7 +7,7 @@
 from collections import deque
 from datetime import timedelta
 
-__all__ = ["RetryBudget", "WindowCount"]
+__all__ = ["RetryBudget", "SlidingWindowCounter"]
 
 # Calls made by a repeated request count as repeats too, and not all of them are
 # recognised here; the unspent share covers them.
@@ -15,7 +15,7 @@
 _BUCKETS = 20
 
 
-class WindowCount:
+class SlidingWindowCounter:
     """Counts the events of a sliding window, in seconds, in small buckets."""
 
     def __init__(self, window: float) -> None:
@@ -45,8 +45,8 @@
     def __init__(self, ratio: float, window: timedelta, slack: float) -> None:
         self._ratio = ratio
         self._slack = slack
-        self._requests = WindowCount(window.total_seconds())
-        self._repeats = WindowCount(window.total_seconds())
+        self._requests = SlidingWindowCounter(window.total_seconds())
+        self._repeats = SlidingWindowCounter(window.total_seconds())
 
     def note_request(self, now: float) -> None:
         """A first attempt was sent to the upstream."""
--- a/marblefold/request_path/routing_state.py
+++ b/marblefold/request_path/routing_state.py
@@ -77,7 +77,7 @@
                 "breaker",
                 upstream=upstream,
                 state=breaker.state.value,
-                outstanding=breaker.outstanding,
+                outstanding=breaker.in_flight,
                 threshold=breaker.threshold,
             )
         return admission
--- a/marblefold/request_path/traffic_count.py
+++ b/marblefold/request_path/traffic_count.py
@@ -12,7 +12,7 @@
 
 # A notice names so many routes; the least used ones are combined into one.
 _MOST_ROUTES = 48
-OTHERS = ""
+OTHER_ROUTES = ""
 
 
 class _Counts:
@@ -74,7 +74,7 @@
         for name, counts in ranked[:_MOST_ROUTES]:
             _add(notice.routes.add(route=name), counts)
         if ranked[_MOST_ROUTES:]:
-            rest = notice.routes.add(route=OTHERS)
+            rest = notice.routes.add(route=OTHER_ROUTES)
             for _name, counts in ranked[_MOST_ROUTES:]:
                 _add(rest, counts)
         return notice
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -8,7 +8,7 @@
 
 from marblefold.circuit_breaker.breaker import Breaker, BreakerConfig, BreakerState
 
-CONFIG = BreakerConfig(trusted_hits=5, least_outstanding=3, window=8, probe_every=3)
+CONFIG = BreakerConfig(min_successes=5, min_in_flight=3, window=8, calls_per_probe=3)
 
 
 class PlainBreaker:
@@ -19,7 +19,7 @@
         self.flying = []
 
     def is_open(self, now):
-        if len(self.successes) < CONFIG.trusted_hits or len(self.flying) < CONFIG.least_outstanding:
+        if len(self.successes) < CONFIG.min_successes or len(self.flying) < CONFIG.min_in_flight:
             return False
         window = self.successes[-CONFIG.window :]
         mean = sum(window) / len(window)
@@ -63,7 +63,9 @@
     def ask(self):
         # What nobody returns is forgotten after the longest time.
         self.plain.flying = [
-            entry for entry in self.plain.flying if self.now - entry[0] <= CONFIG.longest_seconds
+            entry
+            for entry in self.plain.flying
+            if self.now - entry[0] <= CONFIG.max_in_flight_seconds
         ]
         expected = self.plain.is_open(self.now)
         was_open = self.breaker.state is BreakerState.OPEN
@@ -80,11 +82,11 @@
             self.refused_in_a_row += 1
             assert admission.retry_after > 0
             # Some calls pass even while it is open.
-            assert self.refused_in_a_row < CONFIG.probe_every
+            assert self.refused_in_a_row < CONFIG.calls_per_probe
 
     @invariant()
     def counts_what_flies(self):
-        assert self.breaker.outstanding >= len(self.plain.flying)
+        assert self.breaker.in_flight >= len(self.plain.flying)
 
 
 BreakerMachine.TestCase.settings = settings(max_examples=150, deadline=None)
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Crowds of one sort leave room for the others."""
+"""Crowds of one route leave room for the others."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -8,11 +8,11 @@
 CONFIG = ConcurrencyLimits(resources=100)
 
 
-def fill(concurrency_limiter, sort, rank, count):
+def fill(concurrency_limiter, route, rank, count):
     permits = []
     for number in range(count):
-        if concurrency_limiter.admit(sort, rank, float(number)).allowed:
-            permits.append(concurrency_limiter.begin(sort, float(number), "x"))
+        if concurrency_limiter.admit(route, rank, float(number)).allowed:
+            permits.append(concurrency_limiter.begin(route, float(number), "x"))
     return permits
 
 
@@ -42,10 +42,10 @@
 def test_the_whole_never_exceeds_what_may_be_used(events):
     concurrency_limiter = ConcurrencyLimiter(CONFIG)
     held = {"a": [], "b": [], "c": []}
-    for number, (sort, rank, is_end) in enumerate(events):
-        if is_end and held[sort]:
-            concurrency_limiter.end(sort, held[sort].pop())
-        elif concurrency_limiter.admit(sort, rank, float(number)).allowed:
-            held[sort].append(concurrency_limiter.begin(sort, float(number), "x"))
+    for number, (route, rank, is_end) in enumerate(events):
+        if is_end and held[route]:
+            concurrency_limiter.end(route, held[route].pop())
+        elif concurrency_limiter.admit(route, rank, float(number)).allowed:
+            held[route].append(concurrency_limiter.begin(route, float(number), "x"))
         counts = sum(len(permits) for permits in held.values())
         assert concurrency_limiter.total == counts <= 90
