--- a/marblefold/circuit_breaker/concurrency_limit.py
+++ b/marblefold/circuit_breaker/concurrency_limit.py
@@ -1,7 +1,7 @@
-"""Limits the requests of one route so that they do not crowd out all others.
+"""Limits the concurrent requests of each route, so that no route crowds out the others.
 
-These are ordinary requests, but too many of them too fast.  Spikes are admitted
-while there is room for the normal load of the other routes, and some headroom.
+Spikes of a route are admitted as long as the normal load of the other routes and
+some headroom still fit.
 """
 
 from typing import NamedTuple
@@ -11,22 +11,22 @@
 
 __all__ = ["ConcurrencyLimits", "ConcurrencyLimiter"]
 
-_LEARN = 0.01
+_NORMAL_LOAD_SMOOTHING = 0.01
 
 
 class ConcurrencyLimits(NamedTuple):
-    """How many requests fit (`resources`) and which share of that stays free."""
+    """How many requests fit at once (`resources`), and the shares of them used or kept free."""
 
     resources: int
     usable: float = 0.9
     headroom: float = 0.1
-    # Additional free share for each rank below the first.
+    # Additional share kept free for each priority rank below the first.
     headroom_per_rank: float = 0.03
     max_ranks: int = 5
 
 
 class _RouteLoad:
-    """The requests of one route."""
+    """The requests of one route in progress, and their usual number."""
 
     __slots__ = ("tracker", "normal")
 
@@ -36,7 +36,7 @@
 
 
 class ConcurrencyLimiter:
-    """Counts the requests in this process by route, which is their route (its name)."""
+    """Counts the requests in this process by the name of their route."""
 
     def __init__(self, config: ConcurrencyLimits) -> None:
         self._config = config
@@ -45,11 +45,11 @@
 
     @property
     def total(self) -> int:
-        """How many requests are in this process."""
+        """The number of requests in this process."""
         return self._total
 
     def allowed(self, route: str, rank: int) -> float:
-        """How many requests of the route may be in progress at once."""
+        """Returns how many requests of the route may be in progress at once."""
         config = self._config
         others = sum(load.normal for name, load in self._loads.items() if name != route)
         ranks = min(max(0, rank), config.max_ranks)
@@ -57,14 +57,14 @@
         return max(1.0, config.resources * (1.0 - headroom) - others)
 
     def admit(self, route: str, rank: int, now: float) -> Admission:
-        """Whether one more request of the route is admitted; `now` in seconds."""
+        """Decides whether one more request of the route is admitted; `now` in seconds."""
         load = self._find(route)
         count = len(load.tracker)
         is_full = self._total >= self._config.resources * self._config.usable
         if is_full or count + 1 > self.allowed(route, rank):
             return Admission(False, self._retry_after(load, now))
         # Only admitted requests count as normal load: a flood must not raise its own limit.
-        load.normal += _LEARN * (count + 1 - load.normal)
+        load.normal += _NORMAL_LOAD_SMOOTHING * (count + 1 - load.normal)
         return Admission(True, 0.0)
 
     def begin(self, route: str, now: float, label: str) -> Permit:
@@ -84,7 +84,7 @@
         return load
 
     def _retry_after(self, load: _RouteLoad, now: float) -> float:
-        # The age of the oldest request of the route, within bounds.
+        # The age of the oldest request of the route, clamped.
         for permit in load.tracker.oldest_first():
             return max(0.1, min(5.0, now - permit.started))
         return 0.1
--- a/marblefold/circuit_breaker/in_flight_tracker.py
+++ b/marblefold/circuit_breaker/in_flight_tracker.py
@@ -1,4 +1,4 @@
-"""Tracks the calls in flight: acquire a permit, return it, list them by age."""
+"""Tracks the calls in flight in order of their age."""
 
 from collections.abc import Iterator
 from typing import NamedTuple
@@ -16,10 +16,10 @@
 
 
 class InFlightTracker:
-    """Holds permits oldest first; each comes out without a search.
+    """Keeps the permits of calls in flight, oldest first.
 
     A dict keeps its insertion order and removes by key in constant time, so no
-    collection of our own is needed.
+    custom collection is needed.
     """
 
     def __init__(self) -> None:
@@ -30,28 +30,28 @@
         return len(self._permits)
 
     def acquire(self, now: float, latency_target: float, label: str) -> Permit:
-        """Starts to track a call that leaves at `now`, in seconds."""
+        """Starts to track a call sent at `now`, in seconds."""
         self._next_number += 1
         permit = Permit(self._next_number, now, latency_target, label)
         self._permits[permit.number] = permit
         return permit
 
     def release(self, permit: Permit) -> bool:
-        """Stops tracking a call. False if it was no longer tracked."""
+        """Stops tracking a call; returns False if it was no longer tracked."""
         return self._permits.pop(permit.number, None) is not None
 
     def oldest_first(self) -> Iterator[Permit]:
-        """The calls in flight, oldest first."""
+        """Iterates over the calls in flight, oldest first."""
         return iter(self._permits.values())
 
     def expire(self, now: float, max_seconds: float) -> list[Permit]:
         """Drops and returns permits older than `max_seconds`; their holders never released them."""
-        forgotten = []
+        expired = []
         for permit in self._permits.values():
-            # Tickets are ordered by age: all that follow are younger.
+            # Permits are ordered by age: all that follow are younger.
             if now - permit.started <= max_seconds:
                 break
-            forgotten.append(permit)
-        for permit in forgotten:
+            expired.append(permit)
+        for permit in expired:
             self.release(permit)
-        return forgotten
+        return expired
--- a/marblefold/request_path/decision.py
+++ b/marblefold/request_path/decision.py
@@ -1,6 +1,6 @@
 """Decides, step by step, how one request is handled.
 
-The executor carries out each decision: nothing here waits or sends.
+Nothing here waits or sends: the executor carries out each step.
 """
 
 from collections.abc import Collection
@@ -16,27 +16,27 @@
 
 __all__ = ["Conclude", "DecisionInputs", "Offer", "RequestDecision"]
 
-# Less time than this is not worth a hop.
-_LEAST_SECONDS = 0.004
-# A request that was not offered within this share of its latency aim is refused,
-# so that the client can retry in time; the rest of the aim is left for the hop.
-_QUEUE_AIM_SHARE = 0.2
-# If a call made by a running request fails, that request fails too and is not
-# retried: such a call may wait for this share of the time it has left.
-_QUEUE_CALL_SHARE = 0.6
-# A hop refused by a guard costs little, but the search must end.
-_MOST_REFUSED_HOPS = 4
-# One of hundreds of nodes uses a given target only once in many seconds, so its
-# figures of the load there are old; the guard's are exact. A call made by a running
-# request holds a slot elsewhere while it waits: its first hops ask for a slot that
-# is free now, and only the next one joins a queue.
+# With less time left than this, no hop is sent.
+_MIN_HOP_SECONDS = 0.004
+# A request that was not offered within this share of its latency target is refused,
+# so that the client can retry in time; the rest of the target is left for the hop.
+_QUEUE_LATENCY_TARGET_SHARE = 0.2
+# If a nested call fails, the running request that made it fails too and is not
+# retried, so a nested call may queue for this share of its remaining time.
+_QUEUE_NESTED_CALL_SHARE = 0.6
+# A hop refused by a guard is cheap, but the search for a target must end.
+_MAX_REFUSED_HOPS = 4
+# With hundreds of nodes, each uses a given target only once in many seconds, so what
+# it knows of the load there is stale; the guard's figures are exact. A nested call
+# holds a slot elsewhere while it waits: its first hops require a slot that is free
+# now, and only the next one joins a queue.
 _HOPS_WITHOUT_QUEUE = 2
-_RETRY_WHEN_NO_TARGET = 0.25
-_RETRY_AT_LEAST = 0.05
+_NO_TARGET_RETRY_AFTER_SECONDS = 0.25
+_MIN_RETRY_AFTER_SECONDS = 0.05
 
 
 class Offer(NamedTuple):
-    """Send a hop to this target; times are in seconds."""
+    """The next step is to send a hop to this target; times are in seconds."""
 
     target: KnownTarget
     seconds_left: float
@@ -47,14 +47,14 @@
 
 
 class Conclude(NamedTuple):
-    """Give this answer; the request is over."""
+    """The request ends with this answer."""
 
     answer: Answer
     step: str
 
 
 class DecisionInputs(Protocol):
-    """What a decision reads from its routing_state; times are monotonic seconds."""
+    """The state of the proxy that a decision depends on; times are monotonic seconds."""
 
     def select(
         self,
@@ -93,61 +93,61 @@
         self._arrived = arrived
         self._latency_target = max(0.02, route.target_latency.total_seconds())
         self._queue_end = arrived + (
-            _QUEUE_CALL_SHARE * (deadline - arrived)
+            _QUEUE_NESTED_CALL_SHARE * (deadline - arrived)
             if is_nested_call
-            else _QUEUE_AIM_SHARE * self._latency_target
+            else _QUEUE_LATENCY_TARGET_SHARE * self._latency_target
         )
         self._is_nested_call = is_nested_call
         self._is_repeatable = route.kind == wire_names.READ_ONLY
         self._is_replayable = is_replayable
         self._kilobytes = kilobytes
-        self._offered = 0
+        self._offered_hops = 0
         self._refused_hops = 0
         self._tried: set[str] = set()
-        # Targets that had no free slot when asked; a hop may still queue at each.
-        self._asked: set[str] = set()
-        self._is_asking = False
+        # Targets that had no free slot; a later hop may still queue at each.
+        self._full_targets: set[str] = set()
+        self._requires_free_slot = False
         self._may_have_run = False
-        self._last: HopResult | None = None
+        self._last_result: HopResult | None = None
 
     @property
     def latency_target(self) -> float:
-        """The latency aim in seconds; elapsed times are divided by it to be compared."""
+        """The latency target in seconds; elapsed times are compared as multiples of it."""
         return self._latency_target
 
     @property
     def may_have_run(self) -> bool:
-        """Whether a target may have begun to process the request."""
+        """Whether a target may have started to process the request."""
         return self._may_have_run
 
     def note(self, target: KnownTarget, result: HopResult) -> None:
         """Records how a hop ended."""
-        self._last = result
-        is_merely_full = self._is_asking and result.step == NO_SLOT
-        (self._asked if is_merely_full else self._tried).add(target.instance)
+        self._last_result = result
+        is_only_full = self._requires_free_slot and result.step == NO_SLOT
+        (self._full_targets if is_only_full else self._tried).add(target.instance)
         if result.outcome is HopOutcome.NEVER_OFFERED:
             self._refused_hops += 1
             return
-        self._offered += 1
+        self._offered_hops += 1
         if result.outcome is not HopOutcome.NOT_EXECUTED:
             self._may_have_run = True
 
     def next_step(self, now: float) -> Offer | Conclude:
-        """The next step; `now` is in monotonic seconds.
+        """Returns the next step; `now` is in monotonic seconds.
 
         Raises ValueError if the last hop was recorded as answered without an answer.
         """
-        if self._last is not None:
-            final = self._judge_last(self._last, now)
+        if self._last_result is not None:
+            final = self._evaluate_last_hop(self._last_result, now)
             if final is not None:
                 return final
         left = self.deadline - now
-        if left < _LEAST_SECONDS:
+        if left < _MIN_HOP_SECONDS:
             return self._give_up("deadline", now)
-        if self._offered >= self._route.max_attempts:
+        if self._offered_hops >= self._route.max_attempts:
             return self._give_up("attempt limit", now)
-        # A repeat after an offer counts against the shared budget.
-        if self._offered and not self._inputs.may_retry(self.upstream, now):
+        # Any attempt after the first offer counts against the retry budget.
+        if self._offered_hops and not self._inputs.may_retry(self.upstream, now):
             return self._give_up("retry budget", now)
         admission = self._inputs.check_breaker(self.upstream, now)
         if not admission.allowed:
@@ -159,69 +159,71 @@
         return Offer(
             selected.target,
             left,
-            0.0 if self._is_asking else queue,
+            0.0 if self._requires_free_slot else queue,
             self._arrived + self._latency_target - now,
-            self._offered + 1,
+            self._offered_hops + 1,
             selected.is_last_resort,
         )
 
     def _select(self, now: float) -> SelectedTarget | None:
         """Selects the next target and decides whether the hop may queue there."""
-        self._is_asking = self._is_nested_call and self._refused_hops < _HOPS_WITHOUT_QUEUE
-        tried = self._tried | self._asked if self._is_asking else self._tried
+        self._requires_free_slot = self._is_nested_call and self._refused_hops < _HOPS_WITHOUT_QUEUE
+        tried = self._tried | self._full_targets if self._requires_free_slot else self._tried
         selected = self._inputs.select(
             self.upstream, tried, self._route.allowed_regions, self._kilobytes, now
         )
-        if selected is None and self._is_asking and self._asked:
-            # All eligible targets were asked for a free slot: queue at one of them.
-            self._is_asking = False
+        if selected is None and self._requires_free_slot and self._full_targets:
+            # No eligible target had a free slot: queue at one of them.
+            self._requires_free_slot = False
             selected = self._inputs.select(
                 self.upstream, self._tried, self._route.allowed_regions, self._kilobytes, now
             )
         return selected
 
-    def _judge_last(self, last: HopResult, now: float) -> Conclude | None:
-        """The conclusion of the request, if the last hop ended it."""
+    def _evaluate_last_hop(self, last: HopResult, now: float) -> Conclude | None:
+        """Returns the conclusion of the request, if the last hop ended it."""
         if last.outcome is HopOutcome.ANSWERED:
             answer = _answer_of(last)
-            if answer.status < 500 or not self._may_go_on():
+            if answer.status < 500 or not self._may_send_again():
                 return Conclude(answer, "answered")
             return None
         if last.outcome is HopOutcome.UNKNOWN:
-            if self._may_go_on():
+            if self._may_send_again():
                 return None
             return self._give_up(last.step, now)
         if not self._is_replayable:
-            # The body was consumed: it cannot be sent to another target.
+            # The body was consumed, so it cannot be sent to another target.
             return self._give_up(last.step, now)
         if last.outcome is HopOutcome.NEVER_OFFERED:
-            # It waited long enough, or was refused often enough.
-            if now >= self._queue_end or self._refused_hops >= _MOST_REFUSED_HOPS:
+            # The queue time is used up, or too many hops were refused.
+            if now >= self._queue_end or self._refused_hops >= _MAX_REFUSED_HOPS:
                 return self._give_up(last.step, now)
         return None
 
-    def _may_go_on(self) -> bool:
+    def _may_send_again(self) -> bool:
         return (
-            self._is_repeatable and self._is_replayable and self._offered < self._route.max_attempts
+            self._is_repeatable
+            and self._is_replayable
+            and self._offered_hops < self._route.max_attempts
         )
 
     def _give_up(self, step: str, now: float, retry_after: float = 0.0) -> Conclude:
-        last = self._last
+        last = self._last_result
         if last is not None and last.outcome is HopOutcome.ANSWERED:
             return Conclude(_answer_of(last), "answered")
         if self._may_have_run:
-            # It may have run, or may still be running: neither can be ruled out.
-            status = 504 if now >= self.deadline - _LEAST_SECONDS else 502
+            # The request may have run or may still be running.
+            status = 504 if now >= self.deadline - _MIN_HOP_SECONDS else 502
             return Conclude(own_answer(status, f"gave up: {step}", self._attempt_id), step)
         if last is not None:
             retry_after = max(retry_after, last.retry_after)
         if step == "select":
-            retry_after = max(retry_after, _RETRY_WHEN_NO_TARGET)
-        retry_after = max(retry_after, _RETRY_AT_LEAST)
+            retry_after = max(retry_after, _NO_TARGET_RETRY_AFTER_SECONDS)
+        retry_after = max(retry_after, _MIN_RETRY_AFTER_SECONDS)
         return Conclude(own_answer(503, f"not run: {step}", self._attempt_id, retry_after), step)
 
 
 def _answer_of(result: HopResult) -> Answer:
     if result.answer is None:
-        raise ValueError("a hop ended as answered, but without an answer")
+        raise ValueError("hop result has the outcome ANSWERED but no answer")
     return result.answer
--- a/marblefold/request_path/eligibility.py
+++ b/marblefold/request_path/eligibility.py
@@ -1,4 +1,4 @@
-"""Which targets may be selected at all; shared by proxies and the planner."""
+"""Rules for which targets may be selected; shared by proxies and the planner."""
 
 from collections.abc import Collection
 
@@ -16,10 +16,10 @@
     """Whether a hop may go to the target."""
     if target.zone in evacuated:
         return False
-    # A service that a site owns is served nowhere else.
+    # A service owned by one site is served only by that site and its current agent.
     if owner is not None and (target.site, target.site_agent) != (owner.site, owner.agent):
         return False
-    # Outside the allowed regions of its route a request must not run.
+    # A request must not run outside the allowed regions of its route.
     return not allowed_regions or target.region in allowed_regions
 
 
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -1,4 +1,4 @@
-"""Executes a client's request through the mesh, following its RequestDecision."""
+"""Executes client requests, carrying out the steps of their RequestDecision."""
 
 import asyncio
 import random
@@ -25,18 +25,18 @@
 
 __all__ = ["RequestExecutor"]
 
-# A body of up to so many bytes is buffered, so that it can be sent again.
-_HELD_BODY = 512 * 1024
-_NO_DEADLINE_SECONDS = 600.0
-# Retry-After, in seconds, for a body that was not received by its deadline.
-_AGAIN_SECONDS = 0.1
-_LONGEST_ID = 200
-# How a request ends whose client is gone.
+# A body of up to this size is buffered, so that it can be sent again.
+_MAX_BUFFERED_BODY_BYTES = 512 * 1024
+_DEFAULT_DEADLINE_SECONDS = 600.0
+# Retry-After for a request whose body was not received by its deadline.
+_BODY_RETRY_AFTER_SECONDS = 0.1
+_MAX_ATTEMPT_ID_LENGTH = 200
+# The conclusion of a request whose client has disconnected.
 _CANCELLED = Conclude(Answer(0), "cancelled")
 
 
 class RequestExecutor:
-    """Serves the requests that clients send to this proxy."""
+    """Executes the requests that clients send to this proxy."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
         caller: str,
     ) -> None:
         self.caller = caller
-        # Records every step, if this node traces.
+        # Set only if this node traces requests.
         self.tracer: RequestTracer | None = None
         self._running_requests = running_requests
         self._routing_state = routing_state
@@ -54,14 +54,14 @@
         self._random = random.Random()
 
     async def serve(self, request: ClientRequest) -> Answer:
-        """The answer to the request; ConnectionError if its client is lost."""
+        """Returns the answer to the request; ConnectionError if the client disconnects."""
         table = self._routing_state.view.table
         if table is None:
             return own_answer(503, "no configuration yet", request.attempt_id, 0.5)
         route = self._find_route(request, table)
         if isinstance(route, Answer):
             return route
-        # Decided on the head alone, before any work is done for the request.
+        # Decided on the request head alone, before any work is done for the request.
         concurrency_limiter = self._routing_state.concurrency
         admission = concurrency_limiter.admit(route.name, route.priority, request.arrived)
         if not admission.allowed:
@@ -78,10 +78,12 @@
     ) -> Answer:
         deadline = self._find_deadline(request, route)
         try:
-            body, is_whole = await _gather(request, body_limit, deadline)
+            body, is_whole = await _buffer_body(request, body_limit, deadline)
         except TimeoutError:
-            # Nothing was begun, and the rest of the body will not be read.
-            return own_answer(503, "not run: body", request.attempt_id, _AGAIN_SECONDS, closes=True)
+            # No hop was sent, and the rest of the body is not read.
+            return own_answer(
+                503, "not run: body", request.attempt_id, _BODY_RETRY_AFTER_SECONDS, closes=True
+            )
         except BodyTooLarge:
             return own_answer(413, "the body is too large", request.attempt_id, closes=True)
         try:
@@ -124,7 +126,7 @@
         head.config_version = table.number if table is not None else 0
         head.owner_epoch = owner.epoch if owner is not None else 0
         if parent is not None:
-            # Work was already done for the calling request: its calls go first.
+            # Work was already done for the calling request, so its nested calls have priority.
             head.priority = 0
             head.repeat_run = parent.is_repeat
             if parent.is_repeat:
@@ -144,7 +146,7 @@
         end = _CANCELLED
         try:
             while not isinstance(step := decision.next_step(time.monotonic()), Conclude):
-                # A body that is buffered whole can be sent again from its beginning.
+                # A fully buffered body can be sent again from its beginning.
                 sent: SentRequest = (
                     HeldRequest(request, body) if is_whole and head.body_follows else request
                 )
@@ -159,7 +161,7 @@
                 tracer.finish_request(span, end.answer.status, end.step, decision.may_have_run)
         if end.answer.status >= 500 and end.step != "answered":
             log.info(
-                "gave up",
+                "request failed",
                 attempt=request.attempt_id,
                 step=end.step,
                 status=end.answer.status,
@@ -186,7 +188,7 @@
         head.attempt_number = offer.attempt_number
         head.last_resort = offer.is_last_resort
         routing_state = self._routing_state
-        # Any attempt after the first may reach a target as a repeat.
+        # Any attempt after the first counts as a retry.
         if offer.attempt_number > 1:
             routing_state.note_retry(target.upstream, time.monotonic())
         permit = routing_state.begin(target, decision.latency_target, head.attempt_id)
@@ -207,20 +209,21 @@
                 tracer.finish_hop(hop, result)
 
     def may_run_ahead(self, request: ClientRequest) -> bool:
-        """Whether a pipelined request may run before those ahead of it are answered.
+        """Whether a pipelined request may run before earlier ones are answered.
 
-        Whether a request may be repeated depends on its route, not on its method.
+        This depends on the type of its route, as only requests of read-only routes
+        may be repeated; the method says nothing about that.
         """
         table = self._routing_state.view.table
         route = table.find(request.host, request.path) if table is not None else None
         return route is not None and route.kind == wire_names.READ_ONLY
 
     def _find_route(self, request: ClientRequest, table: RouteTable) -> Route | Answer:
-        """The route of the request, or the answer that refuses it."""
+        """Returns the route of the request, or the answer that refuses it."""
         if request.is_upgrade or request.method == "CONNECT":
             return own_answer(400, "no such use of the connection", closes=True)
         attempt = request.attempt_id
-        if not attempt or len(attempt) > _LONGEST_ID or not attempt.isascii():
+        if not attempt or len(attempt) > _MAX_ATTEMPT_ID_LENGTH or not attempt.isascii():
             return own_answer(400, "no Attempt-Id")
         route = table.find(request.host, request.path)
         if route is None:
@@ -233,7 +236,7 @@
 
     def _find_deadline(self, request: ClientRequest, route: Route) -> float:
         requested = request.deadline_ms
-        seconds = requested / 1000.0 if requested is not None else _NO_DEADLINE_SECONDS
+        seconds = requested / 1000.0 if requested is not None else _DEFAULT_DEADLINE_SECONDS
         return request.arrived + min(seconds, route.time_limit.total_seconds())
 
     def _pick_upstream(self, route: Route) -> str:
@@ -242,13 +245,15 @@
         return self._random.choices(route.upstreams, route.weights)[0]
 
 
-async def _gather(request: ClientRequest, most: int, deadline: float) -> tuple[bytes, bool]:
-    """The buffered part of the body, and whether it is whole.
+async def _buffer_body(
+    request: ClientRequest, max_bytes: int, deadline: float
+) -> tuple[bytes, bool]:
+    """Returns the buffered part of the body, and whether that is the whole body.
 
     Raises TimeoutError if the body is not received by the deadline (monotonic seconds),
-    BodyTooLarge above `most` bytes, and ConnectionError if the client is lost.
+    BodyTooLarge if it is larger than `max_bytes`, and ConnectionError if the client disconnects.
     """
     if not request.has_body:
         return b"", True
     async with asyncio.timeout(max(0.0, deadline - time.monotonic())):
-        return await request.gather(_HELD_BODY, most)
+        return await request.gather(_MAX_BUFFERED_BODY_BYTES, max_bytes)
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -1,4 +1,4 @@
-"""Sends one hop to the proxy beside a target and returns its result."""
+"""Sends hops to the proxies beside targets and returns their results."""
 
 import asyncio
 import math
@@ -19,21 +19,21 @@
 
 __all__ = ["HopSender", "HopTransport", "make_result"]
 
-# A peer that holds hops and sends nothing for so many seconds is pinged, and
-# counts as unresponsive if no frame arrives in time.
-_QUIET_SECONDS = 0.15
-_PATIENCE_SECONDS = 0.3
-# On a narrow link a pong may be queued behind so many bytes.
-_AHEAD_BYTES = 96 * 1024
-_LOOK_SECONDS = 0.1
-# Less time than this is not worth a hop.
-_LEAST_SECONDS = 0.004
-# How many seconds after the deadline the guard's answer is still awaited.
-_GUARD_ANSWER_SECONDS = 0.03
+# A peer with hops in progress that sends nothing for this long is pinged, and counts
+# as unresponsive if no frame arrives before the timeout.
+_PING_AFTER_SECONDS = 0.15
+_PONG_TIMEOUT_SECONDS = 0.3
+# On a slow link a pong may be queued behind this many bytes.
+_MAX_QUEUED_BYTES = 96 * 1024
+_CHECK_INTERVAL_SECONDS = 0.1
+# With less time left than this, no hop is sent.
+_MIN_HOP_SECONDS = 0.004
+# How long after the deadline the guard's answer is still awaited.
+_ANSWER_GRACE_SECONDS = 0.03
 
 
 class HopTransport(Protocol):
-    """Where a hop ends: at a peer's guard, or at a target itself."""
+    """Sends hops, either to the guard of a peer or directly to a target."""
 
     async def send(
         self,
@@ -48,7 +48,7 @@
 
 
 class HopSender:
-    """Carries hops over the connections to peers."""
+    """Sends hops over the connections to peers."""
 
     def __init__(
         self,
@@ -57,27 +57,29 @@
         link_bytes_per_second: float = 1e9,
     ) -> None:
         self._peers = peers
-        self._patience = _PATIENCE_SECONDS + _AHEAD_BYTES / max(1.0, link_bytes_per_second)
+        self._pong_timeout_seconds = _PONG_TIMEOUT_SECONDS + _MAX_QUEUED_BYTES / max(
+            1.0, link_bytes_per_second
+        )
         self._on_unresponsive = on_unresponsive
 
     async def run(self) -> None:
         """Checks forever for unresponsive peers.
 
-        A machine without power or behind a network partition sends nothing;
-        repeatable requests need not wait for it until their deadline.
+        A machine that lost power or is partitioned sends nothing, not even a reset;
+        repeatable requests are retried elsewhere instead of waiting until their deadline.
         """
         while True:
-            await asyncio.sleep(_LOOK_SECONDS)
+            await asyncio.sleep(_CHECK_INTERVAL_SECONDS)
             now = time.monotonic()
             for connection in self._peers.connections():
-                if connection.is_silent(now, _QUIET_SECONDS, self._patience):
+                if connection.is_silent(now, _PING_AFTER_SECONDS, self._pong_timeout_seconds):
                     self._on_unresponsive(connection.peer)
                     connection.break_off_repeatable(
                         MeshError("silent", "no sign of life", connection.peer)
                     )
 
     def has_guard(self, upstream: str) -> bool:
-        """Hops end at a guard, whatever the upstream."""
+        """True for every upstream: these hops always end at a guard."""
         return True
 
     async def send(
@@ -88,7 +90,7 @@
         max_body_bytes: int,
         seconds: float,
     ) -> HopResult:
-        """The result of the hop, sent within `seconds`.
+        """Sends the hop and returns its result within `seconds`.
 
         Raises BodyTooLarge if the request has more than `max_body_bytes` bytes.
         """
@@ -97,30 +99,30 @@
             connection = await self._peers.reach(peer)
             exchange = connection.open_exchange()
         except MeshError as error:
-            # No connection, nothing sent: certain.
+            # There is no connection, so it is certain that nothing was sent.
             return HopResult(HopOutcome.NEVER_OFFERED, step=error.step)
-        # Connecting took time, and this process may have been suspended.
-        spent = time.monotonic() - started
-        seconds -= spent
-        if seconds < _LEAST_SECONDS:
+        # Connecting takes time, and this process may have been suspended meanwhile.
+        elapsed_seconds = time.monotonic() - started
+        seconds -= elapsed_seconds
+        if seconds < _MIN_HOP_SECONDS:
             exchange.close()
             return HopResult(HopOutcome.NEVER_OFFERED, step="deadline")
-        _take_off(head, spent)
+        _deduct_elapsed(head, elapsed_seconds)
         exchange.is_repeatable = head.route_type == wire_names.READ_ONLY
         sender: asyncio.Task | None = None
-        is_over = False
+        is_complete = False
         has_answer = False
         try:
             exchange.send(FrameKind.HEAD, head.SerializeToString())
             if head.body_follows:
                 sender = asyncio.get_running_loop().create_task(
-                    _send_rest(exchange, request, max_body_bytes)
+                    _send_body(exchange, request, max_body_bytes)
                 )
-            async with asyncio.timeout(seconds + _GUARD_ANSWER_SECONDS):
+            async with asyncio.timeout(seconds + _ANSWER_GRACE_SECONDS):
                 payload = await exchange.answer
             answer_head = kinds.AnswerHead.FromString(payload)
             has_answer = True
-            is_over = not answer_head.body_follows
+            is_complete = not answer_head.body_follows
             return make_result(answer_head, exchange.incoming, exchange.abandon, request.method)
         except TimeoutError:
             return HopResult(HopOutcome.UNKNOWN, step="deadline")
@@ -133,29 +135,29 @@
         finally:
             if sender is not None and not sender.done():
                 sender.cancel()
-            if is_over:
+            if is_complete:
                 exchange.close()
             elif not has_answer:
-                # Cancels the hop at a guard still working on it; an unresponsive
-                # guard reads this right behind the hop and does not begin it.
+                # Cancels the hop at a guard that is still processing it; an unresponsive
+                # guard that resumes reads this right after the hop and does not start it.
                 exchange.abandon()
 
 
-def _take_off(head, spent: float) -> None:
-    """Reduces the times in the head to what is left."""
-    milliseconds = math.ceil(spent * 1000)
+def _deduct_elapsed(head, elapsed_seconds: float) -> None:
+    """Deducts the elapsed time from the remaining times in the head."""
+    milliseconds = math.ceil(elapsed_seconds * 1000)
     head.deadline_left_ms = max(1, head.deadline_left_ms - milliseconds)
     head.queue_left_ms = max(0, head.queue_left_ms - milliseconds)
     head.aim_left_ms -= milliseconds
 
 
-async def _send_rest(exchange: Exchange, request: SentRequest, bound: int) -> None:
+async def _send_body(exchange: Exchange, request: SentRequest, max_body_bytes: int) -> None:
     try:
-        while chunk := await request.read_chunk(bound):
+        while chunk := await request.read_chunk(max_body_bytes):
             await exchange.send_body(chunk)
         exchange.send(FrameKind.BODY_END)
     except (ConnectionError, BodyTooLarge) as error:
-        # The target must not mistake a partial body for a whole one.
+        # The target must not take a partial body for a complete one.
         exchange.send(FrameKind.CANCEL)
         exchange.break_off(MeshError("body", str(error) or "too large"))
         raise
@@ -169,9 +171,9 @@
     release: Callable[[], object],
     method: str,
 ) -> HopResult:
-    """The result of a hop from its AnswerHead; a large body follows in the pipe.
+    """Builds the result of a hop from its AnswerHead; a large body follows in the pipe.
 
-    Raises ValueError if the head holds no known outcome.
+    Raises ValueError if the outcome in the head is unknown.
     """
     load = TargetLoad(head.running, head.waiting, head.slots) if head.slots else None
     outcome = HopOutcome(head.outcome)
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -1,7 +1,7 @@
-"""What this proxy knows of the mesh: targets, configuration and evacuations.
+"""This proxy's view of the mesh: targets, configuration and evacuations.
 
-It is updated from the registries' feeds and never goes back: of two entries
-under one key the one with the higher life and number is kept.
+It is updated from the registries' feeds and never reverts to older data: of two
+entries under one key it keeps the one with the higher life (generation) and number.
 """
 
 import json
@@ -32,7 +32,7 @@
     is_draining: bool
     cold_until: float
     is_leaving: bool
-    # The site that owns the service here, and the registry that claims it.
+    # The site of the target, and the registry of that site that claims ownership.
     site: str = ""
     site_agent: str = ""
 
@@ -54,12 +54,12 @@
         self.evacuated: set[str] = set()
         self.suspects: set[str] = set()
         self.registries: set[str] = set()
-        # Called when an entry of another life of this node is the newest.
+        # Called with the life of each new entry about the target of this node.
         self.on_own_target_entry: Callable[[int], None] | None = None
         self.on_evacuation: Callable[[str, bool], None] | None = None
         self.on_partners: Callable[[], None] | None = None
         self.on_configuration: Callable[[RouteTable], None] | None = None
-        # Routes that partners export; None as long as there is no partner.
+        # Routes that partners export; None until there is a partner.
         self.partners: PartnerTable | None = None
         self.leases = HeldLeases()
         # The current owner of each service that is owned by one site, if any.
@@ -70,13 +70,13 @@
         self._upstream_of: dict[str, str] = {}
 
     def targets(self, upstream: str) -> list[KnownTarget]:
-        """The targets of the upstream that are not known to be gone."""
+        """Returns the targets of the upstream that are not known to be removed."""
         if self.partners is not None and upstream.startswith(UPSTREAM_PREFIX):
             return self._partner_targets(upstream)
         return list(self._targets.get(upstream, {}).values())
 
     def peers(self) -> set[str]:
-        """Where hops to the known targets go."""
+        """Returns the addresses of the proxies beside the known targets."""
         return {target.peer for targets in self._targets.values() for target in targets.values()}
 
     def is_newer(self, entry) -> bool:
@@ -93,11 +93,11 @@
             return False
         self._versions[entry.kind, entry.key] = (entry.life, entry.number)
         if entry.kind == "configuration":
-            self._take_configuration(entry)
+            self._apply_configuration(entry)
         if entry.kind == "target":
-            self._take_target(entry)
+            self._apply_target(entry)
         elif entry.kind == "evacuation":
-            self._take_evacuation(entry)
+            self._apply_evacuation(entry)
         elif entry.kind == "registries":
             self.registries = set(entry.value.decode().split("\n"))
         elif entry.kind == "partners":
@@ -107,11 +107,11 @@
                 self.on_partners()
             log.info("partner routes", number=entry.number, digest=self.partners.digest)
         elif entry.kind == "owner":
-            self._take_owner(entry)
+            self._apply_owner(entry)
         return True
 
     def find_partner_route(self, host: str, path: str, now: float) -> Route | None:
-        """The partner route of a request, while the lease on these routes is valid.
+        """Returns the partner route of a request, while the lease on these routes is valid.
 
         `now` is in monotonic seconds.
         """
@@ -126,7 +126,7 @@
             return []
         return [KnownTarget(upstream, address, "", "", upstream, upstream, 64, False, 0.0, False)]
 
-    def _take_owner(self, entry) -> None:
+    def _apply_owner(self, entry) -> None:
         if entry.removed:
             self.owners.pop(entry.key, None)
             return
@@ -134,20 +134,20 @@
         self.owners[entry.key] = KnownOwner(site, agent, epoch)
         log.info("owner", upstream=entry.key, site=site, epoch=epoch)
 
-    def _take_configuration(self, entry) -> None:
-        # Built whole first: a request sees the old configuration or the new one.
+    def _apply_configuration(self, entry) -> None:
+        # Assigned only when complete: a request sees the old or the new one.
         self.table = RouteTable(read_rows(entry.value))
         log.info("configuration in force", number=entry.number, routes=self.table.count)
         if self.on_configuration is not None:
             self.on_configuration(self.table)
 
-    def _take_target(self, entry) -> None:
+    def _apply_target(self, entry) -> None:
         node = entry.key
         if node == self._node and self.on_own_target_entry is not None:
             self.on_own_target_entry(entry.life)
-        old = self._upstream_of.pop(node, None)
-        if old is not None:
-            self._targets[old].pop(node, None)
+        old_upstream = self._upstream_of.pop(node, None)
+        if old_upstream is not None:
+            self._targets[old_upstream].pop(node, None)
         if entry.removed:
             return
         notice = kinds.TargetNotice.FromString(entry.value)
@@ -169,16 +169,16 @@
             site_agent=notice.site_agent,
         )
 
-    def _take_evacuation(self, entry) -> None:
-        # An operator or a maintenance window may have emptied the zone.
+    def _apply_evacuation(self, entry) -> None:
+        # A zone may be evacuated by an operator or a maintenance window.
         is_on = entry.value != b"off"
         _set_member(self.evacuated, entry.key, is_on)
         if self.on_evacuation is not None:
             self.on_evacuation(entry.key, is_on)
 
 
-def _set_member(members: set[str], member: str, is_in: bool) -> None:
-    if is_in:
+def _set_member(members: set[str], member: str, is_member: bool) -> None:
+    if is_member:
         members.add(member)
     else:
         members.discard(member)
--- a/marblefold/request_path/outcome.py
+++ b/marblefold/request_path/outcome.py
@@ -1,4 +1,4 @@
-"""The closed set of ways a hop can end."""
+"""The possible outcomes of a hop."""
 
 import enum
 from typing import NamedTuple
@@ -8,20 +8,20 @@
 
 __all__ = ["NO_SLOT", "HopOutcome", "HopResult", "TargetLoad", "make_refusal"]
 
-# The step of a hop that was refused only because no slot was free.
+# The step reported by a hop that was refused only because no slot became free.
 NO_SLOT = "no slot in time"
 
 
 class HopOutcome(enum.IntEnum):
-    """What is known of a hop when it is over."""
+    """What is known about the execution of the request when a hop has ended."""
 
     # The target ran the request and its answer is available.
     ANSWERED = 1
-    # No target was offered the request, and none will be by this hop.
+    # The request was not offered to a target, and this hop will not do so any more.
     NEVER_OFFERED = 2
-    # The target was offered the request and said that it did not run it.
+    # The target was offered the request and stated that it did not run it.
     NOT_EXECUTED = 3
-    # It may have run, or may run still.
+    # The request may have run, or may still be running.
     UNKNOWN = 4
 
 
@@ -34,7 +34,7 @@
 
 
 class HopResult(NamedTuple):
-    """How a hop ended; retry_after and service_seconds are in seconds."""
+    """The result of a hop; `retry_after` and `service_seconds` are in seconds."""
 
     outcome: HopOutcome
     answer: Answer | None = None
@@ -45,7 +45,7 @@
 
 
 def make_refusal(step: str, retry_after: float):
-    """The AnswerHead of a hop that was not offered; `retry_after` is in seconds."""
+    """Builds the AnswerHead of a hop that was not offered; `retry_after` is in seconds."""
     return kinds.AnswerHead(
         outcome=HopOutcome.NEVER_OFFERED, step=step, retry_after_ms=int(retry_after * 1000)
     )
--- a/marblefold/request_path/routing_state.py
+++ b/marblefold/request_path/routing_state.py
@@ -1,4 +1,4 @@
-"""The shared state of all requests of a proxy: view, breakers, budgets, selector."""
+"""The state shared by all requests of a proxy: view, breakers, retry budgets, selector."""
 
 import time
 from collections.abc import Callable, Collection
@@ -18,17 +18,17 @@
 __all__ = ["RoutingState"]
 
 
-_SHUN_SECONDS = 0.2
-# What one request holds on average, at most: two descriptors, and its share of
-# the memory that the program itself does not need.
-_DESCRIPTORS_EACH = 2
-_DESCRIPTORS_KEPT = 214
+_MAX_REFUSING_SECONDS = 0.2
+# On average a request uses at most two descriptors, and a share of the memory that
+# the program itself does not need.
+_DESCRIPTORS_PER_REQUEST = 2
+_RESERVED_DESCRIPTORS = 214
 _MEMORY_SHARE = 0.5
-_MEMORY_MB_EACH = 0.15
+_MEMORY_MB_PER_REQUEST = 0.15
 
 
 class RoutingState:
-    """Provides the facts of a decision and learns from the results of hops.
+    """Provides the inputs of decisions and records the results of hops.
 
     All times are monotonic seconds.
     """
@@ -40,13 +40,13 @@
         bounds: Bounds,
         limits: Limits,
         clock: Callable[[], float] | None = None,
-        tell: Callable = log.warning,
+        log_event: Callable = log.warning,
     ) -> None:
-        # A rehearsal has a clock of its own, and nothing of it belongs in the log.
-        # Looked up now and not at import: if the clock is replaced later, records would
-        # otherwise be written by one clock and read by another.
+        # A rehearsal passes its own clock, and a log function that writes nothing.
+        # The default clock is looked up here and not at import: if time.monotonic is
+        # replaced later, records would be written by one clock and read by another.
         self._clock = clock or time.monotonic
-        self._tell = tell
+        self._log_event = log_event
         self.traffic = TrafficCount()
         self.view = view
         self.selector = selector
@@ -64,16 +64,16 @@
         kilobytes: float,
         now: float,
     ) -> SelectedTarget | None:
-        """The target for the next hop."""
+        """Returns the target for the next hop, or None if none is eligible."""
         return self.selector.select(upstream, tried, allowed_regions, kilobytes, now)
 
     def check_breaker(self, upstream: str, now: float) -> Admission:
-        """Whether the breaker admits one more call to the upstream."""
+        """Decides whether the breaker admits one more call to the upstream."""
         breaker = self.breaker(upstream)
         state = breaker.state
         admission = breaker.admit(now)
         if breaker.state is not state:
-            self._tell(
+            self._log_event(
                 "breaker",
                 upstream=upstream,
                 state=breaker.state.value,
@@ -83,35 +83,35 @@
         return admission
 
     def may_retry(self, upstream: str, now: float) -> bool:
-        """Whether a retry is within this proxy's share of the budget."""
-        # Until the other proxies are counted, many are assumed.
+        """Whether a retry is within this proxy's share of the retry budget."""
+        # A large number is assumed until the number of proxies is known.
         proxies = self.view.proxies or 1000
         return self._budget(upstream).may_retry(now, proxies)
 
     def note_request(self, upstream: str, now: float) -> None:
-        """A request for the upstream arrived."""
+        """Records that a request for the upstream arrived."""
         self._budget(upstream).note_request(now)
 
     def note_retry(self, upstream: str, now: float) -> None:
-        """A retry leaves."""
+        """Records a retry."""
         self._budget(upstream).note_retry(now)
 
     def begin(self, target: KnownTarget, latency_target: float, label: str) -> Permit:
-        """A hop leaves."""
+        """Records that a hop was sent."""
         self.selector.begin(target)
         return self.breaker(target.upstream).begin(self._clock(), latency_target, label)
 
     def end(
         self, target: KnownTarget, permit: Permit, result: HopResult, latency_target: float
     ) -> None:
-        """A hop is over."""
+        """Records that a hop ended."""
         now = self._clock()
         selector = self.selector
         selector.end(target)
         answered = result.outcome is HopOutcome.ANSWERED
         status = result.answer.status if result.answer is not None else 0
         success = answered and 0 < status < 400
-        # Errors and refusals say nothing about normal latency.
+        # Errors and refusals are not representative of normal latency.
         self.breaker(target.upstream).end(permit, now, success)
         if result.load is not None:
             selector.note_load(target, result.load, now)
@@ -126,17 +126,17 @@
             selector.note_error(target, now)
         elif result.outcome is HopOutcome.NEVER_OFFERED:
             # A guard that refuses hops usually does so for a while.
-            pause = min(_SHUN_SECONDS, result.retry_after or _SHUN_SECONDS)
+            pause = min(_MAX_REFUSING_SECONDS, result.retry_after or _MAX_REFUSING_SECONDS)
             selector.note_refusal(target, now + pause)
         elif not answered or status >= 500:
-            # Whatever its health check returns, it does not serve properly.
+            # The target fails requests, whatever its health check returns.
             selector.note_failure(target, now)
 
-    def log_overdue(self, longest: timedelta) -> None:
-        """Logs the calls that have been in flight for longer than `longest`."""
+    def log_overdue(self, max_age: timedelta) -> None:
+        """Logs the calls that have been in flight for longer than `max_age`."""
         now = time.monotonic()
         for upstream, breaker in self._breakers.items():
-            for permit in breaker.overdue(now, longest.total_seconds()):
+            for permit in breaker.overdue(now, max_age.total_seconds()):
                 log.warning(
                     "overdue",
                     upstream=upstream,
@@ -145,16 +145,16 @@
                 )
 
     def answer_kilobytes(self, route: str) -> float:
-        """The recent mean size of the route's answers, in kilobytes."""
+        """Returns the recent mean size of the route's answers, in kilobytes."""
         return self._answer_kilobytes.get(route, 1.0)
 
     def note_answer(self, route: str, kilobytes: float) -> None:
         """Records the size of an answer of the route, in kilobytes."""
-        known = self._answer_kilobytes.get(route, kilobytes)
-        self._answer_kilobytes[route] = known + 0.05 * (kilobytes - known)
+        mean = self._answer_kilobytes.get(route, kilobytes)
+        self._answer_kilobytes[route] = mean + 0.05 * (kilobytes - mean)
 
     def breaker(self, upstream: str) -> Breaker:
-        """The breaker that watches the upstream."""
+        """Returns the breaker of the upstream."""
         breaker = self._breakers.get(upstream)
         if breaker is None:
             breaker = self._breakers[upstream] = Breaker()
@@ -170,7 +170,7 @@
 
 
 def _count_resources(limits: Limits) -> int:
-    """How many requests this process has resources for at once."""
-    by_descriptors = (limits.file_descriptors - _DESCRIPTORS_KEPT) // _DESCRIPTORS_EACH
-    by_memory = int(limits.memory_mb * _MEMORY_SHARE / _MEMORY_MB_EACH)
+    """Returns how many requests this process has resources for at once."""
+    by_descriptors = (limits.file_descriptors - _RESERVED_DESCRIPTORS) // _DESCRIPTORS_PER_REQUEST
+    by_memory = int(limits.memory_mb * _MEMORY_SHARE / _MEMORY_MB_PER_REQUEST)
     return max(16, min(by_descriptors, by_memory))
--- a/marblefold/request_path/tracers.py
+++ b/marblefold/request_path/tracers.py
@@ -1,4 +1,4 @@
-"""The tracing hooks for requests and hops."""
+"""The interfaces of tracers for requests and hops."""
 
 from typing import Protocol
 
@@ -16,7 +16,7 @@
         request,
         route: Route,
         upstream: str,
-        run_span,
+        parent_span,
         caller: str,
         body: bytes,
         is_whole: bool,
--- a/marblefold/request_path/traffic_count.py
+++ b/marblefold/request_path/traffic_count.py
@@ -1,7 +1,7 @@
-"""Counts the requests that begin at this node, by route.
+"""Counts the requests that enter the mesh at this node, by route.
 
-Counts are cumulative and small: two of them give the rate in between, and a lost
-one does no harm.
+Counts are cumulative: the difference of two notices gives the rate in between, and
+a lost notice does no harm.
 """
 
 import time
@@ -10,13 +10,13 @@
 
 __all__ = ["TrafficCount"]
 
-# A notice names so many routes; the least used ones are combined into one.
-_MOST_ROUTES = 48
+# The number of routes that a notice lists; less used ones are combined into one row.
+_MAX_ROUTES = 48
 OTHER_ROUTES = ""
 
 
 class _Counts:
-    """The requests of one route since the start."""
+    """The requests of one route since this process started."""
 
     __slots__ = ("requests", "answered", "refused", "unknown", "seconds", "kilobytes")
 
@@ -26,13 +26,13 @@
 
 
 class TrafficCount:
-    """Counts every finished request; makes a notice of the counts when asked."""
+    """Counts finished requests and builds notices of the counts."""
 
     def __init__(self) -> None:
         self._counts: dict[str, _Counts] = {}
-        self._life = int(time.time() * 1000)
+        self._generation = int(time.time() * 1000)
         self._number = 0
-        self._reported = -1
+        self._reported_total = -1
 
     def note(self, route: str, status: int, seconds: float, kilobytes: float) -> None:
         """Records a finished request: its time in seconds and its traffic in kilobytes."""
@@ -56,27 +56,27 @@
         region: str,
         service_seconds: float,
     ) -> kinds.TrafficNotice | None:
-        """The current counts; None if no request was counted since the last notice."""
+        """Returns the current counts; None if no request was counted since the last notice."""
         total = sum(counts.requests for counts in self._counts.values())
-        if total == self._reported:
+        if total == self._reported_total:
             return None
-        self._reported = total
+        self._reported_total = total
         self._number += 1
         notice = kinds.TrafficNotice(
             node=node,
-            node_life=self._life,
+            node_life=self._generation,
             number=self._number,
             zone=zone,
             region=region,
             service_us=int(service_seconds * 1e6),
         )
         ranked = sorted(self._counts.items(), key=lambda item: -item[1].requests)
-        for name, counts in ranked[:_MOST_ROUTES]:
+        for name, counts in ranked[:_MAX_ROUTES]:
             _add(notice.routes.add(route=name), counts)
-        if ranked[_MOST_ROUTES:]:
-            rest = notice.routes.add(route=OTHER_ROUTES)
-            for _name, counts in ranked[_MOST_ROUTES:]:
-                _add(rest, counts)
+        if ranked[_MAX_ROUTES:]:
+            other_routes = notice.routes.add(route=OTHER_ROUTES)
+            for _name, counts in ranked[_MAX_ROUTES:]:
+                _add(other_routes, counts)
         return notice
 
 
