--- a/tests/simulated_path.py
+++ b/tests/simulated_path.py
@@ -1,4 +1,4 @@
-"""A configuration, targets and the client's view for the whole way of a request."""
+"""A configuration, targets and the client's view of requests, for tests of the whole path."""
 
 import re
 from datetime import timedelta
@@ -8,7 +8,7 @@
 from marblefold.configuration.rows import Route, Rows, Upstream
 from marblefold.inner_protocol.messages import kinds
 
-MOST = 2
+MAX_ATTEMPTS = 2
 ANSWER = re.compile(rb"HTTP/1\.1 (\d+) [^\r]*\r\n((?:[^\r]+\r\n)*)\r\n(.*)", re.DOTALL)
 
 
@@ -21,7 +21,7 @@
             kind,
             timedelta(seconds=2),
             timedelta(seconds=1),
-            MOST,
+            MAX_ATTEMPTS,
             0,
             ("quotes",),
             (1.0,),
@@ -49,14 +49,14 @@
     )
 
 
-class Asked:
-    """A request as its client sees it."""
+class TrackedRequest:
+    """A request as its client sees it, and what was written of it to targets."""
 
-    def __init__(self, name, is_mutating, at, ends, transport):
-        self.name, self.is_mutating, self.at, self.ends = name, is_mutating, at, ends
-        self.transport, self.has_left = transport, False
-        # Each writing of it to a target, and whether that was turned away.
-        self.writes, self.written_when_left, self.given = [], None, {}
+    def __init__(self, name, is_mutating, sent_at, ends, transport):
+        self.name, self.is_mutating, self.sent_at, self.ends = name, is_mutating, sent_at, ends
+        self.transport, self.is_disconnected = transport, False
+        # Each write of the request to a target, and whether the target refused it.
+        self.writes, self.writes_at_disconnect, self.answers_given = [], None, {}
 
     @property
     def answer(self):
@@ -64,5 +64,5 @@
         return (int(found[1]), found[2], found[3]) if found else None
 
 
-class Write(SimpleNamespace):
-    """One writing of a request to a target."""
+class TargetWrite(SimpleNamespace):
+    """One write of a request to a target."""
--- a/tests/test_breaker.py
+++ b/tests/test_breaker.py
@@ -1,4 +1,4 @@
-"""The breaker against a slow plain model that keeps everything."""
+"""Tests the breaker against a slow reference model that keeps all calls."""
 
 import math
 
@@ -11,24 +11,28 @@
 CONFIG = BreakerConfig(min_successes=5, min_in_flight=3, window=8, calls_per_probe=3)
 
 
-class PlainBreaker:
-    """Recomputes all from lists at each question."""
+class ReferenceBreaker:
+    """Recomputes the state from lists whenever it is asked for."""
 
     def __init__(self):
         self.successes = []
-        self.flying = []
+        self.in_flight_calls = []
 
     def is_open(self, now):
-        if len(self.successes) < CONFIG.min_successes or len(self.flying) < CONFIG.min_in_flight:
+        if (
+            len(self.successes) < CONFIG.min_successes
+            or len(self.in_flight_calls) < CONFIG.min_in_flight
+        ):
             return False
         window = self.successes[-CONFIG.window :]
         mean = sum(window) / len(window)
         deviation = math.sqrt(sum((value - mean) ** 2 for value in window) / len(window))
         ages = [
-            (now - started) / latency_target for started, latency_target, _permit in self.flying[1:]
+            (now - started) / latency_target
+            for started, latency_target, _permit in self.in_flight_calls[1:]
         ]
         margin = sum(ages) / len(ages) - (mean + CONFIG.deviations * deviation)
-        # Sums kept as they go may differ from these in the last digits.
+        # Running sums may differ from these in the last digits.
         return None if abs(margin) < 1e-6 else margin > 0
 
 
@@ -37,8 +41,8 @@
         super().__init__()
         self.now = 0.0
         self.breaker = Breaker(CONFIG)
-        self.plain = PlainBreaker()
-        self.refused_in_a_row = 0
+        self.reference = ReferenceBreaker()
+        self.consecutive_refusals = 0
 
     @rule(seconds=st.floats(0.0, 2.0))
     def wait(self, seconds):
@@ -47,53 +51,55 @@
     @rule(latency_target=st.sampled_from([0.1, 0.5, 1.0]))
     def begin(self, latency_target):
         permit = self.breaker.begin(self.now, latency_target, "call")
-        self.plain.flying.append((self.now, latency_target, permit))
+        self.reference.in_flight_calls.append((self.now, latency_target, permit))
 
     @rule(index=st.integers(0, 20), success=st.booleans())
     def end(self, index, success):
-        if not self.plain.flying:
+        if not self.reference.in_flight_calls:
             return
-        started, latency_target, permit = self.plain.flying.pop(index % len(self.plain.flying))
+        started, latency_target, permit = self.reference.in_flight_calls.pop(
+            index % len(self.reference.in_flight_calls)
+        )
         self.breaker.end(permit, self.now, success)
         self.breaker.end(permit, self.now, success)
         if success:
-            self.plain.successes.append((self.now - started) / latency_target)
+            self.reference.successes.append((self.now - started) / latency_target)
 
     @rule()
-    def ask(self):
-        # What nobody returns is forgotten after the longest time.
-        self.plain.flying = [
+    def admit(self):
+        # Calls that never end are dropped after the maximum time.
+        self.reference.in_flight_calls = [
             entry
-            for entry in self.plain.flying
+            for entry in self.reference.in_flight_calls
             if self.now - entry[0] <= CONFIG.max_in_flight_seconds
         ]
-        expected = self.plain.is_open(self.now)
+        expected = self.reference.is_open(self.now)
         was_open = self.breaker.state is BreakerState.OPEN
         admission = self.breaker.admit(self.now)
         if expected is None:
-            self.refused_in_a_row = 0
+            self.consecutive_refusals = 0
             return
         assert (self.breaker.state is BreakerState.OPEN) == expected
         if not expected:
             assert admission.allowed
         if admission.allowed or not was_open:
-            self.refused_in_a_row = 0
+            self.consecutive_refusals = 0
         if not admission.allowed:
-            self.refused_in_a_row += 1
+            self.consecutive_refusals += 1
             assert admission.retry_after > 0
-            # Some calls pass even while it is open.
-            assert self.refused_in_a_row < CONFIG.calls_per_probe
+            # Probes are admitted even while the circuit is open.
+            assert self.consecutive_refusals < CONFIG.calls_per_probe
 
     @invariant()
-    def counts_what_flies(self):
-        assert self.breaker.in_flight >= len(self.plain.flying)
+    def counts_calls_in_flight(self):
+        assert self.breaker.in_flight >= len(self.reference.in_flight_calls)
 
 
 BreakerMachine.TestCase.settings = settings(max_examples=150, deadline=None)
 TestBreaker = BreakerMachine.TestCase
 
 
-def test_a_black_hole_opens_the_circuit_and_its_end_closes_it():
+def test_stuck_calls_open_the_circuit_and_their_end_closes_it():
     breaker = Breaker()
     now = 0.0
     for _ in range(200):
@@ -109,7 +115,7 @@
     assert breaker.admit(now + 5.1).allowed and breaker.state is BreakerState.CLOSED
 
 
-def test_one_poisoned_call_alone_does_not_open_it():
+def test_a_single_stuck_call_does_not_open_the_circuit():
     breaker = Breaker()
     for step in range(200):
         breaker.end(breaker.begin(step, 1.0, "normal"), step + 0.1, True)
--- a/tests/test_concurrency_limit.py
+++ b/tests/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Crowds of one route leave room for the others."""
+"""Tests that many requests of one route leave room for the other routes."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -8,7 +8,7 @@
 CONFIG = ConcurrencyLimits(resources=100)
 
 
-def fill(concurrency_limiter, route, rank, count):
+def admit_many(concurrency_limiter, route, rank, count):
     permits = []
     for number in range(count):
         if concurrency_limiter.admit(route, rank, float(number)).allowed:
@@ -16,17 +16,17 @@
     return permits
 
 
-def test_a_flood_leaves_what_others_normally_need():
+def test_a_flood_leaves_room_for_the_normal_load_of_other_routes():
     concurrency_limiter = ConcurrencyLimiter(CONFIG)
     for _ in range(300):
-        held = fill(concurrency_limiter, "bookings", 0, 20)
-        for permit in held:
+        permits = admit_many(concurrency_limiter, "bookings", 0, 20)
+        for permit in permits:
             concurrency_limiter.end("bookings", permit)
     normal = 100 * 0.9 - concurrency_limiter.allowed("views", 0)
     assert 5 < normal <= 20
-    views = fill(concurrency_limiter, "views", 2, 300)
+    views = admit_many(concurrency_limiter, "views", 2, 300)
     assert len(views) < 80
-    assert len(fill(concurrency_limiter, "bookings", 0, 8)) == 8
+    assert len(admit_many(concurrency_limiter, "bookings", 0, 8)) == 8
     refusal = concurrency_limiter.admit("views", 2, 302.0)
     assert not refusal.allowed and refusal.retry_after == 5.0
     for permit in views:
@@ -39,13 +39,13 @@
         st.tuples(st.sampled_from(["a", "b", "c"]), st.integers(0, 8), st.booleans()), max_size=400
     )
 )
-def test_the_whole_never_exceeds_what_may_be_used(events):
+def test_the_total_never_exceeds_the_usable_share(events):
     concurrency_limiter = ConcurrencyLimiter(CONFIG)
-    held = {"a": [], "b": [], "c": []}
+    permits = {"a": [], "b": [], "c": []}
     for number, (route, rank, is_end) in enumerate(events):
-        if is_end and held[route]:
-            concurrency_limiter.end(route, held[route].pop())
+        if is_end and permits[route]:
+            concurrency_limiter.end(route, permits[route].pop())
         elif concurrency_limiter.admit(route, rank, float(number)).allowed:
-            held[route].append(concurrency_limiter.begin(route, float(number), "x"))
-        counts = sum(len(permits) for permits in held.values())
-        assert concurrency_limiter.total == counts <= 90
+            permits[route].append(concurrency_limiter.begin(route, float(number), "x"))
+        count = sum(len(route_permits) for route_permits in permits.values())
+        assert concurrency_limiter.total == count <= 90
--- a/tests/test_decision.py
+++ b/tests/test_decision.py
@@ -1,4 +1,4 @@
-"""What a request's decision promises, and when it tries again."""
+"""Tests which answers a RequestDecision gives, and when it retries."""
 
 from datetime import timedelta
 
@@ -14,7 +14,7 @@
 from marblefold.request_path.running_requests import RunningRequest, RunningRequests
 from marblefold.request_path.target_selection import SelectedTarget
 
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 
 
 def make_target(number):
@@ -32,8 +32,8 @@
     )
 
 
-class DecisionInputs:
-    """RoutingState with as many targets as are asked for."""
+class FakeInputs:
+    """Decision inputs with a given number of targets."""
 
     def __init__(self, budget=True, admission=Admission(True, 0.0), targets=50):
         self.budget, self.admission, self.targets, self.selected = budget, admission, targets, 0
@@ -86,9 +86,13 @@
     budget=st.booleans(),
     replayable=st.booleans(),
 )
-def test_promises_and_repeats_are_kept(kind, ends, budget, replayable):
-    """The plain rules, said again over the whole history of a request."""
-    decision = make_decision(kind, DecisionInputs(budget), is_replayable=replayable)
+def test_not_run_answers_are_true_and_retries_are_limited(kind, ends, budget, replayable):
+    """Checks the rules against the whole history of a request.
+
+    A status that says "not run" is given exactly if no target can have run the request,
+    and a request that is not read-only goes to no other target once it may have run.
+    """
+    decision = make_decision(kind, FakeInputs(budget), is_replayable=replayable)
     now, history = 0.0, []
     for outcome, status, seconds in ends + [(HopOutcome.UNKNOWN, 200, 3.0)]:
         step = decision.next_step(now)
@@ -104,31 +108,31 @@
     assert len(offers) <= 3
     assert len(offers) <= 1 or budget
     if kind != "read_only":
-        # Once it may have run, it goes nowhere else.
+        # Once it may have run, it is not sent to another target.
         assert len(ran) <= 1
         assert not ran or history[-1] == ran[0]
     if isinstance(step, Conclude):
         status = step.answer.status
         if any(end[0] is HopOutcome.ANSWERED for end in history):
             return
-        assert (status in PROMISES) == (not ran)
-        if status in PROMISES:
+        assert (status in NOT_RUN_STATUSES) == (not ran)
+        if status in NOT_RUN_STATUSES:
             assert b"Retry-After" in step.answer.header_block
 
 
-def test_a_breaker_that_refuses_is_a_promise_with_a_time():
-    decision = make_decision("mutating", DecisionInputs(admission=Admission(False, 0.7)))
+def test_an_open_breaker_answers_not_run_with_a_retry_after():
+    decision = make_decision("mutating", FakeInputs(admission=Admission(False, 0.7)))
     step = decision.next_step(0.0)
     assert step.answer.status == 503 and b"Retry-After: 0.700" in step.answer.header_block
 
 
-def test_without_targets_the_final_answer_comes_at_once():
-    step = make_decision("read_only", DecisionInputs(targets=0)).next_step(0.0)
+def test_without_targets_the_request_is_refused_immediately():
+    step = make_decision("read_only", FakeInputs(targets=0)).next_step(0.0)
     assert isinstance(step, Conclude) and step.answer.status == 503
 
 
-def test_a_refusal_late_in_the_aim_ends_the_search():
-    decision = make_decision("read_only", DecisionInputs())
+def test_a_refusal_after_the_queue_time_ends_the_search():
+    decision = make_decision("read_only", FakeInputs())
     offer = decision.next_step(0.0)
     assert isinstance(offer, Offer) and abs(offer.queue_seconds - 0.08) < 1e-9
     decision.note(offer.target, result(HopOutcome.NEVER_OFFERED))
@@ -137,64 +141,66 @@
     assert decision.next_step(0.11).answer.status == 503
 
 
-def ask_until_queued(decision):
-    """The targets that were asked for a free slot and had none, and the offer that waits."""
-    asked = []
+def decline_until_queued(decision):
+    """Returns the targets that declined for lack of a free slot, and the offer that may queue."""
+    declined = []
     while (offer := decision.next_step(0.0)).queue_seconds == 0.0:
-        asked.append(offer.target)
+        declined.append(offer.target)
         decision.note(offer.target, HopResult(HopOutcome.NEVER_OFFERED, step=NO_SLOT))
-    return asked, offer
+    return declined, offer
 
 
-def test_free_slots_are_asked_for_before_a_queue_is_joined():
-    asked, offer = ask_until_queued(
-        make_decision("read_only", DecisionInputs(), is_nested_call=True)
+def test_nested_calls_try_for_a_free_slot_before_they_queue():
+    declined, offer = decline_until_queued(
+        make_decision("read_only", FakeInputs(), is_nested_call=True)
     )
-    assert len(asked) == 2 and abs(offer.queue_seconds - 1.2) < 1e-9
-    # What holds no slot elsewhere waits where it was sent first.
-    asked, offer = ask_until_queued(make_decision("read_only", DecisionInputs()))
-    assert not asked and abs(offer.queue_seconds - 0.08) < 1e-9
+    assert len(declined) == 2 and abs(offer.queue_seconds - 1.2) < 1e-9
+    # A request that holds no slot elsewhere queues at the first target.
+    declined, offer = decline_until_queued(make_decision("read_only", FakeInputs()))
+    assert not declined and abs(offer.queue_seconds - 0.08) < 1e-9
 
 
-def test_where_all_were_asked_one_of_them_is_waited_at():
-    class Two(DecisionInputs):
+def test_a_nested_call_queues_at_a_full_target_if_all_are_full():
+    class TwoTargets(FakeInputs):
         def select(self, upstream, tried, allowed_regions, kilobytes, now):
-            left = [make_target(n) for n in (1, 2) if f"i-{n}" not in tried]
-            return SelectedTarget(left[0], False) if left else None
-
-    asked, offer = ask_until_queued(make_decision("mutating", Two(), is_nested_call=True))
-    assert [target.node for target in asked] == ["node-1", "node-2"]
-    assert offer.target in asked and offer.queue_seconds > 0
-    # One that turned it away for another reason is not gone back to.
-    decision = make_decision("mutating", Two(), is_nested_call=True)
+            remaining = [make_target(n) for n in (1, 2) if f"i-{n}" not in tried]
+            return SelectedTarget(remaining[0], False) if remaining else None
+
+    declined, offer = decline_until_queued(
+        make_decision("mutating", TwoTargets(), is_nested_call=True)
+    )
+    assert [target.node for target in declined] == ["node-1", "node-2"]
+    assert offer.target in declined and offer.queue_seconds > 0
+    # A target that refused for another reason is not tried again.
+    decision = make_decision("mutating", TwoTargets(), is_nested_call=True)
     decision.note(
         decision.next_step(0.0).target, HopResult(HopOutcome.NEVER_OFFERED, step="draining")
     )
-    asked, offer = ask_until_queued(decision)
-    assert [target.node for target in asked] == ["node-2"] and offer.target.node == "node-2"
+    declined, offer = decline_until_queued(decision)
+    assert [target.node for target in declined] == ["node-2"] and offer.target.node == "node-2"
 
 
-def test_a_failed_answer_of_a_target_is_passed_on_when_no_more_may_be_tried():
-    decision = make_decision("read_only", DecisionInputs(budget=False))
+def test_an_error_answer_is_passed_on_if_no_retry_is_allowed():
+    decision = make_decision("read_only", FakeInputs(budget=False))
     decision.note(decision.next_step(0.0).target, result(HopOutcome.ANSWERED, 500))
     assert decision.next_step(0.1).answer.status == 500
 
 
-def test_a_call_in_the_midst_of_a_run_may_wait_longer_for_a_slot():
-    _asked, offer = ask_until_queued(
-        make_decision("read_only", DecisionInputs(), is_nested_call=True)
+def test_a_nested_call_may_queue_longer_for_a_slot():
+    _declined, offer = decline_until_queued(
+        make_decision("read_only", FakeInputs(), is_nested_call=True)
     )
     assert abs(offer.queue_seconds - 1.2) < 1e-9
 
 
-def test_calls_are_told_by_the_id_of_the_run_they_belong_to():
+def test_nested_calls_are_recognised_by_the_id_of_their_parent():
     running_requests = RunningRequests()
-    run = RunningRequest("9c41", True)
-    running_requests.begin(run)
-    assert running_requests.find_parent("9c41.7e") is run
+    parent = RunningRequest("9c41", True)
+    running_requests.begin(parent)
+    assert running_requests.find_parent("9c41.7e") is parent
     assert (
         running_requests.find_parent("9c41") is None
         and running_requests.find_parent("77aa.9c41") is None
     )
-    running_requests.end(run)
+    running_requests.end(parent)
     assert running_requests.find_parent("9c41.7e") is None
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -1,4 +1,4 @@
-"""A proxy about to end takes in nothing that it could not finish."""
+"""Tests that a proxy that shuts down accepts no hop that it could not finish."""
 
 import types
 from datetime import timedelta
@@ -11,7 +11,7 @@
 from marblefold.request_path.target_selection import TargetSelector
 
 
-def test_a_leaving_guard_turns_hops_away_in_time(monkeypatch):
+def test_a_guard_that_shuts_down_refuses_hops_in_time(monkeypatch):
     now = [100.0]
     monkeypatch.setattr(guard_module, "time", types.SimpleNamespace(monotonic=lambda: now[0]))
     target = LocalTarget(lambda: None)
@@ -29,7 +29,7 @@
 
     assert refusal(False) == ""
     guard.begin_leaving(100.0)
-    # Peers have not heard of it yet: what they send is still taken.
+    # Peers cannot know of the shutdown yet, so their hops are still accepted.
     assert refusal(False) == ""
     now[0] = 101.2
     assert refusal(False) == "leaving" and refusal(True) == ""
@@ -37,15 +37,15 @@
     assert refusal(True) == "leaving"
 
 
-def make_target(name, leaving):
-    return KnownTarget(name, name, "z", "r", "i-" + name, "q", 4, False, 0.0, leaving)
+def make_target(name, is_leaving):
+    return KnownTarget(name, name, "z", "r", "i-" + name, "q", 4, False, 0.0, is_leaving)
 
 
-def test_a_busy_target_goes_before_one_about_to_end():
+def test_a_busy_target_is_preferred_to_one_that_shuts_down():
     view = MeshView("n")
     view.targets = lambda upstream: [make_target("going", True), make_target("busy", False)]
     selector = TargetSelector(view, "z", seed=1)
     selector.note_refusal(make_target("busy", False), 10.0)
-    nominee = selector.select("q", (), None, 1.0, 5.0)
-    assert nominee.target.node == "busy" and nominee.is_last_resort
+    selected = selector.select("q", (), None, 1.0, 5.0)
+    assert selected.target.node == "busy" and selected.is_last_resort
     assert selector.select("q", ("i-busy",), None, 1.0, 5.0).target.node == "going"
--- a/tests/test_sent_at_most_once.py
+++ b/tests/test_sent_at_most_once.py
@@ -1,7 +1,8 @@
-"""From the client's request to the bytes at targets: who may have run it, and what was said.
+"""Tests the path from a client's request to the bytes at targets.
 
-Executor, decision, hop sender, peer connections, guards and target connections
-are the programs' own.  Only bytes, time and the targets are the test's.
+The answer to the client must agree with which targets may have run the request.  The
+executor, decision, hop sender, peer connections, guards and target connections are
+the real ones; only the transport of bytes, the clock and the targets are simulated.
 """
 
 import re
@@ -29,11 +30,11 @@
 from marblefold.request_path.target_selection import TargetSelector
 from tests.mesh_on_loopback import make_config
 from tests.simulated_connections import ListTransport, Stage
-from tests.simulated_path import MOST, Asked, Write, make_entry, make_rows
+from tests.simulated_path import MAX_ATTEMPTS, TargetWrite, TrackedRequest, make_entry, make_rows
 
 CHOICE = st.integers(0, 10_000)
 PEER, TARGET = "10.0.0.%d:7600", "10.0.1.%d:80"
-PROMISES = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 STYLES = ["whole", "failure", "refused", "refused", "unstated", "reset", "reset", "other"]
 HEAD = re.compile(
     rb"GET /\w+/x HTTP/1\.1\r\n(?:Host: \w+\r\n)Attempt-Id: (\w+)\r\nDeadline-Ms: (\d+)\r\n"
@@ -46,10 +47,10 @@
     def __init__(self):
         super().__init__()
         self.stage = Stage()
-        self.asked, self.links, self.lines, self.held = {}, [], [], set()
-        self.opening_takes, self.refuses = 0.0, set()
-        # For how long each link was silent.
-        self.held_for = dict.fromkeys(self.nodes, 0.0)
+        self.requests, self.peer_links, self.target_links, self.paused_nodes = {}, [], [], set()
+        self.connect_seconds, self.refused_addresses = 0.0, set()
+        # The total seconds for which bytes to each node were delayed.
+        self.paused_seconds = dict.fromkeys(self.nodes, 0.0)
         self.stage.loop.connector = self.connect
         config = parse_config(make_config("10.0.0.9", 7000, ""))
         self.view = MeshView("n9")
@@ -78,34 +79,38 @@
         return guard
 
     def connect(self, address, near):
-        self.spend(self.opening_takes)
+        self.advance(self.connect_seconds)
         number = int(address.partition(":")[0].rpartition(".")[2])
-        if address in self.refuses:
+        if address in self.refused_addresses:
             raise ConnectionRefusedError
         if address.startswith("10.0.1."):
-            near.on_write = self.look
-            self.lines.append(SimpleNamespace(transport=near, seen=0, number=number, open=None))
+            near.on_write = self.record_writes
+            self.target_links.append(
+                SimpleNamespace(transport=near, seen=0, number=number, pending=None)
+            )
             return
         owner = SimpleNamespace(on_hop=self.guards[number].on_hop, on_lost=lambda _connection: None)
         far_protocol = PeerConnection(owner)
         far = ListTransport(far_protocol, self.stage.loop)
         far_protocol.connection_made(far)
-        self.links.append((near, far, number))
+        self.peer_links.append((near, far, number))
 
-    def spend(self, seconds):
+    def advance(self, seconds):
         self.stage.now += seconds
-        # Bytes on their way wait too.
-        late = {number for near, _far, number in self.links if near.moved < len(near.written)}
-        for number in self.held | late:
-            self.held_for[number] += seconds
+        # Bytes in transit are delayed too.
+        nodes_with_queued_bytes = {
+            number for near, _far, number in self.peer_links if near.moved < len(near.written)
+        }
+        for number in self.paused_nodes | nodes_with_queued_bytes:
+            self.paused_seconds[number] += seconds
 
-    def flow(self):
-        """Moves what the links carry, but for those that are held."""
+    def deliver(self):
+        """Delivers the bytes on all links that are not paused."""
         moved = True
         while moved:
             moved = False
-            for near, far, number in self.links:
-                if number in self.held:
+            for near, far, number in self.peer_links:
+                if number in self.paused_nodes:
                     continue
                 for end, other in ((near, far), (far, near)):
                     data = end.take()
@@ -116,131 +121,153 @@
                         self.stage.call(other.lose, None)
                         moved = True
 
-    def look(self):
-        """Reads what came at the targets, in the moment in which it was written."""
-        for line in self.lines:
-            for match in list(HEAD.finditer(bytes(line.transport.written)))[line.seen :]:
-                line.seen += 1
-                asked = self.asked[match[1].decode()]
-                line.open = Write(is_refused=False, number=line.number, asked=asked)
+    def record_writes(self):
+        """Records the requests written to targets, at the moment of the write."""
+        for target_link in self.target_links:
+            for match in list(HEAD.finditer(bytes(target_link.transport.written)))[
+                target_link.seen :
+            ]:
+                target_link.seen += 1
+                request = self.requests[match[1].decode()]
+                target_link.pending = TargetWrite(
+                    is_refused=False, number=target_link.number, request=request
+                )
                 expect = self.stage.expect
-                if asked.is_mutating:
-                    # It may have run wherever it was not turned away.
+                if request.is_mutating:
+                    # It may have run at every target that did not refuse it.
                     expect(
-                        all(write.is_refused for write in asked.writes), "sent twice", asked.name
+                        all(write.is_refused for write in request.writes),
+                        "sent twice",
+                        request.name,
                     )
-                asked.writes.append(line.open)
-                expect(len(asked.writes) <= MOST, "too many targets", asked.name)
-                # No more time is handed on than its client has left.
-                # What a silent link held is not known to the guard behind it.
-                left = (asked.ends - self.stage.now) * 1000 + 1
-                left += (self.held_for[line.number] - asked.held_for[line.number]) * 1000
-                expect(int(match[2]) <= left, "deadline", asked.name, int(match[2]), left)
+                request.writes.append(target_link.pending)
+                expect(len(request.writes) <= MAX_ATTEMPTS, "too many targets", request.name)
+                # The deadline passed on must not exceed the time that the client has left.
+                # A guard cannot know how long a link delayed the request.
+                remaining_ms = (request.ends - self.stage.now) * 1000 + 1
+                remaining_ms += (
+                    self.paused_seconds[target_link.number]
+                    - request.paused_seconds[target_link.number]
+                ) * 1000
+                expect(
+                    int(match[2]) <= remaining_ms,
+                    "deadline",
+                    request.name,
+                    int(match[2]),
+                    remaining_ms,
+                )
 
     @rule(
         routes=st.lists(st.sampled_from(["read", "book"]), min_size=1, max_size=3),
         milliseconds=st.sampled_from([900, 60_000]),
     )
-    def ask(self, routes, milliseconds):
+    def send_requests(self, routes, milliseconds):
         for route in routes:
-            self.ask_one(route, milliseconds)
+            self.send_request(route, milliseconds)
 
-    def ask_one(self, route, milliseconds):
-        name = f"a{len(self.asked)}"
+    def send_request(self, route, milliseconds):
+        name = f"a{len(self.requests)}"
         connection = self.stage.call(ClientConnection, self.server)
         transport = ListTransport(connection, self.stage.loop)
         self.stage.call(connection.connection_made, transport)
         now = self.stage.now
         ends = now + min(2.0, milliseconds / 1000)
-        asked = self.asked[name] = Asked(name, route == "book", now, ends, transport)
-        asked.held_for = dict(self.held_for)
+        request = self.requests[name] = TrackedRequest(name, route == "book", now, ends, transport)
+        request.paused_seconds = dict(self.paused_seconds)
         self.stage.call(
             connection.data_received,
             b"GET /%s/x HTTP/1.1\r\nHost: shop\r\nAttempt-Id: %s\r\nDeadline-Ms: %d\r\n\r\n"
             % (route.encode(), name.encode(), milliseconds),
         )
-        self.flow()
+        self.deliver()
 
     @rule(choice=CHOICE, styles=st.lists(st.sampled_from(STYLES), min_size=1, max_size=4))
-    def act(self, choice, styles):
+    def answer_requests(self, choice, styles):
         for style in styles:
-            lines = [line for line in self.lines if line.open and line.transport.is_open]
-            if lines:
-                self.act_on(lines[choice % len(lines)], style)
+            target_links = [
+                target_link
+                for target_link in self.target_links
+                if target_link.pending and target_link.transport.is_open
+            ]
+            if target_links:
+                self.answer_request(target_links[choice % len(target_links)], style)
 
-    def act_on(self, line, style):
-        asked, write, line.open = line.open.asked, line.open, None
+    def answer_request(self, target_link, style):
+        request, write, target_link.pending = target_link.pending.request, target_link.pending, None
         if style == "reset":
-            self.stage.call(line.transport.reset)
-            self.flow()
+            self.stage.call(target_link.transport.reset)
+            self.deliver()
             return
-        attempt = b"zz" if style == "other" else asked.name.encode()
+        attempt = b"zz" if style == "other" else request.name.encode()
         status = {"whole": 200, "failure": 500, "refused": 503, "unstated": 429}.get(style, 200)
-        seal = b"s-%d-%s" % (line.number, attempt)
-        said = b"Not-Executed: 1" if style == "refused" else b"Server-Seal: " + seal
+        seal = b"s-%d-%s" % (target_link.number, attempt)
+        header = b"Not-Executed: 1" if style == "refused" else b"Server-Seal: " + seal
         write.is_refused = style == "refused"
-        asked.given[seal] = status
+        request.answers_given[seal] = status
         self.stage.call(
-            line.transport.protocol.data_received,
+            target_link.transport.protocol.data_received,
             b"HTTP/1.1 %d Said\r\nAttempt-Id: %s\r\n%s\r\nContent-Length: 4\r\n\r\ndone"
-            % (status, attempt, said),
+            % (status, attempt, header),
         )
-        self.flow()
+        self.deliver()
 
-    @rule(number=st.sampled_from(nodes), is_held=st.sampled_from([False, False, True]))
-    def hold(self, number, is_held):
-        """A peer that says nothing, and its return."""
-        (self.held.add if is_held else self.held.discard)(number)
-        self.flow()
+    @rule(number=st.sampled_from(nodes), is_paused=st.sampled_from([False, False, True]))
+    def pause_peer(self, number, is_paused):
+        """Makes a peer silent, or resumes it."""
+        (self.paused_nodes.add if is_paused else self.paused_nodes.discard)(number)
+        self.deliver()
 
     @rule(choice=CHOICE)
-    def cut(self, choice):
-        if self.links:
-            near, far, _number = self.links[choice % len(self.links)]
+    def reset_peer_link(self, choice):
+        if self.peer_links:
+            near, far, _number = self.peer_links[choice % len(self.peer_links)]
             self.stage.call(near.reset)
             self.stage.call(far.reset)
-            self.flow()
+            self.deliver()
 
     @rule(choice=CHOICE)
-    def leave(self, choice):
-        staying = [asked for asked in self.asked.values() if not asked.has_left]
-        if staying:
-            asked = staying[choice % len(staying)]
-            asked.has_left, asked.written_when_left = True, len(asked.writes)
-            self.stage.call(asked.transport.reset)
-            self.flow()
+    def disconnect_client(self, choice):
+        connected = [request for request in self.requests.values() if not request.is_disconnected]
+        if connected:
+            request = connected[choice % len(connected)]
+            request.is_disconnected, request.writes_at_disconnect = True, len(request.writes)
+            self.stage.call(request.transport.reset)
+            self.deliver()
 
     @rule(seconds=st.sampled_from([0.0, 0.0, 0.2, 0.24]))
-    def make_opening_slow(self, seconds):
-        self.opening_takes = seconds
+    def set_connect_seconds(self, seconds):
+        self.connect_seconds = seconds
 
     @rule(number=st.sampled_from(nodes), where=st.sampled_from([PEER, TARGET, "", ""]))
-    def let_connections_be_refused(self, number, where):
-        """By one address, or by none any more."""
-        self.refuses = {where % number} if where else set()
-
-    @rule(looks=st.integers(1, 8))
-    def let_time_go(self, looks):
-        for _look in range(looks):
-            self.spend(0.1)
+    def refuse_connections(self, number, where):
+        """Makes one address refuse connections, or none any more."""
+        self.refused_addresses = {where % number} if where else set()
+
+    @rule(ticks=st.integers(1, 8))
+    def pass_time(self, ticks):
+        for _tick in range(ticks):
+            self.advance(0.1)
             self.stage.turn()
-            self.flow()
+            self.deliver()
 
     @invariant()
-    def what_was_said_holds(self):
+    def answers_agree_with_executions(self):
         assert self.stage.faults == []
-        for asked in self.asked.values():
-            if asked.has_left:
-                assert len(asked.writes) == asked.written_when_left
-            if asked.answer is None:
-                assert asked.has_left or self.stage.now <= asked.ends + 0.25 + self.opening_takes
+        for request in self.requests.values():
+            if request.is_disconnected:
+                assert len(request.writes) == request.writes_at_disconnect
+            if request.answer is None:
+                assert (
+                    request.is_disconnected
+                    or self.stage.now <= request.ends + 0.25 + self.connect_seconds
+                )
                 continue
-            status, head, _body = asked.answer
-            if status in PROMISES:
-                assert all(write.is_refused for write in asked.writes)
+            status, head, _body = request.answer
+            if status in NOT_RUN_STATUSES:
+                assert all(write.is_refused for write in request.writes)
             seal = re.search(rb"Server-Seal: (\S+)", head)
             if seal is not None:
-                assert asked.given[seal[1]] == status
+                assert request.answers_given[seal[1]] == status
             assert status >= 500 or status == 429 or seal is not None
 
 
--- a/tests/test_target_selection.py
+++ b/tests/test_target_selection.py
@@ -1,4 +1,4 @@
-"""Traffic's results in target_selection: grey, flapping and forgotten targets."""
+"""Tests target selection with partly failing, flapping and unreachable targets."""
 
 import asyncio
 
@@ -25,62 +25,62 @@
     return TargetSelector(view, "hall", seed=1, **more), targets
 
 
-def shares(selector, now, picks=400):
+def count_selections(selector, now, selections=400):
     counts = {}
-    for _ in range(picks):
+    for _ in range(selections):
         node = selector.select("quotes", (), None, 1.0, now).target.node
         counts[node] = counts.get(node, 0) + 1
     return counts
 
 
-def test_a_target_that_fails_part_of_its_requests_gets_less_and_comes_back():
+def test_a_target_that_fails_some_requests_is_avoided_for_a_while():
     selector, targets = make_selector()
     for index in range(20):
         for target in targets:
             selector.note_latency(target, 0.4, 1.0)
         if index % 2:
             selector.note_failure(targets[0], 1.0)
-    assert shares(selector, 1.1).get("t0", 0) == 0
-    # Nothing is held against it for ever.
-    assert shares(selector, 60.0).get("t0", 0) > 10
+    assert count_selections(selector, 1.1).get("t0", 0) == 0
+    # Failures are forgotten after a while.
+    assert count_selections(selector, 60.0).get("t0", 0) > 10
 
 
-def test_when_most_break_down_all_are_used():
+def test_if_most_targets_are_unreachable_all_are_used():
     selector, targets = make_selector()
     for target in targets[:6]:
         selector.note_error(target, 1.0)
-    assert len(shares(selector, 1.1)) > 2
+    assert len(count_selections(selector, 1.1)) > 2
     selector, targets = make_selector()
     for target in targets[:3]:
         selector.note_error(target, 1.0)
-    assert not set(shares(selector, 1.1)) & {"t0", "t1", "t2"}
+    assert not set(count_selections(selector, 1.1)) & {"t0", "t1", "t2"}
 
 
-def test_a_gateway_keeps_to_a_subset_that_changes_little():
+def test_a_gateway_uses_a_stable_subset():
     selector, targets = make_selector(40, subset_key="gateway-1")
-    before = set(shares(selector, 1.0))
+    before = set(count_selections(selector, 1.0))
     assert len(before) == 6
-    gone = next(target for target in targets if target.node in before)
-    targets.remove(gone)
-    after = set(shares(selector, 1.0))
+    removed = next(target for target in targets if target.node in before)
+    targets.remove(removed)
+    after = set(count_selections(selector, 1.0))
     assert len(after) == 6 and len(after & before) == 5
 
 
 @given(st.lists(st.floats(0.1, 30.0), min_size=1, max_size=12))
-def test_the_wait_of_a_flapping_target_grows_and_is_bounded(pauses):
-    record, now, last, pause_before, until_before = TargetRecord(), 100.0, 0.0, 0.0, 0.0
+def test_the_backoff_of_a_flapping_target_grows_and_is_bounded(pauses):
+    record, now, previous_backoff, pause_before, until_before = TargetRecord(), 100.0, 0.0, 0.0, 0.0
     for pause in pauses:
         record.note_error(now)
-        wait = record.unreachable_until - now
-        assert 0.999 <= wait <= 8.001
-        flapped = last and pause_before < 9.9 and now >= until_before
+        backoff = record.unreachable_until - now
+        assert 0.999 <= backoff <= 8.001
+        flapped = previous_backoff and pause_before < 9.9 and now >= until_before
         if flapped:
-            assert wait > min(8.0, last) - 0.001
-        last, pause_before, until_before = wait, pause, record.unreachable_until
+            assert backoff > min(8.0, previous_backoff) - 0.001
+        previous_backoff, pause_before, until_before = backoff, pause, record.unreachable_until
         now += pause
 
 
-def test_a_connection_that_rested_takes_nothing_that_may_run_once():
+def test_a_connection_that_was_idle_takes_no_request_that_may_run_only_once():
     async def test():
         accepted = []
 
@@ -97,7 +97,7 @@
         other = await connections.take(0.2)
         assert other is not first and connections.open_count == 2
         assert await connections.take() is first
-        # Closed without a byte after a rest: the target forgot it.
+        # Closed without a byte after being idle: the target had dropped the connection.
         first.rest_before, first.has_answered = 1.0, False
         first.change_state(ConnectionState.CLOSED)
         connections.discard(first)
@@ -113,26 +113,26 @@
     asyncio.run(test())
 
 
-def test_without_guards_a_draining_target_is_no_resort_at_all():
+def test_without_guards_a_draining_target_is_never_selected():
     for has_guards in (True, False):
         selector, targets = make_selector(1, has_guards=has_guards)
         targets[0] = targets[0]._replace(is_draining=True)
-        nominee = selector.select("quotes", (), None, 1.0, 1.0)
-        assert (nominee is not None) == has_guards
+        selected = selector.select("quotes", (), None, 1.0, 1.0)
+        assert (selected is not None) == has_guards
 
 
-def test_where_many_are_dark_and_the_rest_is_busy_the_busy_are_asked_again():
+def test_busy_targets_are_selected_before_unreachable_ones():
     selector, targets = make_selector(10)
     for target in targets[:4]:
         selector._view.suspects.add(target.node)
     for target in targets[4:8]:
         selector.note_refusal(target, 5.0)
-    # Eight of ten are passed over, which is too many; the dark are still no help.
-    assert not set(shares(selector, 1.0)) & {"t0", "t1", "t2", "t3"}
+    # Eight of ten would be avoided, which is too many; the unreachable ones do not help.
+    assert not set(count_selections(selector, 1.0)) & {"t0", "t1", "t2", "t3"}
     for target in targets[8:]:
         selector.note_refusal(target, 5.0)
-    assert not set(shares(selector, 1.0)) & {"t0", "t1", "t2", "t3"}
-    # With most of them thought dark, that thought is not believed.
+    assert not set(count_selections(selector, 1.0)) & {"t0", "t1", "t2", "t3"}
+    # If most targets seem unreachable, that is assumed to be wrong.
     for target in targets[4:7]:
         selector._view.suspects.add(target.node)
-    assert set(shares(selector, 1.0)) & {"t0", "t1", "t2", "t3"}
+    assert set(count_selections(selector, 1.0)) & {"t0", "t1", "t2", "t3"}
