--- a/marblefold/request_path/decision.py
+++ b/marblefold/request_path/decision.py
@@ -141,8 +141,8 @@
             final = self._evaluate_last_hop(self._last_result, now)
             if final is not None:
                 return final
-        left = self.deadline - now
-        if left < _MIN_HOP_SECONDS:
+        seconds_left = self.deadline - now
+        if seconds_left < _MIN_HOP_SECONDS:
             return self._give_up("deadline", now)
         if self._offered_hops >= self._route.max_attempts:
             return self._give_up("attempt limit", now)
@@ -155,11 +155,11 @@
         selected = self._select(now)
         if selected is None:
             return self._give_up("select", now)
-        queue = max(0.0, min(self._queue_end - now, left))
+        queue_seconds = max(0.0, min(self._queue_end - now, seconds_left))
         return Offer(
             selected.target,
-            left,
-            0.0 if self._requires_free_slot else queue,
+            seconds_left,
+            0.0 if self._requires_free_slot else queue_seconds,
             self._arrived + self._latency_target - now,
             self._offered_hops + 1,
             selected.is_last_resort,
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -121,15 +121,15 @@
         routing_state.note_request(upstream, now)
         owner = routing_state.view.owners.get(upstream)
         table = routing_state.view.table
-        known = table.upstreams.get(upstream) if table is not None else None
-        head = make_head(request, route, upstream, known, self.caller, body, is_whole)
+        upstream_settings = table.upstreams.get(upstream) if table is not None else None
+        head = make_head(request, route, upstream, upstream_settings, self.caller, body, is_whole)
         head.config_version = table.number if table is not None else 0
         head.owner_epoch = owner.epoch if owner is not None else 0
         if parent is not None:
             # Work was already done for the calling request, so its nested calls have priority.
             head.priority = 0
-            head.repeat_run = parent.is_repeat
-            if parent.is_repeat:
+            head.repeat_run = parent.is_retry
+            if parent.is_retry:
                 routing_state.note_retry(upstream, now)
         span = None
         tracer = self.tracer
@@ -143,7 +143,7 @@
                 body,
                 is_whole,
             )
-        end = _CANCELLED
+        conclusion = _CANCELLED
         try:
             while not isinstance(step := decision.next_step(time.monotonic()), Conclude):
                 # A fully buffered body can be sent again from its beginning.
@@ -152,24 +152,26 @@
                 )
                 result = await self._hop(step, head, sent, decision, body_limit, span)
                 decision.note(step.target, result)
-            end = step
+            conclusion = step
         finally:
             routing_state.traffic.note(
-                route.name, end.answer.status, time.monotonic() - request.arrived, kilobytes
+                route.name, conclusion.answer.status, time.monotonic() - request.arrived, kilobytes
             )
             if tracer is not None and span is not None:
-                tracer.finish_request(span, end.answer.status, end.step, decision.may_have_run)
-        if end.answer.status >= 500 and end.step != "answered":
+                tracer.finish_request(
+                    span, conclusion.answer.status, conclusion.step, decision.may_have_run
+                )
+        if conclusion.answer.status >= 500 and conclusion.step != "answered":
             log.info(
                 "request failed",
                 attempt=request.attempt_id,
-                step=end.step,
-                status=end.answer.status,
+                step=conclusion.step,
+                status=conclusion.answer.status,
                 upstream=upstream,
             )
-        if end.answer.status < 300:
-            routing_state.note_answer(route.name, len(end.answer.body) / 1024)
-        return end.answer
+        if conclusion.answer.status < 300:
+            routing_state.note_answer(route.name, len(conclusion.answer.body) / 1024)
+        return conclusion.answer
 
     async def _hop(
         self,
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -87,7 +87,7 @@
         """Applies an entry; returns whether it was newer than the one held.
 
         Raises ValueError, KeyError, TypeError, zlib.error or DecodeError if its value is
-        malformed; the entry then counts as known.
+        malformed; the entry is then not applied again either.
         """
         if not self.is_newer(entry):
             return False
--- a/marblefold/request_path/running_requests.py
+++ b/marblefold/request_path/running_requests.py
@@ -15,7 +15,7 @@
     """A request that the target is running."""
 
     attempt_id: str
-    is_repeat: bool
+    is_retry: bool
     # The span of the request, if this node traces.
     span: object = None
 
--- a/marblefold/request_path/traffic_count.py
+++ b/marblefold/request_path/traffic_count.py
@@ -72,15 +72,15 @@
         )
         ranked = sorted(self._counts.items(), key=lambda item: -item[1].requests)
         for name, counts in ranked[:_MAX_ROUTES]:
-            _add(notice.routes.add(route=name), counts)
+            _add_counts(notice.routes.add(route=name), counts)
         if ranked[_MAX_ROUTES:]:
             other_routes = notice.routes.add(route=OTHER_ROUTES)
             for _name, counts in ranked[_MAX_ROUTES:]:
-                _add(other_routes, counts)
+                _add_counts(other_routes, counts)
         return notice
 
 
-def _add(row, counts: _Counts) -> None:
+def _add_counts(row, counts: _Counts) -> None:
     row.requests += counts.requests
     row.answered += counts.answered
     row.refused += counts.refused
--- a/tests/simulated_path.py
+++ b/tests/simulated_path.py
@@ -52,8 +52,13 @@
 class TrackedRequest:
     """A request as its client sees it, and what was written of it to targets."""
 
-    def __init__(self, name, is_mutating, sent_at, ends, transport):
-        self.name, self.is_mutating, self.sent_at, self.ends = name, is_mutating, sent_at, ends
+    def __init__(self, name, is_mutating, sent_at, deadline, transport):
+        self.name, self.is_mutating, self.sent_at, self.deadline = (
+            name,
+            is_mutating,
+            sent_at,
+            deadline,
+        )
         self.transport, self.is_disconnected = transport, False
         # Each write of the request to a target, and whether the target refused it.
         self.writes, self.writes_at_disconnect, self.answers_given = [], None, {}
--- a/tests/test_sent_at_most_once.py
+++ b/tests/test_sent_at_most_once.py
@@ -144,7 +144,7 @@
                 expect(len(request.writes) <= MAX_ATTEMPTS, "too many targets", request.name)
                 # The deadline passed on must not exceed the time that the client has left.
                 # A guard cannot know how long a link delayed the request.
-                remaining_ms = (request.ends - self.stage.now) * 1000 + 1
+                remaining_ms = (request.deadline - self.stage.now) * 1000 + 1
                 remaining_ms += (
                     self.paused_seconds[target_link.number]
                     - request.paused_seconds[target_link.number]
@@ -171,8 +171,10 @@
         transport = ListTransport(connection, self.stage.loop)
         self.stage.call(connection.connection_made, transport)
         now = self.stage.now
-        ends = now + min(2.0, milliseconds / 1000)
-        request = self.requests[name] = TrackedRequest(name, route == "book", now, ends, transport)
+        deadline = now + min(2.0, milliseconds / 1000)
+        request = self.requests[name] = TrackedRequest(
+            name, route == "book", now, deadline, transport
+        )
         request.paused_seconds = dict(self.paused_seconds)
         self.stage.call(
             connection.data_received,
@@ -259,7 +261,7 @@
             if request.answer is None:
                 assert (
                     request.is_disconnected
-                    or self.stage.now <= request.ends + 0.25 + self.connect_seconds
+                    or self.stage.now <= request.deadline + 0.25 + self.connect_seconds
                 )
                 continue
             status, head, _body = request.answer
