--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -37,9 +37,9 @@
     @property
     def registries(self) -> set[str]: ...
 
-    def take(self, entry) -> bool: ...
+    def apply(self, entry) -> bool: ...
 
-    def is_news(self, entry) -> bool: ...
+    def is_newer(self, entry) -> bool: ...
 
 
 class RegistryFollower:
@@ -62,7 +62,7 @@
         # How many registries are followed at once; None follows them all.
         self._most = most
         self._peers = PeerBook(self)
-        self._wants = Wants(view.is_news, self.send_to)
+        self._wants = Wants(view.is_newer, self.send_to)
         self._first_news = FirstNews()
         self._places: dict[str, tuple[int, int]] = {}
         self._following: set[str] = set()
@@ -164,7 +164,7 @@
         if isinstance(feed, kinds.LeaseGrant) and self._asker is not None:
             self._asker.take(feed)
         if isinstance(feed, kinds.Entry):
-            self._view.take(feed)
+            self._view.apply(feed)
         if not isinstance(feed, kinds.Feed):
             return
         self._heard[connection.peer] = time.monotonic()
@@ -194,7 +194,7 @@
             if entry.deferred:
                 self._wants.hear(peer, entry, now)
             else:
-                self._view.take(entry)
+                self._view.apply(entry)
 
     def _take_count(self, proxies: int, now: float) -> None:
         """Records how many proxies share the retry budget."""
--- a/tests/test_starting_proxies.py
+++ b/tests/test_starting_proxies.py
@@ -39,7 +39,7 @@
     cluster.machines["b"].feed.follow(Connection(follower, "b"), kinds.Follow())
     assert (
         view.evacuated == set()
-        and view.is_news(kinds.Entry(kind="evacuation", key="z", number=2)) is False
+        and view.is_newer(kinds.Entry(kind="evacuation", key="z", number=2)) is False
     )
 
 
