--- a/marblefold/proxy/wants.py
+++ b/marblefold/proxy/deferred_entry_fetcher.py
@@ -4,7 +4,7 @@
 
 from marblefold.inner_protocol.messages import kinds
 
-__all__ = ["Wants"]
+__all__ = ["DeferredEntryFetcher"]
 
 # After so many seconds without the entry another registry is asked.
 _PATIENCE_SECONDS = 0.35
@@ -19,7 +19,7 @@
         self.asked_at = -1e9
 
 
-class Wants:
+class DeferredEntryFetcher:
     """The entries to fetch and the registries that have them; `now`: monotonic seconds."""
 
     def __init__(
@@ -31,7 +31,7 @@
         self._send = send
         self._wanted: dict[tuple[str, str], _Wanted] = {}
 
-    def hear(self, peer: str, entry, now: float) -> None:
+    def note_announcement(self, peer: str, entry, now: float) -> None:
         """A registry announced this entry."""
         if not self._is_news(entry):
             return
@@ -44,7 +44,7 @@
             wanted.peers.insert(0, peer)
         self._ask(wanted, now)
 
-    def repeat(self, now: float) -> None:
+    def retry(self, now: float) -> None:
         """Asks another registry for each entry that did not arrive in time."""
         for key, wanted in list(self._wanted.items()):
             if not self._is_news(wanted.entry):
--- a/marblefold/proxy/health_probe.py
+++ b/marblefold/proxy/health_probe.py
@@ -12,7 +12,7 @@
 from marblefold.http_connections.target_connections import TargetConnections
 from marblefold.node_config.reading import Address
 
-__all__ = ["Health", "ask_health", "read_cold"]
+__all__ = ["Health", "fetch_health", "parse_cold_remaining"]
 
 _PROBE_SECONDS = 1.0
 
@@ -25,7 +25,7 @@
     cold: timedelta
 
 
-async def ask_health(address: Address, path: str) -> Health | None:
+async def fetch_health(address: Address, path: str) -> Health | None:
     """The target's health, or None if it is unhealthy or gives no answer in time."""
     connections = TargetConnections(address)
     connection = None
@@ -46,13 +46,13 @@
         return None
     load = (find_header(answer.headers, wire_names.SERVER_LOAD) or b"").split(b",")
     slots = int(load[2]) if len(load) == 3 and load[2].strip().isdigit() else 0
-    cold = read_cold(find_header(answer.headers, wire_names.COLD_MS))
+    cold = parse_cold_remaining(find_header(answer.headers, wire_names.COLD_MS))
     if cold is None:
         return None
     return Health(instance.decode("latin-1"), slots, cold)
 
 
-def read_cold(value: bytes | None) -> timedelta | None:
+def parse_cold_remaining(value: bytes | None) -> timedelta | None:
     """How much longer the target is cold; None if it says so in a way that cannot be read.
 
     A target that does not mention it is warm.
--- a/marblefold/proxy/beats.py
+++ b/marblefold/proxy/heartbeat_calls.py
@@ -6,14 +6,14 @@
 from marblefold import wire_names
 from marblefold.http_connections.answer import Answer
 from marblefold.http_connections.call_router import Call, CallRouter, json_answer
-from marblefold.request_path.local_target import Beat, LocalTarget
+from marblefold.request_path.local_target import Heartbeat, LocalTarget
 
-__all__ = ["BeatCalls", "read_beat"]
+__all__ = ["HeartbeatCalls", "parse_heartbeat"]
 
 _LARGEST_BEAT = 4096
 
 
-def read_beat(instance: str, body: bytes) -> Beat:
+def parse_heartbeat(instance: str, body: bytes) -> Heartbeat:
     """Parses a heartbeat; ValueError names what is wrong with it.
 
     Raises OverflowError for numbers out of range and RecursionError for deep nesting.
@@ -32,7 +32,7 @@
     state = field(wire_names.STATE, str)
     if state not in (wire_names.READY, wire_names.DRAINING):
         raise ValueError(f"{wire_names.STATE}: {state!r}")
-    return Beat(
+    return Heartbeat(
         instance=instance,
         upstream=field(wire_names.UPSTREAM, str),
         address=field(wire_names.ADDRESS, str),
@@ -44,7 +44,7 @@
     )
 
 
-class BeatCalls:
+class HeartbeatCalls:
     """The calls that targets make, served from local state."""
 
     def __init__(self, target: LocalTarget, own_zone: str) -> None:
@@ -58,11 +58,11 @@
 
     async def _beat(self, call: Call) -> Answer:
         try:
-            beat = read_beat(call.subject, call.body)
+            beat = parse_heartbeat(call.subject, call.body)
         except (ValueError, OverflowError, RecursionError) as error:
             return json_answer(400, {wire_names.REASON: str(error)})
         # The guard applies it from here on, so the answer may confirm it.
-        self._target.take_beat(beat._replace(zone=beat.zone or self._own_zone))
+        self._target.apply_heartbeat(beat._replace(zone=beat.zone or self._own_zone))
         return json_answer(200, {})
 
     async def _leave(self, call: Call) -> Answer:
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -20,7 +20,7 @@
 from marblefold.membership.node import NodeMembership
 from marblefold.node_config.reading import NodeConfig
 from marblefold.node_config.watching import ConfigWatch
-from marblefold.proxy.beats import BeatCalls
+from marblefold.proxy.heartbeat_calls import HeartbeatCalls
 from marblefold.proxy.lease_client import LeaseClient
 from marblefold.proxy.leaving import leave_in_order
 from marblefold.proxy.notices import NoticeMaker
@@ -95,7 +95,7 @@
         )
         self.outbound = HttpServer(self.executor.serve, may_run_ahead=self.executor.may_run_ahead)
         calls, ready = CallRouter(), CallRouter()
-        BeatCalls(self.target, config.zone).add_to(calls)
+        HeartbeatCalls(self.target, config.zone).add_to(calls)
         ready.add(*wire_names.READINESS_CALL, self._readiness)
         self._control = HttpServer(calls.handle)
         self._readiness_server = HttpServer(ready.handle)
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -13,9 +13,9 @@
 from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.logs import log
-from marblefold.proxy.first_news import FirstNews, ReceivedEntry
+from marblefold.proxy.deferred_entry_fetcher import DeferredEntryFetcher
 from marblefold.proxy.lease_client import LeaseClient
-from marblefold.proxy.wants import Wants
+from marblefold.proxy.startup_entry_hold import ReceivedEntry, StartupEntryHold
 
 __all__ = ["FeedTaker", "RegistryFollower"]
 
@@ -62,8 +62,8 @@
         # How many registries are followed at once; None follows them all.
         self._most = most
         self._peers = PeerBook(self)
-        self._wants = Wants(view.is_news, self.send_to)
-        self._first_news = FirstNews()
+        self._entry_fetcher = DeferredEntryFetcher(view.is_news, self.send_to)
+        self._startup_hold = StartupEntryHold()
         self._places: dict[str, tuple[int, int]] = {}
         self._following: set[str] = set()
         self._touched: dict[str, float] = {}
@@ -108,8 +108,8 @@
                     if self._peers.find(peer) is None:
                         group.create_task(self._follow(peer))
             self._ask_leases(time.monotonic())
-            self._wants.repeat(time.monotonic())
-            self.release_first_news(time.monotonic())
+            self._entry_fetcher.retry(time.monotonic())
+            self.release_held_entries(time.monotonic())
             await asyncio.sleep(_LOOK_EVERY)
 
     def _ask_leases(self, now: float) -> None:
@@ -183,16 +183,16 @@
             self._touched[connection.peer] = time.monotonic()
         self._take_count(feed.proxies, time.monotonic())
         now = time.monotonic()
-        self._take(self._first_news.admit(connection.peer, entries, feed.in_touch, now), now)
+        self._take(self._startup_hold.admit(connection.peer, entries, feed.in_touch, now), now)
 
-    def release_first_news(self, now: float) -> None:
+    def release_held_entries(self, now: float) -> None:
         """Applies entries held back for too long; `now` is in monotonic seconds."""
-        self._take(self._first_news.admit("", (), False, now), now)
+        self._take(self._startup_hold.admit("", (), False, now), now)
 
     def _take(self, received: list[ReceivedEntry], now: float) -> None:
         for peer, entry in received:
             if entry.deferred:
-                self._wants.hear(peer, entry, now)
+                self._entry_fetcher.note_announcement(peer, entry, now)
             else:
                 self._view.take(entry)
 
--- a/marblefold/proxy/first_news.py
+++ b/marblefold/proxy/startup_entry_hold.py
@@ -11,16 +11,16 @@
 
 from marblefold.inner_protocol.messages import kinds
 
-__all__ = ["PATIENCE_SECONDS", "FirstNews"]
+__all__ = ["HOLD_TIMEOUT_SECONDS", "StartupEntryHold"]
 
 # Seconds; a registry avoided for being out of contact has been replaced by then.
-PATIENCE_SECONDS = 3.0
+HOLD_TIMEOUT_SECONDS = 3.0
 _OF_OPERATORS = ("configuration", "evacuation", "partners", "owner")
 
 ReceivedEntry = tuple[str, kinds.Entry]
 
 
-class FirstNews:
+class StartupEntryHold:
     """Holds back entries received before those of the first registry in contact."""
 
     def __init__(self) -> None:
@@ -47,4 +47,4 @@
         return [one for one in received if one[1].kind not in _OF_OPERATORS]
 
     def _is_patience_over(self, now: float) -> bool:
-        return self._since is not None and now - self._since >= PATIENCE_SECONDS
+        return self._since is not None and now - self._since >= HOLD_TIMEOUT_SECONDS
--- a/marblefold/proxy/target_prober.py
+++ b/marblefold/proxy/target_prober.py
@@ -6,7 +6,7 @@
 
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
-from marblefold.proxy.health_probe import ask_health
+from marblefold.proxy.health_probe import fetch_health
 from marblefold.request_path.cold_start import ColdStart
 from marblefold.request_path.local_target import LocalTarget, TargetState
 from marblefold.request_path.mesh_view import MeshView
@@ -64,9 +64,9 @@
         asked_at = time.monotonic()
         if config.app_address is None or not self._cold.may_probe(asked_at):
             return
-        health = await ask_health(config.app_address, path)
+        health = await fetch_health(config.app_address, path)
         log.info("target probed", healthy=health is not None)
         if health is not None:
-            self._target.take_health(
+            self._target.apply_health(
                 health.instance, config.upstream, config.zone, health.slots, health.cold, asked_at
             )
--- a/marblefold/request_path/local_target.py
+++ b/marblefold/request_path/local_target.py
@@ -9,7 +9,7 @@
 from marblefold.logs import log
 from marblefold.request_path.cold_state import ColdReport, ColdState, ReportSource
 
-__all__ = ["Beat", "LocalTarget", "TargetState"]
+__all__ = ["Heartbeat", "LocalTarget", "TargetState"]
 
 _REMEMBERED_LIVES = 32
 # A report that differs from the one before by more than this is logged.
@@ -25,7 +25,7 @@
     GONE = "gone"
 
 
-class Beat(NamedTuple):
+class Heartbeat(NamedTuple):
     """A heartbeat of a target; `cold` is how much longer it is cold."""
 
     instance: str
@@ -57,7 +57,7 @@
         self.on_cold_report: Callable[[ColdReport], None] = lambda _report: None
         self.on_new_life: Callable[[], None] = lambda: None
 
-    def take_beat(self, beat: Beat) -> None:
+    def apply_heartbeat(self, beat: Heartbeat) -> None:
         """Applies a heartbeat; a late one or one of an earlier instance is ignored."""
         if beat.instance in self._past_lives:
             return
@@ -78,7 +78,7 @@
         if self._change_state(state) or is_changed:
             self._on_change()
 
-    def take_health(
+    def apply_health(
         self,
         instance: str,
         upstream: str,
--- a/tests/simulated_cold.py
+++ b/tests/simulated_cold.py
@@ -20,7 +20,7 @@
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.guard import Guard
 from marblefold.request_path.hop_sender import HopSender
-from marblefold.request_path.local_target import Beat, LocalTarget
+from marblefold.request_path.local_target import Heartbeat, LocalTarget
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.running_work import RunningWork
 from marblefold.request_path.surroundings import Surroundings
@@ -98,11 +98,11 @@
         """The target's next heartbeat, still on its way."""
         self._beats += 1
         cold = timedelta(seconds=cold_seconds)
-        return Beat("i1", "quotes", "", "hall", 12, False, cold, self._beats)
+        return Heartbeat("i1", "quotes", "", "hall", 12, False, cold, self._beats)
 
     def deliver(self, beat):
         """The proxy hears a heartbeat."""
-        self.stage.call(self.target.take_beat, beat)
+        self.stage.call(self.target.apply_heartbeat, beat)
 
     def restart_proxy(self):
         """The process beside the target is killed, and another one starts."""
@@ -117,7 +117,7 @@
     def answer_health(self, cold_seconds, asked_at):
         """The target's answer to a probe arrives."""
         cold = timedelta(seconds=cold_seconds)
-        self.stage.call(self.target.take_health, "i1", "quotes", "hall", 12, cold, asked_at)
+        self.stage.call(self.target.apply_health, "i1", "quotes", "hall", 12, cold, asked_at)
 
     def warm_up(self):
         """The proxy has run for a while, knows its target to be warm and is used."""
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -4,8 +4,8 @@
 from hypothesis import strategies as st
 
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
+from marblefold.proxy.deferred_entry_fetcher import DeferredEntryFetcher
 from marblefold.proxy.registry_follower import RegistryFollower
-from marblefold.proxy.wants import Wants
 from marblefold.registry.catalogue import Catalogue
 from marblefold.registry.feed import FeedKeeper
 from marblefold.request_path.mesh_view import MeshView
@@ -112,20 +112,20 @@
 def test_a_large_entry_is_fetched_from_one_registry_and_from_another_if_that_is_silent():
     held, asked = [0], []
     entry = kinds.Entry(kind="configuration", key="configuration", number=3, deferred=True)
-    wants = Wants(
+    fetcher = DeferredEntryFetcher(
         lambda entry: entry.number > held[0],
         lambda peer, _want: asked.append(peer) or peer != "gone",
     )
     for peer in ("gone", "a", "b"):
-        wants.hear(peer, entry, 10.0)
+        fetcher.note_announcement(peer, entry, 10.0)
     assert asked == ["gone", "a"]
-    wants.repeat(10.1)
+    fetcher.retry(10.1)
     assert len(asked) == 2
-    wants.repeat(10.5)
+    fetcher.retry(10.5)
     assert asked[-1] == "b"
     held[0] = 3
-    wants.repeat(11.0)
-    wants.hear("a", entry, 12.0)
+    fetcher.retry(11.0)
+    fetcher.note_announcement("a", entry, 12.0)
     assert asked[-1] == "b"
 
 
--- a/tests/test_guard_parts.py
+++ b/tests/test_guard_parts.py
@@ -12,7 +12,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.request_path.cold_limit import ColdLimit
 from marblefold.request_path.intake import Intake
-from marblefold.request_path.local_target import Beat, LocalTarget, TargetState
+from marblefold.request_path.local_target import Heartbeat, LocalTarget, TargetState
 from marblefold.request_path.retry_budget import RetryBudget
 from marblefold.request_path.slot_queue import SlotQueue, Turn
 
@@ -61,7 +61,9 @@
         if leaves:
             target.leave(instance)
         else:
-            target.take_beat(Beat(instance, "q", "a", "z", 4, draining, timedelta(0), number))
+            target.apply_heartbeat(
+                Heartbeat(instance, "q", "a", "z", 4, draining, timedelta(0), number)
+            )
         if target.instance:
             rank = order.index(target.state)
             assert rank >= worst.get(target.instance, 0)
@@ -70,12 +72,12 @@
 
 def test_late_beats_change_nothing():
     target = LocalTarget(lambda: None)
-    beat = Beat("i-1", "q", "a", "z", 4, False, timedelta(0), 5)
-    target.take_beat(beat)
-    target.take_beat(beat._replace(number=4, slots=9))
+    beat = Heartbeat("i-1", "q", "a", "z", 4, False, timedelta(0), 5)
+    target.apply_heartbeat(beat)
+    target.apply_heartbeat(beat._replace(number=4, slots=9))
     assert target.slots == 4
-    target.take_beat(beat._replace(instance="i-2", number=1))
-    target.take_beat(beat._replace(number=9))
+    target.apply_heartbeat(beat._replace(instance="i-2", number=1))
+    target.apply_heartbeat(beat._replace(number=9))
     assert target.instance == "i-2"
 
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -6,7 +6,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.request_path import guard as guard_module
 from marblefold.request_path.guard import Guard
-from marblefold.request_path.local_target import Beat, LocalTarget
+from marblefold.request_path.local_target import Heartbeat, LocalTarget
 from marblefold.request_path.mesh_view import KnownTarget, MeshView
 from marblefold.request_path.target_selection import TargetSelector
 
@@ -15,7 +15,7 @@
     now = [100.0]
     monkeypatch.setattr(guard_module, "time", types.SimpleNamespace(monotonic=lambda: now[0]))
     target = LocalTarget(lambda: None)
-    target.take_beat(Beat("i", "q", "a", "z", 4, False, timedelta(0), 1))
+    target.apply_heartbeat(Heartbeat("i", "q", "a", "z", 4, False, timedelta(0), 1))
     bounds = types.SimpleNamespace(
         grace_period=timedelta(seconds=6), drain_time=timedelta(seconds=2)
     )
--- a/tests/test_sent_at_most_once.py
+++ b/tests/test_sent_at_most_once.py
@@ -22,7 +22,7 @@
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.guard import Guard
 from marblefold.request_path.hop_sender import HopSender
-from marblefold.request_path.local_target import Beat, LocalTarget
+from marblefold.request_path.local_target import Heartbeat, LocalTarget
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.running_work import RunningWork
 from marblefold.request_path.surroundings import Surroundings
@@ -72,7 +72,9 @@
 
     def make_guard(self, number, bounds):
         target = LocalTarget(lambda: None)
-        target.take_beat(Beat(f"i{number}", "quotes", "", "hall", 4, False, timedelta(0), 1))
+        target.apply_heartbeat(
+            Heartbeat(f"i{number}", "quotes", "", "hall", 4, False, timedelta(0), 1)
+        )
         guard = Guard(target, self.view, bounds)
         guard.set_address(Address(f"10.0.1.{number}", 80))
         return guard
--- a/tests/test_starting_proxies.py
+++ b/tests/test_starting_proxies.py
@@ -1,8 +1,8 @@
 """A proxy that starts while a registry is out of contact."""
 
 from marblefold.inner_protocol.messages import kinds
-from marblefold.proxy.first_news import PATIENCE_SECONDS
 from marblefold.proxy.registry_follower import RegistryFollower
+from marblefold.proxy.startup_entry_hold import HOLD_TIMEOUT_SECONDS
 from marblefold.request_path.mesh_view import MeshView
 from tests import test_cut_off_cases as cases
 from tests.simulated_machines import SLICE
@@ -52,9 +52,9 @@
     view, follower = start_proxy()
     wire = Wire(follower, "a")
     world.machines["a"].feed.follow(wire, kinds.Follow())
-    world.advance(PATIENCE_SECONDS - SLICE)
-    follower.release_first_news(world.now)
+    world.advance(HOLD_TIMEOUT_SECONDS - SLICE)
+    follower.release_held_entries(world.now)
     assert view.evacuated == set()
     world.advance(2 * SLICE)
-    follower.release_first_news(world.now)
+    follower.release_held_entries(world.now)
     assert view.evacuated == {"z"}
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -14,7 +14,7 @@
 from marblefold.ownership.calls import OwnerCalls
 from marblefold.partners import orders
 from marblefold.partners.calls import PartnerCalls
-from marblefold.proxy.beats import BeatCalls, read_beat
+from marblefold.proxy.heartbeat_calls import HeartbeatCalls, parse_heartbeat
 from marblefold.registry.control_calls import ControlCalls
 from marblefold.rehearsal.calls import RehearsalCalls
 from marblefold.tracing.calls import TraceCalls
@@ -37,7 +37,7 @@
 
 def test_the_calls_served_are_those_described():
     router = RecordingRouter()
-    BeatCalls(None, "").add_to(router)
+    HeartbeatCalls(None, "").add_to(router)
     ControlCalls(None, set, dict).add_to(router)
     MaintenanceCalls(None, set, dict).add_to(router)
     PartnerCalls(None, None, dict).add_to(router)
@@ -121,11 +121,11 @@
     samples = {"string": "x", "integer": 3, "number": 2.5}
     beat = {name: samples[field["type"]] for name, field in properties.items()}
     beat["state"] = "draining"
-    assert read_beat("i-1", json.dumps(beat).encode()).is_draining
+    assert parse_heartbeat("i-1", json.dumps(beat).encode()).is_draining
     for name in SCHEMAS["Beat"]["required"]:
         lacking = {key: value for key, value in beat.items() if key != name}
         try:
-            read_beat("i-1", json.dumps(lacking).encode())
+            parse_heartbeat("i-1", json.dumps(lacking).encode())
         except ValueError as error:
             assert name in str(error)
         else:
--- a/tests/test_zone_taken_back.py
+++ b/tests/test_zone_taken_back.py
@@ -5,7 +5,7 @@
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.proxy.program import ProxyProgram
-from marblefold.request_path.local_target import Beat
+from marblefold.request_path.local_target import Heartbeat
 from tests.mesh_on_loopback import make_config, make_watch
 
 
@@ -24,7 +24,9 @@
     now = [100.0]
     monkeypatch.setattr(time, "monotonic", lambda: now[0])
     proxy = make_proxy()
-    proxy.target.take_beat(Beat("i1", "quotes", "", "hall", 12, False, timedelta(seconds=2.5), 1))
+    proxy.target.apply_heartbeat(
+        Heartbeat("i1", "quotes", "", "hall", 12, False, timedelta(seconds=2.5), 1)
+    )
     now[0] += 0.03
     proxy.view.take(kinds.Entry(kind="evacuation", key="hall", life=1, number=2, value=b"off"))
     now[0] += 1.6
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -20,7 +20,7 @@
 from marblefold.node_config.reading import NodeConfig, parse_config
 from marblefold.proxy.notices import NoticeMaker
 from marblefold.proxy.registry_follower import RegistryFollower
-from marblefold.request_path.local_target import Beat, LocalTarget
+from marblefold.request_path.local_target import Heartbeat, LocalTarget
 from marblefold.request_path.mesh_view import MeshView
 from tools.scale.settings import Layout, make_config
 
@@ -96,8 +96,8 @@
         self.host = host
         self.view = MeshView(config.node_name)
         self.target = LocalTarget(lambda: None)
-        self.target.take_beat(
-            Beat(
+        self.target.apply_heartbeat(
+            Heartbeat(
                 f"i-{number}-{time.time_ns()}",
                 config.upstream,
                 "",
