--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -16,10 +16,10 @@
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
 from marblefold.node_config.watching import ConfigWatch
+from marblefold.proxy.graceful_shutdown import shut_down_gracefully
 from marblefold.proxy.lease_client import LeaseClient
-from marblefold.proxy.leaving import leave_in_order
 from marblefold.proxy.registry_follower import RegistryFollower
-from marblefold.proxy.traffic_teller import TrafficTeller
+from marblefold.proxy.traffic_reporter import TrafficReporter
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.running_work import RunningWork
@@ -81,7 +81,7 @@
         )
         if self._tracing is not None:
             self.executor.tracer = self._tracing.tracer
-        self._traffic = TrafficTeller(self.surroundings.traffic, self.follower, config)
+        self._traffic = TrafficReporter(self.surroundings.traffic, self.follower, config)
 
     async def run(self) -> None:
         """Serves until a SIGTERM has been obeyed."""
@@ -106,12 +106,12 @@
         if self._tracing is not None:
             self._tasks.start(self._tracing.run())
         await self._stop.wait()
-        await leave_in_order(self)
+        await shut_down_gracefully(self)
         if self._tracing is not None:
             self._tracing.export_rest()
         self._tasks.cancel()
 
-    def tell_leaving(self) -> None:
+    def begin_shutdown(self) -> None:
         """Fails the readiness checks, so that the platform sends clients elsewhere."""
         self.is_leaving = True
 
--- a/marblefold/proxy/leaving.py
+++ b/marblefold/proxy/graceful_shutdown.py
@@ -8,7 +8,7 @@
 from marblefold.http_connections.http_server import HttpServer
 from marblefold.logs import log
 
-__all__ = ["Leaver", "leave_in_order"]
+__all__ = ["ShutdownProgram", "shut_down_gracefully"]
 
 # The platform checks readiness every second and acts on two failures.
 _NOTICED = timedelta(milliseconds=2300)
@@ -19,7 +19,7 @@
 _TAKING_SHARE = 0.55
 
 
-class Leaver(Protocol):
+class ShutdownProgram(Protocol):
     """A program that is shut down gracefully."""
 
     outbound: HttpServer
@@ -30,14 +30,14 @@
     @property
     def hops_in_progress(self) -> int: ...
 
-    def tell_leaving(self) -> None: ...
+    def begin_shutdown(self) -> None: ...
 
 
-async def leave_in_order(program: Leaver) -> None:
+async def shut_down_gracefully(program: ShutdownProgram) -> None:
     """Returns when the process may exit."""
     began = time.monotonic()
     log.info("leaving", in_progress=program.outbound.in_progress, hops=program.hops_in_progress)
-    program.tell_leaving()
+    program.begin_shutdown()
     # Answers from here on close their connections, but requests are still accepted:
     # clients arrive until the platform has seen two failed readiness checks.
     program.outbound.is_leaving = True
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -20,13 +20,13 @@
 from marblefold.membership.node import NodeMembership
 from marblefold.node_config.reading import NodeConfig
 from marblefold.node_config.watching import ConfigWatch
+from marblefold.proxy.graceful_shutdown import shut_down_gracefully
 from marblefold.proxy.heartbeat_calls import HeartbeatCalls
 from marblefold.proxy.lease_client import LeaseClient
-from marblefold.proxy.leaving import leave_in_order
-from marblefold.proxy.notices import NoticeMaker
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.proxy.target_prober import TargetProber
-from marblefold.proxy.traffic_teller import TrafficTeller
+from marblefold.proxy.target_report import TargetReportBuilder
+from marblefold.proxy.traffic_reporter import TrafficReporter
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.guard import Guard
 from marblefold.request_path.hop_sender import HopSender
@@ -56,12 +56,12 @@
         self.view = MeshView(config.node_name)
         self.target = LocalTarget(self._on_target_change)
         self.guard = Guard(self.target, self.view, config.bounds, config.limits.link_mbps * 125_000)
-        self._notices = NoticeMaker(config, self.target)
+        self._report_builder = TargetReportBuilder(config, self.target)
         self.follower = RegistryFollower(
             config.node_name,
             self._seed_registries,
             self.view,
-            self._notices.make,
+            self._report_builder.build,
             asker=LeaseClient(config.node_name, self.view, config.site, config.site_agent),
         )
         self._membership = NodeMembership(watch, "proxy", PROXY, self._on_member)
@@ -87,7 +87,7 @@
         )
         if self._tracing is not None:
             self.executor.tracer = self.guard.tracer = self._tracing.tracer
-        self._traffic = TrafficTeller(
+        self._traffic = TrafficReporter(
             self.surroundings.traffic,
             self.follower,
             config,
@@ -142,23 +142,23 @@
         if self._tracing is not None:
             self._tasks.start(self._tracing.run())
         await self._stop.wait()
-        await leave_in_order(self)
+        await shut_down_gracefully(self)
         if self._tracing is not None:
             self._tracing.export_rest()
         self._tasks.cancel()
 
-    def tell_leaving(self) -> None:
+    def begin_shutdown(self) -> None:
         """Sends clients elsewhere now, and peers' hops a little later."""
         self.is_leaving = True
-        self.guard.begin_leaving(time.monotonic())
+        self.guard.begin_shutdown(time.monotonic())
         # It takes the platform two seconds to notice; until that is half over
         # the target beside us serves on.
         wait = self.grace_period.total_seconds() * _ANNOUNCE_SHARE
         asyncio.get_running_loop().call_later(wait, self._announce_leaving)
 
     def _announce_leaving(self) -> None:
-        self._notices.is_leaving = True
-        self.follower.tell()
+        self._report_builder.is_leaving = True
+        self.follower.send_target_report()
 
     @property
     def hops_in_progress(self) -> int:
@@ -203,12 +203,12 @@
             self._peers.drop_idle(member.address)
 
     def _on_target_change(self) -> None:
-        self.follower.tell()
+        self.follower.send_target_report()
 
     def _on_own_notice(self, life: int) -> None:
-        # Our clock may have been set back: outbid the older life of ours.
-        if self._notices.outbid(life):
-            self.follower.tell()
+        # Our clock may have been set back: supersede the older generation of ours.
+        if self._report_builder.supersede(life):
+            self.follower.send_target_report()
 
     def _on_configuration(self, table: RouteTable) -> None:
         self.outbound.set_limits(table.limits)
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -77,7 +77,7 @@
         now = time.monotonic()
         return any(now - at < _TOUCH_SECONDS for at in self._touched.values())
 
-    def tell(self) -> None:
+    def send_target_report(self) -> None:
         """Sends a notice of the current state to all followed registries."""
         if self._make_notice is None:
             return
--- a/marblefold/proxy/notices.py
+++ b/marblefold/proxy/target_report.py
@@ -7,21 +7,21 @@
 from marblefold.node_config.reading import NodeConfig
 from marblefold.request_path.local_target import LocalTarget
 
-__all__ = ["NoticeMaker"]
+__all__ = ["TargetReportBuilder"]
 
 
-class NoticeMaker:
+class TargetReportBuilder:
     """Numbers the notices of this life of the proxy."""
 
     def __init__(self, config: NodeConfig, target: LocalTarget) -> None:
         self.is_leaving = False
         self._config = config
         self._target = target
-        # Lives are ordered by the clock; `outbid` corrects a clock that went back.
+        # Lives are ordered by the clock; `supersede` corrects a clock that went back.
         self._life = int(time.time() * 1000)
         self._number = 0
 
-    def make(self) -> kinds.TargetNotice:
+    def build(self) -> kinds.TargetNotice:
         """A notice of the current state."""
         self._number += 1
         target, config = self._target, self._config
@@ -42,7 +42,7 @@
             site_agent=config.site_agent,
         )
 
-    def outbid(self, life: int) -> bool:
+    def supersede(self, life: int) -> bool:
         """Another life of this node counts as newer: begin one above it, if needed.
 
         Returns whether a new life was begun.
--- a/marblefold/proxy/traffic_teller.py
+++ b/marblefold/proxy/traffic_reporter.py
@@ -10,10 +10,10 @@
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.request_path.traffic_count import TrafficCount
 
-__all__ = ["TrafficTeller"]
+__all__ = ["TrafficReporter"]
 
 
-class TrafficTeller:
+class TrafficReporter:
     """Sends the traffic notices at the configured period."""
 
     def __init__(
@@ -36,10 +36,10 @@
             return
         await asyncio.sleep(random.random() * self._period.total_seconds())
         while True:
-            self.tell()
+            self.send_report()
             await asyncio.sleep(self._period.total_seconds())
 
-    def tell(self) -> None:
+    def send_report(self) -> None:
         """Sends the current counts, if they have changed."""
         config = self._config
         notice = self._count.make_notice(
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -76,7 +76,7 @@
         """How many hops this guard is serving."""
         return len(self._tasks)
 
-    def begin_leaving(self, now: float) -> None:
+    def begin_shutdown(self, now: float) -> None:
         """The proxy shuts down: what is accepted must finish in time; `now`: monotonic seconds."""
         self._leaving.since = now
 
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -28,7 +28,7 @@
         return answer.step if answer is not None else ""
 
     assert refusal(False) == ""
-    guard.begin_leaving(100.0)
+    guard.begin_shutdown(100.0)
     # Peers have not heard of it yet: what they send is still taken.
     assert refusal(False) == ""
     now[0] = 101.2
--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -50,11 +50,11 @@
         try:
             # Counts are told twice, with requests between: a rate is known.
             assert (await request(mesh, "/read/x", "first"))[0] == 200
-            near._traffic.tell()
+            near._traffic.send_report()
             for number in range(12):
                 kind = ("/read/x", "GET") if number % 2 else ("/book/x", "POST")
                 assert (await request(mesh, kind[0], f"w{number}", kind[1]))[0] == 200
-            near._traffic.tell()
+            near._traffic.send_report()
             registry = mesh.registry
             # All of them: a count told of itself in between would be taken for the last,
             # and the one after it for a rate over no time at all.
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -18,8 +18,8 @@
 from marblefold.membership.members import Liveness
 from marblefold.membership.node import NodeMembership
 from marblefold.node_config.reading import NodeConfig, parse_config
-from marblefold.proxy.notices import NoticeMaker
 from marblefold.proxy.registry_follower import RegistryFollower
+from marblefold.proxy.target_report import TargetReportBuilder
 from marblefold.request_path.local_target import Heartbeat, LocalTarget
 from marblefold.request_path.mesh_view import MeshView
 from tools.scale.settings import Layout, make_config
@@ -111,7 +111,10 @@
         self.target._on_change = lambda: None
         seeds = [inner_address(seed.host, config, REGISTRY) for seed in config.seeds]
         self.follower = RegistryFollower(
-            config.node_name, lambda: seeds, self.view, NoticeMaker(config, self.target).make
+            config.node_name,
+            lambda: seeds,
+            self.view,
+            TargetReportBuilder(config, self.target).build,
         )
         self.view.on_own_notice = lambda life: None
         self.suspected_at: dict[str, float] = {}
