--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -52,8 +52,8 @@
             config.node_name,
             self._seed_registries,
             self.view,
-            most=GATEWAY_FOLLOWS,
-            asker=LeaseClient(config.node_name, self.view),
+            max_followed=GATEWAY_FOLLOWS,
+            lease_client=LeaseClient(config.node_name, self.view),
         )
         selector = TargetSelector(
             self.view, config.zone, subset_of=config.node_name, has_guards=False
--- a/marblefold/proxy/heartbeat_calls.py
+++ b/marblefold/proxy/heartbeat_calls.py
@@ -58,13 +58,13 @@
 
     async def _beat(self, call: Call) -> Answer:
         try:
-            beat = parse_heartbeat(call.subject, call.body)
+            heartbeat = parse_heartbeat(call.subject, call.body)
         except (ValueError, OverflowError, RecursionError) as error:
             return json_answer(400, {wire_names.REASON: str(error)})
         # The guard applies it from here on, so the answer may confirm it.
-        self._target.apply_heartbeat(beat._replace(zone=beat.zone or self._own_zone))
+        self._target.apply_heartbeat(heartbeat._replace(zone=heartbeat.zone or self._own_zone))
         return json_answer(200, {})
 
     async def _leave(self, call: Call) -> Answer:
-        self._target.leave(call.subject)
+        self._target.deregister(call.subject)
         return json_answer(200, {})
--- a/marblefold/proxy/lease_client.py
+++ b/marblefold/proxy/lease_client.py
@@ -27,7 +27,7 @@
         self._next = now + _ASK_EVERY
         return True
 
-    def ask(self, peer: str, now: float) -> kinds.RenewLease:
+    def make_request(self, peer: str, now: float) -> kinds.RenewLease:
         """The request to send to the registry."""
         partners = self._view.partners
         return kinds.RenewLease(
@@ -38,7 +38,7 @@
             site=self._site if peer == self._agent else "",
         )
 
-    def take(self, message: kinds.LeaseGrant) -> None:
+    def apply_grant(self, message: kinds.LeaseGrant) -> None:
         """Applies the leases that a registry granted."""
         partners = self._view.partners
         self._view.leases.take(
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -62,7 +62,7 @@
             self._seed_registries,
             self.view,
             self._report_builder.build,
-            asker=LeaseClient(config.node_name, self.view, config.site, config.site_agent),
+            lease_client=LeaseClient(config.node_name, self.view, config.site, config.site_agent),
         )
         self._membership = NodeMembership(watch, "proxy", PROXY, self._on_member)
         selector = TargetSelector(self.view, config.zone)
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -17,7 +17,7 @@
 from marblefold.proxy.lease_client import LeaseClient
 from marblefold.proxy.startup_entry_hold import ReceivedEntry, StartupEntryHold
 
-__all__ = ["FeedTaker", "RegistryFollower"]
+__all__ = ["FeedConsumer", "RegistryFollower"]
 
 _LOOK_EVERY = 0.2
 # A registry without a majority for longer does not count as in touch.
@@ -29,7 +29,7 @@
 _COUNTING_SECONDS = 3.0
 
 
-class FeedTaker(Protocol):
+class FeedConsumer(Protocol):
     """What applies the entries of the feeds."""
 
     proxies: int
@@ -49,18 +49,18 @@
         self,
         node: str,
         seeds: Callable[[], list[str]],
-        view: FeedTaker,
-        make_notice: Callable[[], kinds.TargetNotice] | None = None,
-        most: int | None = None,
-        asker: LeaseClient | None = None,
+        view: FeedConsumer,
+        make_report: Callable[[], kinds.TargetNotice] | None = None,
+        max_followed: int | None = None,
+        lease_client: LeaseClient | None = None,
     ) -> None:
         self._node = node
         self._seeds = seeds
         self._view = view
-        self._make_notice = make_notice
-        self._asker = asker
+        self._make_report = make_report
+        self._lease_client = lease_client
         # How many registries are followed at once; None follows them all.
-        self._most = most
+        self._max_followed = max_followed
         self._peers = PeerBook(self)
         self._entry_fetcher = DeferredEntryFetcher(view.is_news, self.send_to)
         self._startup_hold = StartupEntryHold()
@@ -79,9 +79,9 @@
 
     def send_target_report(self) -> None:
         """Sends a notice of the current state to all followed registries."""
-        if self._make_notice is None:
+        if self._make_report is None:
             return
-        self.send_to_all(self._make_notice())
+        self.send_to_all(self._make_report())
 
     def send_to_all(self, message: object) -> None:
         """Sends a message to all registries that are followed."""
@@ -107,20 +107,20 @@
                 for peer in wanted:
                     if self._peers.find(peer) is None:
                         group.create_task(self._follow(peer))
-            self._ask_leases(time.monotonic())
+            self._request_leases(time.monotonic())
             self._entry_fetcher.retry(time.monotonic())
             self.release_held_entries(time.monotonic())
             await asyncio.sleep(_LOOK_EVERY)
 
-    def _ask_leases(self, now: float) -> None:
-        if self._asker is None or not self._asker.is_due(now):
+    def _request_leases(self, now: float) -> None:
+        if self._lease_client is None or not self._lease_client.is_due(now):
             return
         for peer in self._following:
-            self.send_to(peer, self._asker.ask(peer, now))
+            self.send_to(peer, self._lease_client.make_request(peer, now))
 
     def _find_wanted(self, now: float) -> list[str]:
         known = set(self._seeds()) | self._view.registries
-        if self._most is None:
+        if self._max_followed is None:
             return list(known)
         for peer in self._following & known:
             # An unresponsive registry, or one without a majority, is not relied on.
@@ -132,7 +132,7 @@
             known,
             key=lambda peer: (self._passed_over.get(peer, 0.0) > now, _rank(self._node, peer)),
         )
-        wanted = ranked[: self._most]
+        wanted = ranked[: self._max_followed]
         for peer in list(self._following):
             if peer not in wanted:
                 self._peers.drop(peer)
@@ -146,8 +146,8 @@
             return
         self._following.add(peer)
         self._heard[peer] = self._touched[peer] = time.monotonic()
-        if self._make_notice is not None:
-            connection.send(FrameKind.TELL, 0, pack_message(self._make_notice()))
+        if self._make_report is not None:
+            connection.send(FrameKind.TELL, 0, pack_message(self._make_report()))
         life, place = self._places.get(peer, (0, 0))
         connection.send(
             FrameKind.TELL,
@@ -161,8 +161,8 @@
         Raises ValueError, zlib.error or DecodeError if it is malformed.
         """
         feed = unpack_message(payload)
-        if isinstance(feed, kinds.LeaseGrant) and self._asker is not None:
-            self._asker.take(feed)
+        if isinstance(feed, kinds.LeaseGrant) and self._lease_client is not None:
+            self._lease_client.apply_grant(feed)
         if isinstance(feed, kinds.Entry):
             self._view.take(feed)
         if not isinstance(feed, kinds.Feed):
--- a/marblefold/proxy/target_prober.py
+++ b/marblefold/proxy/target_prober.py
@@ -7,7 +7,7 @@
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
 from marblefold.proxy.health_probe import fetch_health
-from marblefold.request_path.cold_start import ColdStart
+from marblefold.request_path.cold_start import ColdStartLimiter
 from marblefold.request_path.local_target import LocalTarget, TargetState
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.task_keeper import TaskKeeper
@@ -25,7 +25,7 @@
         read_config: Callable[[], NodeConfig],
         view: MeshView,
         target: LocalTarget,
-        cold: ColdStart,
+        cold: ColdStartLimiter,
         tasks: TaskKeeper,
     ) -> None:
         self._read_config = read_config
@@ -33,7 +33,7 @@
         self._target = target
         self._cold = cold
         self._tasks = tasks
-        cold.on_probe_wanted = self.probe
+        cold.on_probe_needed = self.probe
         view.on_evacuation = self.on_evacuation
 
     async def run(self) -> None:
@@ -41,14 +41,14 @@
         while self._view.table is None:
             await asyncio.sleep(_TABLE_LOOK_SECONDS)
         # Even if a heartbeat came first: that may have been on its way for long.
-        if self._target.state is TargetState.UNKNOWN or self._cold.is_in_doubt:
+        if self._target.state is TargetState.UNKNOWN or self._cold.is_uncertain:
             self.probe()
 
     def on_evacuation(self, zone: str, is_on: bool) -> None:
         """A zone is emptied or taken back; in ours the target may have gone cold unheard."""
         if is_on or zone != self._read_config().zone:
             return
-        self._cold.doubt(time.monotonic(), "zone taken back")
+        self._cold.mark_uncertain(time.monotonic(), "zone taken back")
         if self._target.state is TargetState.READY:
             self.probe()
 
--- a/marblefold/rehearsal/flight.py
+++ b/marblefold/rehearsal/flight.py
@@ -12,8 +12,8 @@
 from marblefold.rehearsal.tally import Ending
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult
-from marblefold.request_path.slot_queue import Turn
-from marblefold.request_path.upstream_limits import cold_most, find_cold_limits
+from marblefold.request_path.slot_queue import QueuePriority
+from marblefold.request_path.upstream_limits import cold_rate_limit, find_cold_limits
 
 __all__ = ["Flight"]
 
@@ -110,7 +110,7 @@
             self._refuse(hop, "another owner", _REFUSED_RETRY)
             return
         end = self._arrived + self._route.target_latency.total_seconds()
-        turn = Turn(1 + max(0, self._route.priority), end)
+        turn = QueuePriority(1 + max(0, self._route.priority), end)
         number = guard.take(turn, offer.queue_seconds, lambda: self._start(hop))
         if number is None:
             self._refuse(hop, NO_SLOT, max(_REFUSED_RETRY, guard.expected_wait(turn)))
@@ -126,7 +126,7 @@
         play, target = self._play, hop.offer.target
         guard = play.guards[target.node]
         limits = find_cold_limits(play.view, target.upstream)
-        most = cold_most(limits, self._origin.surroundings.bounds)
+        most = cold_rate_limit(limits, self._origin.surroundings.bounds)
         if hop is not self._hop or not guard.cold.may_offer(play.now, most):
             # Returned after this call, as the guard is still assigning slots.
             play.after(0.0, guard.give_back)
--- a/marblefold/rehearsal/guards.py
+++ b/marblefold/rehearsal/guards.py
@@ -7,7 +7,7 @@
 from marblefold.request_path.cold_limit import ColdLimit
 from marblefold.request_path.mesh_view import KnownTarget
 from marblefold.request_path.outcome import TargetLoad
-from marblefold.request_path.slot_queue import Turn
+from marblefold.request_path.slot_queue import QueuePriority
 
 __all__ = ["RehearsedGuard"]
 
@@ -22,7 +22,7 @@
         self.cold = ColdLimit()
         self.cold.cold_until = target.cold_until
         self._order = itertools.count()
-        self._waiting: list[tuple[Turn, int, Callable[[], None]]] = []
+        self._waiting: list[tuple[QueuePriority, int, Callable[[], None]]] = []
         self._left: set[int] = set()
 
     @property
@@ -35,7 +35,7 @@
         """How many requests wait for a slot."""
         return len(self._waiting) - len(self._left)
 
-    def expected_wait(self, turn: Turn) -> float:
+    def expected_wait(self, turn: QueuePriority) -> float:
         """Expected wait in seconds of a request with that turn."""
         if self.running < self.target.slots:
             return 0.0
@@ -46,7 +46,7 @@
         )
         return (ahead + 1) * self.service_seconds / self.target.slots
 
-    def take(self, turn: Turn, longest: float, start: Callable[[], None]) -> int | None:
+    def take(self, turn: QueuePriority, longest: float, start: Callable[[], None]) -> int | None:
         """Starts the request now (-1), queues it (its number), or refuses it (None).
 
         `longest` is the longest acceptable wait in seconds.
--- a/marblefold/request_path/intake.py
+++ b/marblefold/request_path/body_receiver.py
@@ -11,7 +11,7 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.exchange import Exchange
 
-__all__ = ["Intake"]
+__all__ = ["BodyReceiver"]
 
 # The window of one body: what the link carries in this time, since other hops
 # wait behind it.
@@ -28,7 +28,7 @@
 _LARGEST_HELD = 512 * 1024
 
 
-class Intake:
+class BodyReceiver:
     """Limits how many bodies are received at once."""
 
     def __init__(self, link_bytes_per_second: float) -> None:
@@ -40,7 +40,7 @@
         self._places = asyncio.Semaphore(max(_FEWEST, min(_MOST, places)))
         self.waiting = 0
 
-    async def take(
+    async def receive(
         self,
         exchange: Exchange,
         head,
--- a/marblefold/request_path/cold_limit.py
+++ b/marblefold/request_path/cold_limit.py
@@ -18,11 +18,11 @@
     def __init__(self) -> None:
         self.cold_until = 0.0
         self._arrivals: deque[float] = deque()
-        self._spent_until = 0.0
+        self._assumed_full_until = 0.0
 
-    def assume_spent(self, now: float) -> None:
+    def assume_window_full(self, now: float) -> None:
         """Counts the current window as used up: after a start its arrivals are unknown."""
-        self._spent_until = now + _WINDOW_SECONDS + _EDGE_SECONDS
+        self._assumed_full_until = now + _WINDOW_SECONDS + _EDGE_SECONDS
 
     def may_offer(self, now: float, most: float) -> bool:
         """Whether one more request may go to the target now; if so, it is counted.
@@ -47,7 +47,7 @@
 
     def used(self, now: float, most: float) -> float:
         """How much of the window's `most` is used up."""
-        assumed = most if now < self._spent_until else 0.0
+        assumed = most if now < self._assumed_full_until else 0.0
         return self.count(now) + assumed
 
     def count(self, now: float) -> int:
@@ -58,7 +58,7 @@
     def retry_after(self, now: float) -> float:
         """In how many seconds the window has room again."""
         if not self._arrivals:
-            return max(0.05, self._spent_until - now)
+            return max(0.05, self._assumed_full_until - now)
         return max(0.05, self._arrivals[0] + _WINDOW_SECONDS + _EDGE_SECONDS - now)
 
     def _forget(self, now: float) -> None:
--- a/marblefold/request_path/cold_monitor.py
+++ b/marblefold/request_path/cold_monitor.py
@@ -36,7 +36,7 @@
         # Whether something was written to a cold target while the bound was unknown.
         self._awaits_bound = False
 
-    def begin_life(self) -> None:
+    def begin_instance(self) -> None:
         """Another instance runs at the target's address: nothing was written to it yet."""
         self._written.clear()
         self._cold_since, self._cold_until = math.inf, -math.inf
@@ -52,7 +52,7 @@
 
         A report of no time ends the time that is checked.
         """
-        left = report.left.total_seconds()
+        left = report.remaining.total_seconds()
         if left <= 0:
             self._cold_until = min(self._cold_until, report.at)
             return
--- a/marblefold/request_path/cold_start.py
+++ b/marblefold/request_path/cold_start.py
@@ -14,12 +14,12 @@
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.upstream_limits import (
     ColdLimits,
-    cold_bound,
-    cold_most,
+    cold_rate_bound,
+    cold_rate_limit,
     find_cold_limits,
 )
 
-__all__ = ["COLD_STEP", "ColdStart"]
+__all__ = ["COLD_STEP", "ColdStartLimiter"]
 
 # The step of a hop that is refused since its target may be cold.
 COLD_STEP = "cold"
@@ -35,7 +35,7 @@
 _DOUBT_RETRY_SECONDS = 0.1
 
 
-class ColdStart:
+class ColdStartLimiter:
     """Decides whether a request may be written to the target now.
 
     All times are monotonic seconds.
@@ -44,7 +44,7 @@
     def __init__(self, target: LocalTarget, view: MeshView, bounds: Bounds) -> None:
         self.monitor = ColdMonitor()
         # Called when only a probe can tell whether the target is cold.
-        self.on_probe_wanted: Callable[[], None] = lambda: None
+        self.on_probe_needed: Callable[[], None] = lambda: None
         self._target = target
         self._view = view
         self._bounds = bounds
@@ -54,36 +54,36 @@
         self._written_at = -math.inf
         self._probed_at = -math.inf
         target.on_cold_report = self._note_report
-        target.on_new_life = self.monitor.begin_life
+        target.on_new_instance = self.monitor.begin_instance
 
     def begin(self, now: float) -> None:
         """This process has started: what the target was offered until now is unknown.
 
         Whatever a heartbeat says first may be older than that.
         """
-        self._limit.assume_spent(now)
+        self._limit.assume_window_full(now)
         self._written_at = now
-        self.doubt(now, "start")
+        self.mark_uncertain(now, "start")
 
-    def doubt(self, now: float, why: str) -> None:
+    def mark_uncertain(self, now: float, why: str) -> None:
         """The target may have gone cold without our having heard of it."""
         log.info("target may be cold", instance=self._target.instance, why=why)
-        self._target.cold.doubt(now)
+        self._target.cold.mark_uncertain(now)
 
     @property
-    def is_in_doubt(self) -> bool:
+    def is_uncertain(self) -> bool:
         """Whether the target may be cold unknown to us."""
-        return self._target.cold.is_in_doubt(time.monotonic(), self._cold_seconds)
+        return self._target.cold.is_uncertain(time.monotonic(), self._cold_seconds)
 
     def has_room(self, head, now: float) -> bool:
         """Whether the hop may be offered, as far as can be told; it is not counted yet."""
         self._limits = find_cold_limits(self._view, head.upstream, head)
         if now - self._written_at > _IDLE_SECONDS:
-            self._target.cold.doubt(now)
-        self._look_at_doubt(now)
-        has_room = self._limit.has_room(now, cold_most(self._limits, self._bounds))
-        if not has_room and self._target.cold.is_in_doubt(now, self._cold_seconds):
-            self._want_probe(now)
+            self._target.cold.mark_uncertain(now)
+        self._update_limit(now)
+        has_room = self._limit.has_room(now, cold_rate_limit(self._limits, self._bounds))
+        if not has_room and self._target.cold.is_uncertain(now, self._cold_seconds):
+            self._request_probe(now)
         return has_room
 
     def may_write(self, now: float) -> bool:
@@ -91,15 +91,15 @@
 
         Nothing may be awaited between this and the write.
         """
-        self._look_at_doubt(now)
-        if not self._limit.may_offer(now, cold_most(self._limits, self._bounds)):
+        self._update_limit(now)
+        if not self._limit.may_offer(now, cold_rate_limit(self._limits, self._bounds)):
             return False
         self._written_at = now
         return True
 
     def may_probe(self, now: float) -> bool:
         """Whether the target may be probed now; if so, the probe is counted as a request."""
-        most = cold_most(self._limits, self._bounds)
+        most = cold_rate_limit(self._limits, self._bounds)
         is_limited = now < self._limit.cold_until
         if is_limited and self._limit.used(now, most) + 1 > most + _PROBE_RESERVE:
             return False
@@ -109,7 +109,7 @@
 
     def note_written(self) -> None:
         """A request was written to the target."""
-        self.monitor.note_written(time.monotonic(), cold_bound(self._limits, self._bounds))
+        self.monitor.note_written(time.monotonic(), cold_rate_bound(self._limits, self._bounds))
 
     def retry_after(self, now: float) -> float:
         """In how many seconds there is room again, or may be."""
@@ -122,23 +122,23 @@
     def _cold_seconds(self) -> float:
         return self._limits.seconds if self._limits is not None else 0.0
 
-    def _look_at_doubt(self, now: float) -> None:
+    def _update_limit(self, now: float) -> None:
         """Holds the limit or lifts it, and has the target probed if the doubt is dear."""
         state = self._target.cold
         seconds = self._cold_seconds
         self._limit.cold_until = math.inf if state.may_be_cold(now, seconds) else -math.inf
-        if not state.is_in_doubt(now, seconds):
+        if not state.is_uncertain(now, seconds):
             return
-        most = cold_most(self._limits, self._bounds)
+        most = cold_rate_limit(self._limits, self._bounds)
         if self._limit.count(now) >= _PROBE_SHARE * most:
-            self._want_probe(now)
+            self._request_probe(now)
 
-    def _want_probe(self, now: float) -> None:
+    def _request_probe(self, now: float) -> None:
         if now - self._probed_at >= _PROBE_EVERY:
-            self.on_probe_wanted()
+            self.on_probe_needed()
 
     def _note_report(self, report: ColdReport) -> None:
         limits = find_cold_limits(self._view, self._target.upstream) or self._limits
         seconds = limits.seconds if limits is not None else 0.0
-        bound = cold_bound(limits, self._bounds)
+        bound = cold_rate_bound(limits, self._bounds)
         self.monitor.note_report(report, timedelta(seconds=seconds), bound)
--- a/marblefold/request_path/cold_state.py
+++ b/marblefold/request_path/cold_state.py
@@ -31,7 +31,7 @@
     """
 
     source: ReportSource
-    left: timedelta
+    remaining: timedelta
     at: float
     made_after: float = -math.inf
 
@@ -46,21 +46,21 @@
         self._cold_until = dict.fromkeys(ReportSource, -math.inf)
         self._heartbeat_at = -math.inf
         self._health_asked_at = -math.inf
-        self._doubted_at = -math.inf
+        self._uncertain_since = -math.inf
 
     @property
     def cold_until(self) -> float:
         """Until when the target is cold by its own word."""
         return max(self._cold_until.values())
 
-    def take(self, report: ColdReport) -> None:
+    def apply(self, report: ColdReport) -> None:
         """Applies a report; heartbeats must come in their order.
 
         A health answer is ignored after one whose question came later.
         """
         if report.made_after < self._health_asked_at and report.source is ReportSource.HEALTH:
             return
-        self._cold_until[report.source] = report.at + report.left.total_seconds()
+        self._cold_until[report.source] = report.at + report.remaining.total_seconds()
         if report.source is ReportSource.HEARTBEAT:
             self._heartbeat_at = report.at
             return
@@ -68,18 +68,18 @@
         # It is newer than each heartbeat that was heard before its question.
         if self._heartbeat_at < report.made_after:
             self._cold_until[ReportSource.HEARTBEAT] = -math.inf
-        if self._doubted_at <= report.made_after:
-            self._doubted_at = -math.inf
+        if self._uncertain_since <= report.made_after:
+            self._uncertain_since = -math.inf
 
-    def doubt(self, now: float) -> None:
+    def mark_uncertain(self, now: float) -> None:
         """From now on the target may be cold without having said so."""
-        self._doubted_at = now
+        self._uncertain_since = now
 
-    def is_in_doubt(self, now: float, cold_seconds: float) -> bool:
+    def is_uncertain(self, now: float, cold_seconds: float) -> bool:
         """Whether it may be cold unknown to us; it stays so for `cold_seconds` at most."""
         longest = min(cold_seconds, _LONGEST_COLD_SECONDS) if cold_seconds > 0 else math.inf
-        return now < self._doubted_at + min(longest, _LONGEST_COLD_SECONDS)
+        return now < self._uncertain_since + min(longest, _LONGEST_COLD_SECONDS)
 
     def may_be_cold(self, now: float, cold_seconds: float) -> bool:
         """Whether the limit for cold targets holds."""
-        return now < self.cold_until or self.is_in_doubt(now, cold_seconds)
+        return now < self.cold_until or self.is_uncertain(now, cold_seconds)
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -15,18 +15,18 @@
 from marblefold.logs import log
 from marblefold.loop_watch import LoopWatch
 from marblefold.node_config.model import Address, Bounds
-from marblefold.request_path.cold_start import COLD_STEP, ColdStart
-from marblefold.request_path.intake import Intake
+from marblefold.request_path.body_receiver import BodyReceiver
+from marblefold.request_path.cold_start import COLD_STEP, ColdStartLimiter
 from marblefold.request_path.leaving_rule import LeavingRule
 from marblefold.request_path.local_target import LocalTarget, TargetState
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.offered_hops import OfferedHops
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, refuse
 from marblefold.request_path.running_work import Run, RunningWork
-from marblefold.request_path.slot_queue import SlotQueue, Turn
+from marblefold.request_path.slot_queue import QueuePriority, SlotQueue
 from marblefold.request_path.target_caller import TargetCaller
 from marblefold.request_path.tracers import GuardTracer
-from marblefold.request_path.upstream_limits import find_slots
+from marblefold.request_path.upstream_limits import find_slot_limit
 
 __all__ = ["Guard"]
 
@@ -54,13 +54,13 @@
         bounds: Bounds,
         link_bytes_per_second=1e9,
     ) -> None:
-        self.cold = ColdStart(target, view, bounds)
+        self.cold = ColdStartLimiter(target, view, bounds)
         self.slots = SlotQueue(1)
         self.work = RunningWork()
         self._target = target
         self._view = view
         self._bounds = bounds
-        self._intake = Intake(link_bytes_per_second)
+        self._body_receiver = BodyReceiver(link_bytes_per_second)
         self._connections: TargetConnections | None = None
         self._caller: TargetCaller | None = None
         self._tasks: set[asyncio.Task] = set()
@@ -129,7 +129,7 @@
             await self._watch.settle()
             answer = await self._pass(exchange, head, came, span)
             answer.running = self.slots.running
-            answer.waiting = self.slots.waiting + self._intake.waiting
+            answer.waiting = self.slots.waiting + self._body_receiver.waiting
             answer.slots = self.slots.limit
             # A body that followed its head was sent with it.
             if not answer.body_follows:
@@ -154,15 +154,15 @@
         deadline = came + head.deadline_left_ms / 1000.0
         # By rank, then by the earliest aim: short calls, which other running
         # requests wait for, are not delayed by long ones.
-        turn = Turn(head.priority, came + head.aim_left_ms / 1000.0)
+        turn = QueuePriority(head.priority, came + head.aim_left_ms / 1000.0)
         longest = head.queue_left_ms / 1000.0
         if head.body_follows and self.slots.expected_wait(turn) <= longest:
             # The body is transferred only if a slot is likely to be free in time.
             patience = max(_LEAST_PATIENCE, _BODY_AIM_SHARE * head.aim_left_ms / 1000.0)
-            step = await self._intake.take(exchange, head, deadline - came, patience)
+            step = await self._body_receiver.receive(exchange, head, deadline - came, patience)
             if step:
                 return refuse(step, _REFUSED_RETRY_SECONDS)
-        if not await self.slots.take(turn, longest):
+        if not await self.slots.acquire(turn, longest):
             wait = max(_REFUSED_RETRY_SECONDS, self.slots.expected_wait(turn))
             return refuse(NO_SLOT, wait)
         started = time.monotonic()
@@ -189,7 +189,7 @@
         finally:
             self._offered.end(exchange)
             self.work.end(run)
-            self.slots.give_back()
+            self.slots.release()
         return self._conclude(answer, started, time.monotonic())
 
     def _conclude(self, answer, started: float, now: float):
@@ -227,7 +227,7 @@
             return refuse(target.state.value, 0.0)
         if target.zone in self._view.evacuated:
             return refuse("evacuated", 0.0)
-        limit = find_slots(self._view, target)
+        limit = find_slot_limit(self._view, target)
         if self.slots.limit != limit:
             self.slots.set_limit(limit)
         return None
--- a/marblefold/request_path/local_target.py
+++ b/marblefold/request_path/local_target.py
@@ -11,7 +11,7 @@
 
 __all__ = ["Heartbeat", "LocalTarget", "TargetState"]
 
-_REMEMBERED_LIVES = 32
+_MAX_PAST_INSTANCES = 32
 # A report that differs from the one before by more than this is logged.
 _REPORTED_DRIFT_SECONDS = 0.2
 
@@ -49,32 +49,36 @@
         self.slots = 1
         self.cold = ColdState()
         self.drain_since = 0.0
-        self._beat_number = -1
-        self._past_lives: list[str] = []
+        self._heartbeat_number = -1
+        self._past_instances: list[str] = []
         self._on_change = on_change
         # Called with the target's own word on how long it is cold, and when another
         # instance takes its place.
         self.on_cold_report: Callable[[ColdReport], None] = lambda _report: None
-        self.on_new_life: Callable[[], None] = lambda: None
+        self.on_new_instance: Callable[[], None] = lambda: None
 
-    def apply_heartbeat(self, beat: Heartbeat) -> None:
+    def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Applies a heartbeat; a late one or one of an earlier instance is ignored."""
-        if beat.instance in self._past_lives:
+        if heartbeat.instance in self._past_instances:
             return
-        if beat.instance != self.instance:
-            self._begin_life(beat.instance)
-        elif beat.number <= self._beat_number:
+        if heartbeat.instance != self.instance:
+            self._begin_instance(heartbeat.instance)
+        elif heartbeat.number <= self._heartbeat_number:
             return
-        self._beat_number = beat.number
+        self._heartbeat_number = heartbeat.number
         now = time.monotonic()
         is_changed = (self.upstream, self.zone, self.slots) != (
-            beat.upstream,
-            beat.zone,
-            beat.slots,
+            heartbeat.upstream,
+            heartbeat.zone,
+            heartbeat.slots,
         )
-        self.upstream, self.zone, self.slots = beat.upstream, beat.zone, max(1, beat.slots)
-        is_changed |= self._take_report(ColdReport(ReportSource.HEARTBEAT, beat.cold, now))
-        state = TargetState.DRAINING if beat.is_draining else TargetState.READY
+        self.upstream, self.zone, self.slots = (
+            heartbeat.upstream,
+            heartbeat.zone,
+            max(1, heartbeat.slots),
+        )
+        is_changed |= self._apply_report(ColdReport(ReportSource.HEARTBEAT, heartbeat.cold, now))
+        state = TargetState.DRAINING if heartbeat.is_draining else TargetState.READY
         if self._change_state(state) or is_changed:
             self._on_change()
 
@@ -88,24 +92,24 @@
         asked_at: float,
     ) -> None:
         """Applies a healthy answer to the probe of `asked_at` (monotonic seconds)."""
-        if instance in self._past_lives:
+        if instance in self._past_instances:
             return
         is_changed = instance != self.instance
         if is_changed:
-            self._begin_life(instance)
+            self._begin_instance(instance)
             self.upstream, self.zone, self.slots = upstream, zone, max(1, slots)
         report = ColdReport(ReportSource.HEALTH, cold, time.monotonic(), asked_at)
-        is_changed |= self._take_report(report)
+        is_changed |= self._apply_report(report)
         if self.state is TargetState.UNKNOWN:
             is_changed |= self._change_state(TargetState.READY)
         if is_changed:
             self._on_change()
 
-    def leave(self, instance: str) -> None:
+    def deregister(self, instance: str) -> None:
         """The target has announced its end."""
         if instance == self.instance and self._change_state(TargetState.GONE):
             self._on_change()
-        elif instance != self.instance and instance not in self._past_lives:
+        elif instance != self.instance and instance not in self._past_instances:
             self._remember(instance)
 
     @property
@@ -113,11 +117,11 @@
         """Until when the target is cold by its own word, in monotonic seconds."""
         return self.cold.cold_until
 
-    def _take_report(self, report: ColdReport) -> bool:
+    def _apply_report(self, report: ColdReport) -> bool:
         """Applies the target's own word; returns whether it became cold or warm."""
         was_cold = self.cold_until > report.at
         expected = max(0.0, self.cold_until - report.at)
-        left = report.left.total_seconds()
+        left = report.remaining.total_seconds()
         if (left > 0) != was_cold or abs(left - expected) > _REPORTED_DRIFT_SECONDS:
             log.info(
                 "target cold" if left > 0 else "target warm",
@@ -126,22 +130,22 @@
                 left=round(left, 3),
                 expected=round(expected, 3),
             )
-        self.cold.take(report)
+        self.cold.apply(report)
         self.on_cold_report(report)
         return was_cold != (self.cold_until > report.at)
 
-    def _begin_life(self, instance: str) -> None:
+    def _begin_instance(self, instance: str) -> None:
         if self.instance:
             self._remember(self.instance)
             self.cold = ColdState()
         self.instance = instance
-        self._beat_number = -1
+        self._heartbeat_number = -1
         self.state = TargetState.UNKNOWN
-        self.on_new_life()
+        self.on_new_instance()
 
     def _remember(self, instance: str) -> None:
-        self._past_lives.append(instance)
-        del self._past_lives[:-_REMEMBERED_LIVES]
+        self._past_instances.append(instance)
+        del self._past_instances[:-_MAX_PAST_INSTANCES]
 
     def _change_state(self, state: TargetState) -> bool:
         """The only place where the state changes; returns whether it did."""
--- a/marblefold/request_path/slot_queue.py
+++ b/marblefold/request_path/slot_queue.py
@@ -5,16 +5,16 @@
 import itertools
 from typing import NamedTuple
 
-__all__ = ["SlotQueue", "Turn"]
+__all__ = ["SlotQueue", "QueuePriority"]
 
-_LEARN = 0.1
+_SERVICE_TIME_WEIGHT = 0.1
 
 
-class Turn(NamedTuple):
+class QueuePriority(NamedTuple):
     """The order of the queue: lower rank first, then earlier end (monotonic seconds)."""
 
     rank: int
-    end: float
+    due_at: float
 
 
 class SlotQueue:
@@ -25,7 +25,7 @@
         self.running = 0
         self._service_seconds = 0.05
         self._order = itertools.count()
-        self._waiting: list[tuple[Turn, int, asyncio.Future]] = []
+        self._waiting: list[tuple[QueuePriority, int, asyncio.Future]] = []
 
     @property
     def service_seconds(self) -> float:
@@ -35,34 +35,34 @@
     @property
     def waiting(self) -> int:
         """How many wait for a slot."""
-        return sum(1 for _turn, _order, future in self._waiting if not future.done())
+        return sum(1 for _priority, _order, future in self._waiting if not future.done())
 
-    def expected_wait(self, turn: Turn) -> float:
+    def expected_wait(self, priority: QueuePriority) -> float:
         """The expected wait of a request with that turn, in seconds."""
         if self.running < self.limit:
             return 0.0
         # Only requests that go first delay it.
         ahead = sum(
-            1 for other, _order, future in self._waiting if other <= turn and not future.done()
+            1 for other, _order, future in self._waiting if other <= priority and not future.done()
         )
         return (ahead + 1) * self._service_seconds / max(1, self.limit)
 
     def note_service(self, seconds: float) -> None:
         """Records the service time of a request, in seconds."""
-        self._service_seconds += _LEARN * (seconds - self._service_seconds)
+        self._service_seconds += _SERVICE_TIME_WEIGHT * (seconds - self._service_seconds)
 
-    async def take(self, turn: Turn, longest: float) -> bool:
-        """Waits for a slot at most `longest` seconds; returns whether it was granted."""
+    async def acquire(self, priority: QueuePriority, max_wait_seconds: float) -> bool:
+        """Waits for a slot at most `max_wait_seconds` seconds; returns whether it was granted."""
         if self.running < self.limit:
             self.running += 1
             return True
         # A wait that cannot end in time is refused at once.
-        if longest <= 0 or self.expected_wait(turn) > longest:
+        if max_wait_seconds <= 0 or self.expected_wait(priority) > max_wait_seconds:
             return False
         future = asyncio.get_running_loop().create_future()
-        heapq.heappush(self._waiting, (turn, next(self._order), future))
+        heapq.heappush(self._waiting, (priority, next(self._order), future))
         try:
-            async with asyncio.timeout(longest):
+            async with asyncio.timeout(max_wait_seconds):
                 await future
             return True
         except TimeoutError:
@@ -70,22 +70,22 @@
             return _was_granted(future)
         except asyncio.CancelledError:
             if _was_granted(future):
-                self.give_back()
+                self.release()
             raise
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Releases a slot to the next request in order."""
         self.running -= 1
-        self._hand_out()
+        self._grant_free_slots()
 
     def set_limit(self, limit: int) -> None:
         """Sets how many requests the target processes at once."""
         self.limit = max(1, limit)
-        self._hand_out()
+        self._grant_free_slots()
 
-    def _hand_out(self) -> None:
+    def _grant_free_slots(self) -> None:
         while self._waiting and self.running < self.limit:
-            _turn, _order, future = heapq.heappop(self._waiting)
+            _priority, _order, future = heapq.heappop(self._waiting)
             # A request that left the queue is still in the heap, marked as done.
             if future.done():
                 continue
--- a/marblefold/request_path/upstream_limits.py
+++ b/marblefold/request_path/upstream_limits.py
@@ -7,7 +7,13 @@
 from marblefold.request_path.local_target import LocalTarget
 from marblefold.request_path.mesh_view import MeshView
 
-__all__ = ["ColdLimits", "cold_bound", "cold_most", "find_cold_limits", "find_slots"]
+__all__ = [
+    "ColdLimits",
+    "cold_rate_bound",
+    "cold_rate_limit",
+    "find_cold_limits",
+    "find_slot_limit",
+]
 
 _MARGIN = 2
 _UNKNOWN_MOST = 1.0
@@ -24,7 +30,7 @@
     seconds: float
 
 
-def find_slots(view: MeshView, target: LocalTarget) -> int:
+def find_slot_limit(view: MeshView, target: LocalTarget) -> int:
     """How many requests at once: each takes a slot and a connection to the target."""
     known = view.table.upstreams.get(target.upstream) if view.table is not None else None
     return target.slots if known is None else max(1, min(target.slots, known.max_connections))
@@ -48,14 +54,14 @@
     return min(limited) if limited else found[0]
 
 
-def cold_bound(limits: ColdLimits | None, bounds: Bounds) -> float:
+def cold_rate_bound(limits: ColdLimits | None, bounds: Bounds) -> float:
     """How many requests a second of a cold target may hold; inf if it is unknown or unlimited."""
     if limits is None or limits.per_second <= 0:
         return math.inf
     return limits.per_second * bounds.cold_overage + bounds.cold_slack
 
 
-def cold_most(limits: ColdLimits | None, bounds: Bounds) -> float:
+def cold_rate_limit(limits: ColdLimits | None, bounds: Bounds) -> float:
     """How many requests the guard lets a cold target have in a second.
 
     Without known limits that is one: what is not known permits nothing.
@@ -63,4 +69,4 @@
     if limits is None:
         return _UNKNOWN_MOST
     # Below the bound: the target's second may not begin with ours.
-    return max(1.0, cold_bound(limits, bounds) - _MARGIN)
+    return max(1.0, cold_rate_bound(limits, bounds) - _MARGIN)
--- a/tests/simulated_cold.py
+++ b/tests/simulated_cold.py
@@ -78,7 +78,7 @@
         self.guard = Guard(self.target, self.view, self.bounds)
         self.address = Address("10.0.1.1", 80)
         self.guard.set_address(self.address)
-        self.guard.cold.on_probe_wanted = self._count_probe
+        self.guard.cold.on_probe_needed = self._count_probe
         self.guard.cold.begin(self.stage.now)
 
     def _count_probe(self):
--- a/tests/simulated_leases.py
+++ b/tests/simulated_leases.py
@@ -136,7 +136,7 @@
 
     def restart(self):
         self.view = MeshView("node")
-        self.asker = LeaseClient("node", self.view)
+        self.lease_client = LeaseClient("node", self.view)
         self.hops = PartnerHops(None, None, self.view)
         self.entered = []
 
@@ -148,7 +148,7 @@
         self.view.take(kinds.Entry(kind="partners", key="partners", number=number, value=value))
 
     def ask(self):
-        return self.asker.ask("registry", self.clock)
+        return self.lease_client.make_request("registry", self.clock)
 
     def enter(self, prefix):
         request = types.SimpleNamespace(host=HOST, path=prefix + "x")
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -26,7 +26,7 @@
 from marblefold.request_path.mesh_view import KnownOwner, MeshView
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult, TargetLoad
 from marblefold.request_path.running_work import RunningWork
-from marblefold.request_path.slot_queue import SlotQueue, Turn
+from marblefold.request_path.slot_queue import QueuePriority, SlotQueue
 from marblefold.request_path.surroundings import Surroundings
 from marblefold.request_path.target_selection import TargetSelector
 from tests.region_document import SERVICE, ZONES
@@ -254,8 +254,8 @@
 
         if row["upstream"] in mesh.lapsed:
             return refused("another owner")
-        turn = Turn(head.priority, time.monotonic() + head.aim_left_ms / 1000)
-        if not await queue.take(turn, head.queue_left_ms / 1000):
+        turn = QueuePriority(head.priority, time.monotonic() + head.aim_left_ms / 1000)
+        if not await queue.acquire(turn, head.queue_left_ms / 1000):
             return refused(NO_SLOT)
         try:
             if not mesh.colds[row["node"]].may_offer(time.monotonic(), 4.0 * 1.5 + 5.0 - 2):
@@ -263,7 +263,7 @@
             seconds = SERVICE[row["upstream"]] * mesh.chance.uniform(0.5, 1.5)
             await asyncio.sleep(seconds)
         finally:
-            queue.give_back()
+            queue.release()
         queue.note_service(seconds)
         request.reached = row["zone"]
         return HopResult(
--- a/tests/test_cold_model.py
+++ b/tests/test_cold_model.py
@@ -38,7 +38,7 @@
 
     def note_probes(self):
         """Keeps when each probe was asked."""
-        take = self.path.guard.cold.on_probe_wanted
+        take = self.path.guard.cold.on_probe_needed
 
         def note():
             known = self.path.probes
@@ -46,7 +46,7 @@
             if self.path.probes > known:
                 self.asked_probes.append(self.now)
 
-        self.path.guard.cold.on_probe_wanted = note
+        self.path.guard.cold.on_probe_needed = note
 
     def go_cold(self, is_late):
         """As targets do: a heartbeat says so in that moment."""
@@ -87,7 +87,7 @@
     def evacuate(self, is_late):
         """The proxy hears that its zone is taken back."""
         self.go_cold(is_late)
-        self.path.guard.cold.doubt(self.now, "zone taken back")
+        self.path.guard.cold.mark_uncertain(self.now, "zone taken back")
 
     @rule(is_late=st.booleans(), seconds=st.floats(0.0, 2.0))
     def evacuate_unheard(self, is_late, seconds):
--- a/tests/test_cold_monitor.py
+++ b/tests/test_cold_monitor.py
@@ -53,7 +53,7 @@
     monitor = ColdMonitor()
     for _request in range(9):
         monitor.note_written(100.0, 3.0)
-    monitor.begin_life()
+    monitor.begin_instance()
     report(monitor, 3.0, 100.1, 3.0)
     assert monitor.violations == 0
 
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -55,7 +55,7 @@
 def test_a_heartbeat_that_was_on_its_way_does_not_make_the_target_warm(path):
     """It was sent before the target went cold, and is heard after its zone was taken back."""
     path.warm_up()
-    path.guard.cold.doubt(path.stage.now, "zone taken back")
+    path.guard.cold.mark_uncertain(path.stage.now, "zone taken back")
     path.beat(0.0)
     began = press(path, 3.0)
     assert path.most_in_a_second(began, began + 3.0) <= ALLOWED
@@ -70,7 +70,7 @@
 
 def test_a_doubt_that_no_probe_ends_lasts_for_the_whole_cold_start(path):
     path.warm_up()
-    path.guard.cold.doubt(path.stage.now, "zone taken back")
+    path.guard.cold.mark_uncertain(path.stage.now, "zone taken back")
     began = press(path, 2.9)
     assert path.most_in_a_second(began, began + 2.9) <= ALLOWED
     assert path.probes > 1
@@ -82,7 +82,7 @@
     path.warm_up()
     path.spend(0.2)
     asked_before = path.stage.now - 0.1
-    path.guard.cold.doubt(path.stage.now, "zone taken back")
+    path.guard.cold.mark_uncertain(path.stage.now, "zone taken back")
     path.answer_health(0.0, asked_before)
     began = press(path, 1.0)
     assert path.most_in_a_second(began, path.stage.now) <= ALLOWED
--- a/tests/test_guard_parts.py
+++ b/tests/test_guard_parts.py
@@ -10,11 +10,11 @@
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.messages import kinds
+from marblefold.request_path.body_receiver import BodyReceiver
 from marblefold.request_path.cold_limit import ColdLimit
-from marblefold.request_path.intake import Intake
 from marblefold.request_path.local_target import Heartbeat, LocalTarget, TargetState
 from marblefold.request_path.retry_budget import RetryBudget
-from marblefold.request_path.slot_queue import SlotQueue, Turn
+from marblefold.request_path.slot_queue import QueuePriority, SlotQueue
 
 
 @given(
@@ -26,7 +26,7 @@
     limit = ColdLimit()
     limit.cold_until = 1e9
     if started:
-        limit.assume_spent(0.0)
+        limit.assume_window_full(0.0)
     now, offered = 0.0, []
     for seconds, _ in steps:
         now += seconds
@@ -59,7 +59,7 @@
     order = list(TargetState)
     for instance, number, draining, leaves in beats:
         if leaves:
-            target.leave(instance)
+            target.deregister(instance)
         else:
             target.apply_heartbeat(
                 Heartbeat(instance, "q", "a", "z", 4, draining, timedelta(0), number)
@@ -72,12 +72,12 @@
 
 def test_late_beats_change_nothing():
     target = LocalTarget(lambda: None)
-    beat = Heartbeat("i-1", "q", "a", "z", 4, False, timedelta(0), 5)
-    target.apply_heartbeat(beat)
-    target.apply_heartbeat(beat._replace(number=4, slots=9))
+    heartbeat = Heartbeat("i-1", "q", "a", "z", 4, False, timedelta(0), 5)
+    target.apply_heartbeat(heartbeat)
+    target.apply_heartbeat(heartbeat._replace(number=4, slots=9))
     assert target.slots == 4
-    target.apply_heartbeat(beat._replace(instance="i-2", number=1))
-    target.apply_heartbeat(beat._replace(number=9))
+    target.apply_heartbeat(heartbeat._replace(instance="i-2", number=1))
+    target.apply_heartbeat(heartbeat._replace(number=9))
     assert target.instance == "i-2"
 
 
@@ -87,12 +87,12 @@
         order = []
 
         async def take(name, turn):
-            assert await queue.take(turn, 30.0)
+            assert await queue.acquire(turn, 30.0)
             order.append(name)
 
-        assert await queue.take(Turn(0, 0.0), 1.0)
+        assert await queue.acquire(QueuePriority(0, 0.0), 1.0)
         tasks = [
-            asyncio.ensure_future(take(name, Turn(rank, end)))
+            asyncio.ensure_future(take(name, QueuePriority(rank, end)))
             for name, rank, end in (
                 ("late", 1, 9.0),
                 ("early", 1, 2.0),
@@ -106,7 +106,7 @@
         for _ in range(6):
             await asyncio.sleep(0)
             assert queue.running <= 1
-            queue.give_back()
+            queue.release()
         await asyncio.sleep(0)
         assert order == ["early", "late", "low"]
         assert queue.waiting == 0
@@ -118,9 +118,9 @@
     async def test():
         queue = SlotQueue(1)
         queue.note_service(1.0)
-        assert await queue.take(Turn(0, 0.0), 0.1)
-        assert not await queue.take(Turn(0, 0.0), 0.01)
-        assert not await queue.take(Turn(0, 0.0), 0.0)
+        assert await queue.acquire(QueuePriority(0, 0.0), 0.1)
+        assert not await queue.acquire(QueuePriority(0, 0.0), 0.01)
+        assert not await queue.acquire(QueuePriority(0, 0.0), 0.0)
 
     asyncio.run(test())
 
@@ -205,11 +205,11 @@
 
 def test_what_bodies_keep_a_link_busy_for_is_bounded():
     async def test(link):
-        intake = Intake(link)
+        receiver = BodyReceiver(link)
         exchanges = [BodyExchange(b"") for _ in range(100)]
         tasks = [
             asyncio.ensure_future(
-                intake.take(
+                receiver.receive(
                     exchange, kinds.RequestHead(body_follows=True, body_length=60_000), 30.0
                 )
             )
@@ -229,11 +229,11 @@
 
 def test_bodies_come_in_a_few_at_a_time_and_only_whole():
     async def test():
-        intake = Intake(1000.0)
+        receiver = BodyReceiver(1000.0)
         exchanges = [BodyExchange(b"photo") for _ in range(3)]
         heads = [kinds.RequestHead(body_follows=True, body_length=5) for _ in exchanges]
         tasks = [
-            asyncio.ensure_future(intake.take(exchange, head, 30.0))
+            asyncio.ensure_future(receiver.receive(exchange, head, 30.0))
             for exchange, head in zip(exchanges, heads, strict=True)
         ]
         await asyncio.sleep(0)
@@ -247,10 +247,10 @@
         exchanges[2].body = b"pho"
         exchanges[2].send_all()
         assert await tasks[2] == "body not whole"
-        assert intake.waiting == 0
+        assert receiver.waiting == 0
         # Nobody is held until the deadline for a body that does not come.
         assert (
-            await Intake(1e9).take(
+            await BodyReceiver(1e9).receive(
                 BodyExchange(b""), kinds.RequestHead(body_follows=True, body_length=5), 30.0, 0.0
             )
             == "body too slow"
--- a/tests/test_partner_leases.py
+++ b/tests/test_partner_leases.py
@@ -41,11 +41,11 @@
     @rule(index=st.integers(0, NODES - 1), which=st.integers(0, REGISTRIES - 1))
     def ask(self, index, which):
         node, registry = self.nodes[index], self.registries[which]
-        asking, asker = node.ask(), node.asker
+        asking, lease_client = node.ask(), node.lease_client
 
         def answer():
             granted = registry.granter.grant(asking)
-            self.messages.append(lambda: asker.take(granted))
+            self.messages.append(lambda: lease_client.apply_grant(granted))
 
         self.messages.append(answer)
 
@@ -97,7 +97,7 @@
             duty = self.registries[0].duty
             if duty.number:
                 node.hear(duty.number, duty.value)
-                node.asker.take(self.registries[0].granter.grant(node.ask()))
+                node.lease_client.apply_grant(self.registries[0].granter.grant(node.ask()))
                 assert node.view.partners.digest == digest_of(self.world)
                 assert node.view.leases.may_use_partners(node.clock)
         for registry in self.registries:
@@ -116,7 +116,7 @@
     registry.begin_read()
     registry.end_read()
     node.hear(world.number, world.value)
-    node.asker.take(registry.granter.grant(node.ask()))
+    node.lease_client.apply_grant(registry.granter.grant(node.ask()))
     node.enter("/a/")
     node.enter("/b/")
     assert len(node.entered) == 1
