--- a/marblefold/proxy/deferred_entry_fetcher.py
+++ b/marblefold/proxy/deferred_entry_fetcher.py
@@ -1,4 +1,4 @@
-"""Fetches each large entry from one registry, when several announce it."""
+"""Fetches each large entry from one of the registries that announce it."""
 
 from collections.abc import Callable
 
@@ -6,21 +6,24 @@
 
 __all__ = ["DeferredEntryFetcher"]
 
-# After so many seconds without the entry another registry is asked.
-_PATIENCE_SECONDS = 0.35
+# If the entry does not arrive within this time, another registry is asked.
+_RETRY_SECONDS = 0.35
 
 
-class _Wanted:
-    """An announced entry, the registries that have it, and when one was asked."""
+class _PendingEntry:
+    """An announced entry, the registries that have it, and when one was last asked."""
 
     def __init__(self, entry) -> None:
         self.entry = entry
         self.peers: list[str] = []
-        self.asked_at = -1e9
+        self.requested_at = -1e9
 
 
 class DeferredEntryFetcher:
-    """The entries to fetch and the registries that have them; `now`: monotonic seconds."""
+    """Tracks the entries to fetch and the registries that have them.
+
+    `now` is in monotonic seconds.
+    """
 
     def __init__(
         self,
@@ -29,37 +32,37 @@
     ) -> None:
         self._is_news = is_news
         self._send = send
-        self._wanted: dict[tuple[str, str], _Wanted] = {}
+        self._pending: dict[tuple[str, str], _PendingEntry] = {}
 
     def note_announcement(self, peer: str, entry, now: float) -> None:
-        """A registry announced this entry."""
+        """Records that a registry has this entry, and requests it if it is due."""
         if not self._is_news(entry):
             return
         key = (entry.kind, entry.key)
-        wanted = self._wanted.get(key)
+        pending = self._pending.get(key)
         version = (entry.life, entry.number)
-        if wanted is None or (wanted.entry.life, wanted.entry.number) < version:
-            wanted = self._wanted[key] = _Wanted(entry)
-        if (wanted.entry.life, wanted.entry.number) == version:
-            wanted.peers.insert(0, peer)
-        self._ask(wanted, now)
+        if pending is None or (pending.entry.life, pending.entry.number) < version:
+            pending = self._pending[key] = _PendingEntry(entry)
+        if (pending.entry.life, pending.entry.number) == version:
+            pending.peers.insert(0, peer)
+        self._request(pending, now)
 
     def retry(self, now: float) -> None:
-        """Asks another registry for each entry that did not arrive in time."""
-        for key, wanted in list(self._wanted.items()):
-            if not self._is_news(wanted.entry):
-                del self._wanted[key]
+        """Requests each entry that did not arrive in time from another registry."""
+        for key, pending in list(self._pending.items()):
+            if not self._is_news(pending.entry):
+                del self._pending[key]
                 continue
-            self._ask(wanted, now)
+            self._request(pending, now)
 
-    def _ask(self, wanted: _Wanted, now: float) -> None:
-        if now - wanted.asked_at < _PATIENCE_SECONDS:
+    def _request(self, pending: _PendingEntry, now: float) -> None:
+        if now - pending.requested_at < _RETRY_SECONDS:
             return
-        want = kinds.Want(kind=wanted.entry.kind, key=wanted.entry.key)
-        # The registry that was asked goes to the end of the list.
-        for _ in range(len(wanted.peers)):
-            peer = wanted.peers.pop(0)
-            wanted.peers.append(peer)
+        want = kinds.Want(kind=pending.entry.kind, key=pending.entry.key)
+        # Each registry that is tried moves to the end of the list.
+        for _ in range(len(pending.peers)):
+            peer = pending.peers.pop(0)
+            pending.peers.append(peer)
             if self._send(peer, want):
-                wanted.asked_at = now
+                pending.requested_at = now
                 return
--- a/marblefold/proxy/graceful_shutdown.py
+++ b/marblefold/proxy/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown after a SIGTERM: every request that was read is answered."""
+"""Graceful shutdown after SIGTERM: every request that was read is answered."""
 
 import asyncio
 import time
@@ -10,17 +10,18 @@
 
 __all__ = ["ShutdownProgram", "shut_down_gracefully"]
 
-# The platform checks readiness every second and acts on two failures.
-_NOTICED = timedelta(milliseconds=2300)
-_QUIET = timedelta(milliseconds=400)
-_LOOK_EVERY = 0.05
-# The rest of the grace period is reserved for the end itself.
+# The platform checks readiness every second and reacts after two failures.
+_READINESS_DETECTION = timedelta(milliseconds=2300)
+_QUIET_PERIOD = timedelta(milliseconds=400)
+_POLL_INTERVAL_SECONDS = 0.05
+# The remaining share of the grace period is reserved for the exit of the process.
 _GRACE_SHARE = 0.92
-_TAKING_SHARE = 0.55
+# Connections are accepted for this share of the grace period at most.
+_ACCEPT_SHARE = 0.55
 
 
 class ShutdownProgram(Protocol):
-    """A program that is shut down gracefully."""
+    """A program that can be shut down gracefully."""
 
     outbound: HttpServer
 
@@ -34,30 +35,31 @@
 
 
 async def shut_down_gracefully(program: ShutdownProgram) -> None:
-    """Returns when the process may exit."""
-    began = time.monotonic()
-    log.info("leaving", in_progress=program.outbound.in_progress, hops=program.hops_in_progress)
+    """Shuts the program down; returns when the process may exit."""
+    started_at = time.monotonic()
+    log.info(
+        "shutdown started", in_progress=program.outbound.in_progress, hops=program.hops_in_progress
+    )
     program.begin_shutdown()
-    # Answers from here on close their connections, but requests are still accepted:
+    # From here on each answer closes its connection.  Requests are still accepted, because
     # clients arrive until the platform has seen two failed readiness checks.
     program.outbound.is_leaving = True
-    last = began + program.grace_period.total_seconds() * _GRACE_SHARE
-    while (now := time.monotonic()) < last:
-        if now - began > program.grace_period.total_seconds() * _TAKING_SHARE:
-            # Clients may arrive as long as we listen: a request accepted later
-            # than this could not be finished.
+    stop_at = started_at + program.grace_period.total_seconds() * _GRACE_SHARE
+    while (now := time.monotonic()) < stop_at:
+        if now - started_at > program.grace_period.total_seconds() * _ACCEPT_SHARE:
+            # Stops listening: a request accepted later might not be finished in time.
             program.outbound.turns_away = True
             program.outbound.stop()
-        is_noticed = now - began > _NOTICED.total_seconds()
+        is_noticed = now - started_at > _READINESS_DETECTION.total_seconds()
         is_quiet = (
             program.outbound.turns_away
-            or now - program.outbound.last_arrival > _QUIET.total_seconds()
+            or now - program.outbound.last_arrival > _QUIET_PERIOD.total_seconds()
         )
         if is_noticed and is_quiet:
             program.outbound.close_idle()
             if not program.outbound.in_progress and not program.hops_in_progress:
                 break
-        await asyncio.sleep(_LOOK_EVERY)
+        await asyncio.sleep(_POLL_INTERVAL_SECONDS)
     program.outbound.stop()
     program.outbound.close_idle()
-    log.info("left", after=round(time.monotonic() - began, 2))
+    log.info("shutdown complete", after=round(time.monotonic() - started_at, 2))
--- a/marblefold/proxy/health_probe.py
+++ b/marblefold/proxy/health_probe.py
@@ -1,4 +1,4 @@
-"""Checks the target's health where its heartbeats are not enough."""
+"""Requests the health of the target over HTTP."""
 
 import asyncio
 from datetime import timedelta
@@ -14,11 +14,11 @@
 
 __all__ = ["Health", "fetch_health", "parse_cold_remaining"]
 
-_PROBE_SECONDS = 1.0
+_PROBE_TIMEOUT_SECONDS = 1.0
 
 
 class Health(NamedTuple):
-    """What a healthy target reports; `cold` is how much longer it is cold."""
+    """The report of a healthy target; `cold` is the remaining cold time."""
 
     instance: str
     slots: int
@@ -26,11 +26,11 @@
 
 
 async def fetch_health(address: Address, path: str) -> Health | None:
-    """The target's health, or None if it is unhealthy or gives no answer in time."""
+    """Returns the target's health, or None if it is unhealthy or does not answer in time."""
     connections = TargetConnections(address)
     connection = None
     try:
-        async with asyncio.timeout(_PROBE_SECONDS):
+        async with asyncio.timeout(_PROBE_TIMEOUT_SECONDS):
             connection = await connections.take()
             head = f"GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n"
             await connection.begin(head.encode(), None)
@@ -53,9 +53,9 @@
 
 
 def parse_cold_remaining(value: bytes | None) -> timedelta | None:
-    """How much longer the target is cold; None if it says so in a way that cannot be read.
+    """Returns the remaining cold time, or None if the value is malformed.
 
-    A target that does not mention it is warm.
+    A target that sends no value is warm.
     """
     try:
         return timedelta(milliseconds=float(value or b"0"))
--- a/marblefold/proxy/heartbeat_calls.py
+++ b/marblefold/proxy/heartbeat_calls.py
@@ -1,4 +1,4 @@
-"""Receives the heartbeats of the target beside this proxy."""
+"""Receives the heartbeats of the local target."""
 
 import json
 from datetime import timedelta
@@ -10,13 +10,14 @@
 
 __all__ = ["HeartbeatCalls", "parse_heartbeat"]
 
-_LARGEST_BEAT = 4096
+_MAX_HEARTBEAT_BYTES = 4096
 
 
 def parse_heartbeat(instance: str, body: bytes) -> Heartbeat:
-    """Parses a heartbeat; ValueError names what is wrong with it.
+    """Parses a heartbeat.
 
-    Raises OverflowError for numbers out of range and RecursionError for deep nesting.
+    Raises ValueError, whose message names the invalid field, OverflowError for numbers
+    out of range and RecursionError for deep nesting.
     """
     document = json.loads(body)
     if not isinstance(document, dict):
@@ -45,26 +46,26 @@
 
 
 class HeartbeatCalls:
-    """The calls that targets make, served from local state."""
+    """Handles the calls of the target, from local state."""
 
     def __init__(self, target: LocalTarget, own_zone: str) -> None:
         self._target = target
         self._own_zone = own_zone
 
     def add_to(self, router: CallRouter) -> None:
-        """Serves these calls at the router."""
-        router.add("PUT", wire_names.TARGET_PATH, self._beat, _LARGEST_BEAT)
-        router.add("DELETE", wire_names.TARGET_PATH, self._leave, _LARGEST_BEAT)
+        """Registers the calls with the router."""
+        router.add("PUT", wire_names.TARGET_PATH, self._on_heartbeat, _MAX_HEARTBEAT_BYTES)
+        router.add("DELETE", wire_names.TARGET_PATH, self._on_deregister, _MAX_HEARTBEAT_BYTES)
 
-    async def _beat(self, call: Call) -> Answer:
+    async def _on_heartbeat(self, call: Call) -> Answer:
         try:
             heartbeat = parse_heartbeat(call.subject, call.body)
         except (ValueError, OverflowError, RecursionError) as error:
             return json_answer(400, {wire_names.REASON: str(error)})
-        # The guard applies it from here on, so the answer may confirm it.
+        # The guard acts on the heartbeat from here on, so the answer may acknowledge it.
         self._target.apply_heartbeat(heartbeat._replace(zone=heartbeat.zone or self._own_zone))
         return json_answer(200, {})
 
-    async def _leave(self, call: Call) -> Answer:
+    async def _on_deregister(self, call: Call) -> Answer:
         self._target.deregister(call.subject)
         return json_answer(200, {})
--- a/marblefold/proxy/lease_client.py
+++ b/marblefold/proxy/lease_client.py
@@ -1,4 +1,4 @@
-"""Requests the leases that this node needs from the registries."""
+"""Requests the leases that this node needs and applies the grants."""
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.leases.held_leases import Grant, OwnedLease
@@ -6,35 +6,35 @@
 
 __all__ = ["LeaseClient"]
 
-_ASK_EVERY = 0.7
+_REQUEST_INTERVAL_SECONDS = 0.7
 
 
 class LeaseClient:
-    """Makes lease requests and applies the grants; times are monotonic seconds."""
+    """Builds lease requests and applies the grants; times are monotonic seconds."""
 
     def __init__(self, node: str, view: MeshView, site: str = "", agent: str = "") -> None:
         self._node = node
         self._view = view
         self._site = site
         self._agent = agent
-        self._next = 0.0
+        self._next_request_at = 0.0
 
     def is_due(self, now: float) -> bool:
-        """Whether a request is due; never without partners and owners."""
-        needs = self._view.partners is not None or (self._site and self._view.owners)
-        if not needs or now < self._next:
+        """Whether a request is due; never without partners or owned services."""
+        needs_lease = self._view.partners is not None or (self._site and self._view.owners)
+        if not needs_lease or now < self._next_request_at:
             return False
-        self._next = now + _ASK_EVERY
+        self._next_request_at = now + _REQUEST_INTERVAL_SECONDS
         return True
 
     def make_request(self, peer: str, now: float) -> kinds.RenewLease:
-        """The request to send to the registry."""
+        """Returns the request to send to the registry."""
         partners = self._view.partners
         return kinds.RenewLease(
             node=self._node,
             number=self._view.leases.ask(now),
             digest=partners.digest if partners is not None else "",
-            # Only the agent of our own site may grant for it.
+            # Only the agent of a site may grant leases for that site.
             site=self._site if peer == self._agent else "",
         )
 
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -1,4 +1,4 @@
-"""The proxy: carries the traffic of one machine and guards its target."""
+"""The proxy program: carries the traffic of one machine and guards its target."""
 
 import asyncio
 import signal
@@ -39,13 +39,13 @@
 
 __all__ = ["ProxyProgram"]
 
-_OVERDUE_LOOK = timedelta(seconds=10)
+_OVERDUE_LOG_INTERVAL = timedelta(seconds=10)
 # The shutdown is announced to peers after this share of the grace period.
 _ANNOUNCE_SHARE = 0.13
 
 
 class ProxyProgram:
-    """Puts the parts of a proxy together and runs them."""
+    """Assembles the components of a proxy and runs them."""
 
     def __init__(self, watch: ConfigWatch) -> None:
         config = watch.config
@@ -107,12 +107,12 @@
         self._stop = asyncio.Event()
 
     async def run(self) -> None:
-        """Serves until the shutdown after a SIGTERM is complete."""
+        """Serves until the shutdown after SIGTERM is complete."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
         self._watch.listen(self._on_config)
-        self._take_address(self._config)
+        self._apply_address(self._config)
         self.guard.cold.begin(time.monotonic())
         listen = self._config.listen
         inner = inner_address(self._config.host, self._config, PROXY)
@@ -135,7 +135,7 @@
             self._hops.run(),
             self.guard.run(),
             self._prober.run(),
-            self._look_for_overdue(),
+            self._log_overdue(),
             self._traffic.run(),
         ):
             self._tasks.start(run)
@@ -148,11 +148,11 @@
         self._tasks.cancel()
 
     def begin_shutdown(self) -> None:
-        """Sends clients elsewhere now, and peers' hops a little later."""
+        """Reports not ready to clients now, and announces the shutdown to peers a little later."""
         self.is_leaving = True
         self.guard.begin_shutdown(time.monotonic())
-        # It takes the platform two seconds to notice; until that is half over
-        # the target beside us serves on.
+        # The platform takes two seconds to detect the shutdown; for the first half of that
+        # time the local target continues to serve hops of peers.
         wait = self.grace_period.total_seconds() * _ANNOUNCE_SHARE
         asyncio.get_running_loop().call_later(wait, self._announce_leaving)
 
@@ -162,31 +162,31 @@
 
     @property
     def hops_in_progress(self) -> int:
-        """How many hops of peers the guard is serving."""
+        """The number of hops of peers that the guard is serving."""
         return self.guard.in_progress
 
     @property
     def grace_period(self) -> timedelta:
-        """How long the platform allows for the shutdown."""
+        """The time that the platform allows for the shutdown."""
         return self._watch.config.bounds.grace_period
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
-        """A peer sends a hop for the target beside us."""
+        """Serves a hop of a peer for the local target."""
         self.guard.on_hop(exchange, payload)
 
     def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
         """Peers make no calls."""
 
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
-        """A peer requests that a trace be kept."""
+        """Handles the request of a peer to keep a trace."""
         if self._tracing is not None:
             self._tracing.take(unpack_message(payload))
 
     def on_lost(self, connection: PeerConnection) -> None:
-        """A peer's connection is lost; its hops have been cancelled already."""
+        """The connection of a peer is lost; its hops have been cancelled already."""
 
     async def _readiness(self, _call: Call) -> Answer:
-        # Ready means: a client that comes now can be served as it should.
+        # Ready means that a request that arrives now can be routed.
         if self.is_leaving or self.view.table is None:
             return json_answer(503, {"ready": False})
         return json_answer(200, {"ready": True})
@@ -205,17 +205,17 @@
     def _on_target_change(self) -> None:
         self.follower.send_target_report()
 
-    def _on_own_notice(self, life: int) -> None:
-        # Our clock may have been set back: supersede the older generation of ours.
-        if self._report_builder.supersede(life):
+    def _on_own_notice(self, generation: int) -> None:
+        # If the local clock was set back, an earlier generation of this node looks newer.
+        if self._report_builder.supersede(generation):
             self.follower.send_target_report()
 
     def _on_configuration(self, table: RouteTable) -> None:
         self.outbound.set_limits(table.limits)
 
     def _add_partner_hops(self) -> None:
-        """The first partner is known: adds the sender for hops to partners."""
-        # Nothing else in a proxy needs it.
+        """Adds the sender for hops to partners once the first partner is known."""
+        # Imported here since a proxy without partners does not need it.
         from marblefold.gateway.partner_hops import add_partner_hops
 
         self.executor.hops = add_partner_hops(self._hops, self.view, self._tasks)
@@ -223,14 +223,14 @@
     def _on_config(self, config: NodeConfig) -> None:
         self.executor.caller = config.upstream
         if config.app_address != self._config.app_address:
-            self._take_address(config)
+            self._apply_address(config)
         self._config = config
 
-    def _take_address(self, config: NodeConfig) -> None:
+    def _apply_address(self, config: NodeConfig) -> None:
         if config.app_address:
             self.guard.set_address(config.app_address)
 
-    async def _look_for_overdue(self) -> None:
+    async def _log_overdue(self) -> None:
         while True:
-            await asyncio.sleep(_OVERDUE_LOOK.total_seconds())
-            self.surroundings.log_overdue(_OVERDUE_LOOK)
+            await asyncio.sleep(_OVERDUE_LOG_INTERVAL.total_seconds())
+            self.surroundings.log_overdue(_OVERDUE_LOG_INTERVAL)
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -1,4 +1,4 @@
-"""Connects to the registries: sends them our notices and follows their feeds."""
+"""Connects to the registries: sends them reports of this node and follows their feeds."""
 
 import asyncio
 import time
@@ -19,18 +19,19 @@
 
 __all__ = ["FeedConsumer", "RegistryFollower"]
 
-_LOOK_EVERY = 0.2
-# A registry without a majority for longer does not count as in touch.
-_TOUCH_SECONDS = 3.0
-# A followed registry sends something every second; one that does not, or is
-# lost, is avoided for a while if others can be followed.
-_SILENT_SECONDS = 2.5
-_PASS_OVER_SECONDS = 3.0
-_COUNTING_SECONDS = 3.0
+_CHECK_INTERVAL_SECONDS = 0.2
+# After this time without a majority, a registry does not count as in touch.
+_CONTACT_TIMEOUT_SECONDS = 3.0
+# A followed registry sends a message every second.  One that does not, or whose connection
+# is lost, is avoided for a while if others can be followed.
+_SILENCE_TIMEOUT_SECONDS = 2.5
+_AVOID_SECONDS = 3.0
+# Counts of proxies are ignored for this time after the first one.
+_COUNT_SETTLING_SECONDS = 3.0
 
 
 class FeedConsumer(Protocol):
-    """What applies the entries of the feeds."""
+    """Applies the entries of the feeds."""
 
     proxies: int
 
@@ -43,7 +44,7 @@
 
 
 class RegistryFollower:
-    """Owns the connections to the registries."""
+    """Keeps the connections to the followed registries."""
 
     def __init__(
         self,
@@ -59,32 +60,32 @@
         self._view = view
         self._make_report = make_report
         self._lease_client = lease_client
-        # How many registries are followed at once; None follows them all.
+        # The number of registries to follow at once; None follows all of them.
         self._max_followed = max_followed
         self._peers = PeerBook(self)
         self._entry_fetcher = DeferredEntryFetcher(view.is_news, self.send_to)
         self._startup_hold = StartupEntryHold()
         self._places: dict[str, tuple[int, int]] = {}
         self._following: set[str] = set()
-        self._touched: dict[str, float] = {}
-        self._heard: dict[str, float] = {}
+        self._majority_seen_at: dict[str, float] = {}
+        self._heard_at: dict[str, float] = {}
         self._counted_since = 0.0
-        self._passed_over: dict[str, float] = {}
+        self._avoided_until: dict[str, float] = {}
 
     @property
     def is_in_touch(self) -> bool:
-        """Whether a registry in contact with a majority sent something recently."""
+        """Whether a registry in contact with a majority sent a message recently."""
         now = time.monotonic()
-        return any(now - at < _TOUCH_SECONDS for at in self._touched.values())
+        return any(now - at < _CONTACT_TIMEOUT_SECONDS for at in self._majority_seen_at.values())
 
     def send_target_report(self) -> None:
-        """Sends a notice of the current state to all followed registries."""
+        """Sends a report of the current state to all followed registries."""
         if self._make_report is None:
             return
         self.send_to_all(self._make_report())
 
     def send_to_all(self, message: object) -> None:
-        """Sends a message to all registries that are followed."""
+        """Sends a message to all followed registries."""
         for peer in self._following:
             self.send_to(peer, message)
 
@@ -101,16 +102,19 @@
         while True:
             if self.is_in_touch != was_in_touch:
                 was_in_touch = not was_in_touch
-                log.info("in touch" if was_in_touch else "out of touch", node=self._node)
-            wanted = self._find_wanted(time.monotonic())
+                log.info(
+                    "registry majority reachable" if was_in_touch else "registry majority lost",
+                    node=self._node,
+                )
+            selected = self._select_registries(time.monotonic())
             async with asyncio.TaskGroup() as group:
-                for peer in wanted:
+                for peer in selected:
                     if self._peers.find(peer) is None:
                         group.create_task(self._follow(peer))
             self._request_leases(time.monotonic())
             self._entry_fetcher.retry(time.monotonic())
             self.release_held_entries(time.monotonic())
-            await asyncio.sleep(_LOOK_EVERY)
+            await asyncio.sleep(_CHECK_INTERVAL_SECONDS)
 
     def _request_leases(self, now: float) -> None:
         if self._lease_client is None or not self._lease_client.is_due(now):
@@ -118,45 +122,45 @@
         for peer in self._following:
             self.send_to(peer, self._lease_client.make_request(peer, now))
 
-    def _find_wanted(self, now: float) -> list[str]:
+    def _select_registries(self, now: float) -> list[str]:
         known = set(self._seeds()) | self._view.registries
         if self._max_followed is None:
             return list(known)
         for peer in self._following & known:
-            # An unresponsive registry, or one without a majority, is not relied on.
-            is_silent = now - self._heard.get(peer, now) > _SILENT_SECONDS
-            is_alone = now - self._touched.get(peer, now) > _SILENT_SECONDS
-            if is_silent or is_alone:
-                self._passed_over[peer] = now + _PASS_OVER_SECONDS
+            # Avoids an unresponsive registry and one without a majority.
+            is_silent = now - self._heard_at.get(peer, now) > _SILENCE_TIMEOUT_SECONDS
+            has_no_majority = now - self._majority_seen_at.get(peer, now) > _SILENCE_TIMEOUT_SECONDS
+            if is_silent or has_no_majority:
+                self._avoided_until[peer] = now + _AVOID_SECONDS
         ranked = sorted(
             known,
-            key=lambda peer: (self._passed_over.get(peer, 0.0) > now, _rank(self._node, peer)),
+            key=lambda peer: (self._avoided_until.get(peer, 0.0) > now, _rank(self._node, peer)),
         )
-        wanted = ranked[: self._max_followed]
+        selected = ranked[: self._max_followed]
         for peer in list(self._following):
-            if peer not in wanted:
+            if peer not in selected:
                 self._peers.drop(peer)
-        return wanted
+        return selected
 
     async def _follow(self, peer: str) -> None:
         try:
             connection = await self._peers.reach(peer)
         except MeshError:
-            self._passed_over[peer] = time.monotonic() + _PASS_OVER_SECONDS
+            self._avoided_until[peer] = time.monotonic() + _AVOID_SECONDS
             return
         self._following.add(peer)
-        self._heard[peer] = self._touched[peer] = time.monotonic()
+        self._heard_at[peer] = self._majority_seen_at[peer] = time.monotonic()
         if self._make_report is not None:
             connection.send(FrameKind.TELL, 0, pack_message(self._make_report()))
-        life, place = self._places.get(peer, (0, 0))
+        generation, place = self._places.get(peer, (0, 0))
         connection.send(
             FrameKind.TELL,
             0,
-            pack_message(kinds.Follow(node=self._node, registry_life=life, place=place)),
+            pack_message(kinds.Follow(node=self._node, registry_life=generation, place=place)),
         )
 
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
-        """Applies a message of a registry: a part of its feed, an entry or a lease.
+        """Applies a message of a registry: a part of its feed, an entry or a lease grant.
 
         Raises ValueError, zlib.error or DecodeError if it is malformed.
         """
@@ -167,47 +171,49 @@
             self._view.take(feed)
         if not isinstance(feed, kinds.Feed):
             return
-        self._heard[connection.peer] = time.monotonic()
-        life, place = self._places.get(connection.peer, (0, 0))
+        self._heard_at[connection.peer] = time.monotonic()
+        generation, place = self._places.get(connection.peer, (0, 0))
         entries = feed.entries
         if feed.compressed_entries:
             entries = kinds.Feed.FromString(zlib.decompress(feed.compressed_entries)).entries
-        # Changes that do not continue what we have show a gap: start over.
-        joins = feed.snapshot or (feed.registry_life == life and feed.place - len(entries) <= place)
-        if not joins:
+        # Changes that do not follow the last known place leave a gap: requests a snapshot.
+        is_contiguous = feed.snapshot or (
+            feed.registry_life == generation and feed.place - len(entries) <= place
+        )
+        if not is_contiguous:
             self._places.pop(connection.peer, None)
             connection.send(FrameKind.TELL, 0, pack_message(kinds.Follow(node=self._node)))
             return
         self._places[connection.peer] = (feed.registry_life, feed.place)
         if feed.in_touch:
-            self._touched[connection.peer] = time.monotonic()
-        self._take_count(feed.proxies, time.monotonic())
+            self._majority_seen_at[connection.peer] = time.monotonic()
+        self._update_proxy_count(feed.proxies, time.monotonic())
         now = time.monotonic()
-        self._take(self._startup_hold.admit(connection.peer, entries, feed.in_touch, now), now)
+        self._apply(self._startup_hold.admit(connection.peer, entries, feed.in_touch, now), now)
 
     def release_held_entries(self, now: float) -> None:
-        """Applies entries held back for too long; `now` is in monotonic seconds."""
-        self._take(self._startup_hold.admit("", (), False, now), now)
+        """Applies entries whose hold has timed out; `now` is in monotonic seconds."""
+        self._apply(self._startup_hold.admit("", (), False, now), now)
 
-    def _take(self, received: list[ReceivedEntry], now: float) -> None:
+    def _apply(self, received: list[ReceivedEntry], now: float) -> None:
         for peer, entry in received:
             if entry.deferred:
                 self._entry_fetcher.note_announcement(peer, entry, now)
             else:
                 self._view.take(entry)
 
-    def _take_count(self, proxies: int, now: float) -> None:
-        """Records how many proxies share the retry budget."""
+    def _update_proxy_count(self, proxies: int, now: float) -> None:
+        """Updates the number of proxies that share the retry budget."""
         self._counted_since = self._counted_since or now
-        # Registries that start together with us count up from zero; and the
-        # largest of several counts is the cautious choice.
-        if now - self._counted_since >= _COUNTING_SECONDS:
+        # Registries that start at the same time as this node count up from zero.  Of several
+        # counts the largest is the cautious one.
+        if now - self._counted_since >= _COUNT_SETTLING_SECONDS:
             self._view.proxies = max(self._view.proxies, proxies)
 
     def on_lost(self, connection: PeerConnection) -> None:
-        """A connection to a registry is lost; `run` will reconnect."""
+        """Handles a lost connection to a registry; `run` reconnects."""
         self._following.discard(connection.peer)
-        log.info("registry lost", peer=connection.peer)
+        log.info("registry connection lost", peer=connection.peer)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
         """Registries send no hops."""
--- a/marblefold/proxy/target_prober.py
+++ b/marblefold/proxy/target_prober.py
@@ -1,4 +1,4 @@
-"""Asks the target beside this proxy for its health when its heartbeats are not enough."""
+"""Probes the health of the local target when its heartbeats are not sufficient."""
 
 import asyncio
 import time
@@ -14,11 +14,11 @@
 
 __all__ = ["TargetProber"]
 
-_TABLE_LOOK_SECONDS = 0.05
+_TABLE_POLL_INTERVAL_SECONDS = 0.05
 
 
 class TargetProber:
-    """Probes at the start, when its zone is taken back, and when the limiter needs to know."""
+    """Probes at the start, when the evacuation of the zone ends, and when the limiter needs it."""
 
     def __init__(
         self,
@@ -37,15 +37,18 @@
         view.on_evacuation = self.on_evacuation
 
     async def run(self) -> None:
-        """After our own start the target may already be running: probes it once."""
+        """Probes the target once after the start, since it may already be running."""
         while self._view.table is None:
-            await asyncio.sleep(_TABLE_LOOK_SECONDS)
-        # Even if a heartbeat came first: that may have been on its way for long.
+            await asyncio.sleep(_TABLE_POLL_INTERVAL_SECONDS)
+        # Also after a first heartbeat, which may have been delayed by several seconds.
         if self._target.state is TargetState.UNKNOWN or self._cold.is_uncertain:
             self.probe()
 
     def on_evacuation(self, zone: str, is_on: bool) -> None:
-        """A zone is emptied or taken back; in ours the target may have gone cold unheard."""
+        """Probes the target when the evacuation of its zone ends.
+
+        The target may have gone cold during the evacuation without being noticed.
+        """
         if is_on or zone != self._read_config().zone:
             return
         self._cold.mark_uncertain(time.monotonic(), "zone taken back")
@@ -53,7 +56,7 @@
             self.probe()
 
     def probe(self) -> None:
-        """Asks the target, if the configuration tells where its health is."""
+        """Probes the target if the configuration contains its health check path."""
         table = self._view.table
         known = table.upstreams.get(self._read_config().upstream) if table else None
         if known is not None:
--- a/marblefold/proxy/target_report.py
+++ b/marblefold/proxy/target_report.py
@@ -1,4 +1,4 @@
-"""Makes the notices of this proxy and its target for the registries."""
+"""Builds the reports on this proxy and its target for the registries."""
 
 import time
 
@@ -11,23 +11,23 @@
 
 
 class TargetReportBuilder:
-    """Numbers the notices of this life of the proxy."""
+    """Builds numbered reports for the current generation of this proxy."""
 
     def __init__(self, config: NodeConfig, target: LocalTarget) -> None:
         self.is_leaving = False
         self._config = config
         self._target = target
-        # Lives are ordered by the clock; `supersede` corrects a clock that went back.
-        self._life = int(time.time() * 1000)
+        # Generations are ordered by the clock; `supersede` handles a clock that was set back.
+        self._generation = int(time.time() * 1000)
         self._number = 0
 
     def build(self) -> kinds.TargetNotice:
-        """A notice of the current state."""
+        """Returns a report of the current state."""
         self._number += 1
         target, config = self._target, self._config
         return kinds.TargetNotice(
             node=config.node_name,
-            node_life=self._life,
+            node_life=self._generation,
             notice_number=self._number,
             address=inner_address(config.host, config, PROXY),
             zone=target.zone or config.zone,
@@ -42,12 +42,12 @@
             site_agent=config.site_agent,
         )
 
-    def supersede(self, life: int) -> bool:
-        """Another life of this node counts as newer: begin one above it, if needed.
+    def supersede(self, generation: int) -> bool:
+        """Begins a generation above the given one, unless the current one is newer already.
 
-        Returns whether a new life was begun.
+        Returns whether a new generation was begun.
         """
-        if life <= self._life:
+        if generation <= self._generation:
             return False
-        self._life = life + 1
+        self._generation = generation + 1
         return True
--- a/marblefold/proxy/traffic_reporter.py
+++ b/marblefold/proxy/traffic_reporter.py
@@ -1,4 +1,4 @@
-"""Reports to the registries periodically how many requests began here."""
+"""Reports periodically to the registries how many requests began at this node."""
 
 import asyncio
 import random
@@ -14,7 +14,7 @@
 
 
 class TrafficReporter:
-    """Sends the traffic notices at the configured period."""
+    """Sends the traffic reports at the configured period."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         self._period = read_traffic_period() if period is None else period
 
     async def run(self) -> None:
-        """Sends notices forever, with a random first delay to spread the nodes."""
+        """Sends reports forever, after a random delay that spreads the nodes over the period."""
         if not self._period:
             return
         await asyncio.sleep(random.random() * self._period.total_seconds())
@@ -42,8 +42,8 @@
     def send_report(self) -> None:
         """Sends the current counts, if they have changed."""
         config = self._config
-        notice = self._count.make_notice(
+        report = self._count.make_notice(
             config.node_name, config.zone, config.region, self._service_seconds()
         )
-        if notice is not None:
-            self._follower.send_to_all(notice)
+        if report is not None:
+            self._follower.send_to_all(report)
--- a/marblefold/request_path/body_receiver.py
+++ b/marblefold/request_path/body_receiver.py
@@ -1,9 +1,9 @@
-"""Receives request bodies, a few at a time, so that they do not saturate a link.
+"""Receives request bodies a few at a time, so that they do not saturate the link.
 
-A machine's link carries every hop to its target.  Bodies received concurrently
-take as long in total as one after the other, and block everything else meanwhile;
-one after the other, each is complete sooner.  A body in transfer holds no slot:
-the target gets it whole, at once.
+The link of a machine carries every hop to its target.  Receiving bodies concurrently
+takes as long in total as receiving them in sequence and blocks all other traffic
+meanwhile; in sequence, each body is complete sooner.  A body in transfer occupies no
+slot: the target receives it at once when it is complete.
 """
 
 import asyncio
@@ -13,31 +13,33 @@
 
 __all__ = ["BodyReceiver"]
 
-# The window of one body: what the link carries in this time, since other hops
-# wait behind it.
+# The flow-control window of a body is what the link carries in this time, because other
+# hops wait behind it.
 _WINDOW_SECONDS = 0.05
-_LEAST_WINDOW, _MOST_WINDOW = 8 * 1024, 64 * 1024
-# For how long all bodies together may occupy the link.
-_LINK_SECONDS = 0.1
-_FEWEST, _MOST = 2, 64
-# A body with a slow sender delays the others for no longer.
-_LONGEST_WAIT = 1.0
-# A body may take so many times as long as it would alone on the link.
-_TIMES_USUAL = 2.5
-# A larger body, or one without a length, is forwarded as it arrives.
-_LARGEST_HELD = 512 * 1024
+_MIN_WINDOW_BYTES, _MAX_WINDOW_BYTES = 8 * 1024, 64 * 1024
+# The time for which the windows of all bodies together may occupy the link.
+_MAX_LINK_SECONDS = 0.1
+_MIN_CONCURRENT_BODIES, _MAX_CONCURRENT_BODIES = 2, 64
+# The longest time for which a body with a slow sender delays another one.
+_MAX_WAIT_SECONDS = 1.0
+# The allowed duration of a transfer, as a multiple of that on an otherwise idle link.
+_MAX_TRANSFER_FACTOR = 2.5
+# A larger body, or one without a length, is streamed to the target.
+_MAX_BUFFERED_BYTES = 512 * 1024
 
 
 class BodyReceiver:
-    """Limits how many bodies are received at once."""
+    """Limits how many bodies are received concurrently."""
 
     def __init__(self, link_bytes_per_second: float) -> None:
         self._link_bytes_per_second = max(1.0, link_bytes_per_second)
         self._window = int(
-            max(_LEAST_WINDOW, min(_MOST_WINDOW, link_bytes_per_second * _WINDOW_SECONDS))
+            max(_MIN_WINDOW_BYTES, min(_MAX_WINDOW_BYTES, link_bytes_per_second * _WINDOW_SECONDS))
+        )
+        max_concurrent = int(link_bytes_per_second * _MAX_LINK_SECONDS / self._window)
+        self._permits = asyncio.Semaphore(
+            max(_MIN_CONCURRENT_BODIES, min(_MAX_CONCURRENT_BODIES, max_concurrent))
         )
-        places = int(link_bytes_per_second * _LINK_SECONDS / self._window)
-        self._places = asyncio.Semaphore(max(_FEWEST, min(_MOST, places)))
         self.waiting = 0
 
     async def receive(
@@ -45,43 +47,45 @@
         exchange: Exchange,
         head,
         seconds: float,
-        patience: float = 1e9,
+        min_timeout: float = 1e9,
     ) -> str:
         """Receives the body into the head; returns the step that failed, or "".
 
-        It may take `seconds`, and no longer than the larger of `patience` (seconds)
-        and the usual time for its length.
+        The time limit is `seconds`, or if that is less, the larger of `min_timeout`
+        (seconds) and the usual time for a body of its length.
         """
-        # Nothing was offered yet: an early refusal is better than a late one.
-        usual = _TIMES_USUAL * max(0, head.body_length) / self._link_bytes_per_second
-        seconds = min(seconds, max(patience, usual))
-        if not 0 <= head.body_length <= _LARGEST_HELD:
+        # Nothing has been offered to the target yet: refusing early is better than late.
+        usual_seconds = (
+            _MAX_TRANSFER_FACTOR * max(0, head.body_length) / self._link_bytes_per_second
+        )
+        seconds = min(seconds, max(min_timeout, usual_seconds))
+        if not 0 <= head.body_length <= _MAX_BUFFERED_BYTES:
             exchange.grant(self._window)
             return ""
         self.waiting += 1
-        has_place = False
+        has_permit = False
         try:
             async with asyncio.timeout(seconds):
-                has_place = await self._enter()
+                has_permit = await self._acquire_permit()
                 exchange.grant(self._window)
-                parts = [head.body]
+                chunks = [head.body]
                 while chunk := await exchange.incoming.read():
-                    parts.append(chunk)
+                    chunks.append(chunk)
         except TimeoutError:
             return "body too slow"
         except MeshError as error:
             return error.step
         finally:
             self.waiting -= 1
-            if has_place:
-                self._places.release()
-        head.body = b"".join(parts)
+            if has_permit:
+                self._permits.release()
+        head.body = b"".join(chunks)
         head.body_follows = False
         return "" if len(head.body) == head.body_length else "body not whole"
 
-    async def _enter(self) -> bool:
+    async def _acquire_permit(self) -> bool:
         try:
-            async with asyncio.timeout(_LONGEST_WAIT):
-                return await self._places.acquire()
+            async with asyncio.timeout(_MAX_WAIT_SECONDS):
+                return await self._permits.acquire()
         except TimeoutError:
             return False
--- a/marblefold/request_path/cold_start.py
+++ b/marblefold/request_path/cold_start.py
@@ -1,4 +1,4 @@
-"""Holds the target beside this proxy to its limit whenever it may be cold."""
+"""Limits the request rate of the local target whenever it may be cold."""
 
 import math
 import time
@@ -21,18 +21,18 @@
 
 __all__ = ["COLD_STEP", "ColdStartLimiter"]
 
-# The step of a hop that is refused since its target may be cold.
+# The step of a hop that is refused because its target may be cold.
 COLD_STEP = "cold"
-# A target that was offered nothing for longer may have gone cold meanwhile, unknown to us: we
-# were cut off, or did not run.
+# After a longer time without a write, the target may have gone cold unnoticed: this proxy
+# may have been partitioned or suspended.
 _IDLE_SECONDS = 1.1
-# A doubtful target is probed once this share of its limit is used up: with less, the
-# doubt costs nothing.
+# A target in an uncertain state is probed once this share of its limit is used up; below
+# that, the limit delays no request.
 _PROBE_SHARE = 0.25
-_PROBE_EVERY = 0.25
-# A target that is offered all that it bears may be probed once besides.
+_PROBE_INTERVAL_SECONDS = 0.25
+# The number of probes allowed in addition to a limit that is used up.
 _PROBE_RESERVE = 1
-_DOUBT_RETRY_SECONDS = 0.1
+_UNCERTAIN_RETRY_SECONDS = 0.1
 
 
 class ColdStartLimiter:
@@ -49,7 +49,7 @@
         self._view = view
         self._bounds = bounds
         self._limit = ColdLimit()
-        # What a cold target bears, as far as it was known at the last hop.
+        # The limits of a cold target as known at the last hop.
         self._limits: ColdLimits | None = None
         self._written_at = -math.inf
         self._probed_at = -math.inf
@@ -57,26 +57,26 @@
         target.on_new_instance = self.monitor.begin_instance
 
     def begin(self, now: float) -> None:
-        """This process has started: what the target was offered until now is unknown.
+        """Starts with a full window, since earlier requests to the target are unknown.
 
-        Whatever a heartbeat says first may be older than that.
+        The first heartbeat may have been sent before this process started.
         """
         self._limit.assume_window_full(now)
         self._written_at = now
         self.mark_uncertain(now, "start")
 
     def mark_uncertain(self, now: float, why: str) -> None:
-        """The target may have gone cold without our having heard of it."""
+        """Records that the target may have gone cold without this proxy having been told."""
         log.info("target may be cold", instance=self._target.instance, why=why)
         self._target.cold.mark_uncertain(now)
 
     @property
     def is_uncertain(self) -> bool:
-        """Whether the target may be cold unknown to us."""
+        """Whether the target may be cold without having reported it."""
         return self._target.cold.is_uncertain(time.monotonic(), self._cold_seconds)
 
     def has_room(self, head, now: float) -> bool:
-        """Whether the hop may be offered, as far as can be told; it is not counted yet."""
+        """Whether the hop may be offered as far as is known now; it is not counted yet."""
         self._limits = find_cold_limits(self._view, head.upstream, head)
         if now - self._written_at > _IDLE_SECONDS:
             self._target.cold.mark_uncertain(now)
@@ -89,7 +89,7 @@
     def may_write(self, now: float) -> bool:
         """Whether the hop may be written at this moment; if so, it is counted.
 
-        Nothing may be awaited between this and the write.
+        The caller must not await anything between this call and the write.
         """
         self._update_limit(now)
         if not self._limit.may_offer(now, cold_rate_limit(self._limits, self._bounds)):
@@ -99,42 +99,45 @@
 
     def may_probe(self, now: float) -> bool:
         """Whether the target may be probed now; if so, the probe is counted as a request."""
-        most = cold_rate_limit(self._limits, self._bounds)
+        max_per_second = cold_rate_limit(self._limits, self._bounds)
         is_limited = now < self._limit.cold_until
-        if is_limited and self._limit.used(now, most) + 1 > most + _PROBE_RESERVE:
+        if (
+            is_limited
+            and self._limit.used(now, max_per_second) + 1 > max_per_second + _PROBE_RESERVE
+        ):
             return False
         self._probed_at = now
         self._limit.note_offer(now)
         return True
 
     def note_written(self) -> None:
-        """A request was written to the target."""
+        """Reports a request written to the target to the monitor."""
         self.monitor.note_written(time.monotonic(), cold_rate_bound(self._limits, self._bounds))
 
     def retry_after(self, now: float) -> float:
-        """In how many seconds there is room again, or may be."""
+        """The seconds until the window has room again, or may have."""
         if now < self._target.cold_until:
             return self._limit.retry_after(now)
-        # A probe may end the doubt at any moment.
-        return min(_DOUBT_RETRY_SECONDS, self._limit.retry_after(now))
+        # A probe may end the uncertainty at any moment.
+        return min(_UNCERTAIN_RETRY_SECONDS, self._limit.retry_after(now))
 
     @property
     def _cold_seconds(self) -> float:
         return self._limits.seconds if self._limits is not None else 0.0
 
     def _update_limit(self, now: float) -> None:
-        """Holds the limit or lifts it, and has the target probed if the doubt is dear."""
+        """Enforces or lifts the limit; requests a probe if the uncertainty may delay requests."""
         state = self._target.cold
         seconds = self._cold_seconds
         self._limit.cold_until = math.inf if state.may_be_cold(now, seconds) else -math.inf
         if not state.is_uncertain(now, seconds):
             return
-        most = cold_rate_limit(self._limits, self._bounds)
-        if self._limit.count(now) >= _PROBE_SHARE * most:
+        max_per_second = cold_rate_limit(self._limits, self._bounds)
+        if self._limit.count(now) >= _PROBE_SHARE * max_per_second:
             self._request_probe(now)
 
     def _request_probe(self, now: float) -> None:
-        if now - self._probed_at >= _PROBE_EVERY:
+        if now - self._probed_at >= _PROBE_INTERVAL_SECONDS:
             self.on_probe_needed()
 
     def _note_report(self, report: ColdReport) -> None:
--- a/marblefold/request_path/cold_state.py
+++ b/marblefold/request_path/cold_state.py
@@ -1,8 +1,9 @@
-"""What is known of how long the target is cold, and whether that can be relied on.
+"""Tracks how long the target is cold, and whether that state is certain.
 
-A target is cold unless there is a report, made after the last moment of doubt, that it
-is warm.  Heartbeats may arrive seconds late and tell nothing of when they were made; a
-health answer was made after its question, so only health answers end a doubt early.
+A target counts as cold unless it reported to be warm after the last moment at which its
+state became uncertain.  Heartbeats may arrive seconds late and carry no time of their
+creation.  A health answer is created after its request, so only health answers end the
+uncertainty early.
 """
 
 import enum
@@ -12,22 +13,22 @@
 
 __all__ = ["ColdReport", "ColdState", "ReportSource"]
 
-# No cold start is taken to last longer, whatever the configuration says or lacks.
-_LONGEST_COLD_SECONDS = 30.0
+# Upper limit of a cold start, also if the configuration gives a longer one or none.
+_MAX_COLD_SECONDS = 30.0
 
 
 class ReportSource(enum.Enum):
-    """How the target's word on its cold time arrived."""
+    """How a report on the remaining cold time arrived."""
 
     HEARTBEAT = "heartbeat"
     HEALTH = "health"
 
 
 class ColdReport(NamedTuple):
-    """How much longer the target is cold, by its own word.
+    """How much longer the target is cold, as reported by itself.
 
-    `at` is when it was heard; `made_after` a time before which it cannot have been
-    made, which for a heartbeat is unknown.  Both are monotonic seconds.
+    `at` is when the report was received.  `made_after` is a time before which it cannot
+    have been created; for a heartbeat that is unknown.  Both are monotonic seconds.
     """
 
     source: ReportSource
@@ -37,7 +38,7 @@
 
 
 class ColdState:
-    """The reports of one target instance, and the last moment of doubt.
+    """The reports of one target instance, and when its state last became uncertain.
 
     All times are monotonic seconds.
     """
@@ -50,13 +51,13 @@
 
     @property
     def cold_until(self) -> float:
-        """Until when the target is cold by its own word."""
+        """Until when the target is cold according to its own reports."""
         return max(self._cold_until.values())
 
     def apply(self, report: ColdReport) -> None:
-        """Applies a report; heartbeats must come in their order.
+        """Applies a report; heartbeats must be applied in their order.
 
-        A health answer is ignored after one whose question came later.
+        A health answer is ignored if one to a later request has been applied.
         """
         if report.made_after < self._health_asked_at and report.source is ReportSource.HEALTH:
             return
@@ -65,21 +66,24 @@
             self._heartbeat_at = report.at
             return
         self._health_asked_at = report.made_after
-        # It is newer than each heartbeat that was heard before its question.
+        # The answer is newer than each heartbeat received before its request.
         if self._heartbeat_at < report.made_after:
             self._cold_until[ReportSource.HEARTBEAT] = -math.inf
         if self._uncertain_since <= report.made_after:
             self._uncertain_since = -math.inf
 
     def mark_uncertain(self, now: float) -> None:
-        """From now on the target may be cold without having said so."""
+        """Records that from `now` on the target may be cold without having reported it."""
         self._uncertain_since = now
 
     def is_uncertain(self, now: float, cold_seconds: float) -> bool:
-        """Whether it may be cold unknown to us; it stays so for `cold_seconds` at most."""
-        longest = min(cold_seconds, _LONGEST_COLD_SECONDS) if cold_seconds > 0 else math.inf
-        return now < self._uncertain_since + min(longest, _LONGEST_COLD_SECONDS)
+        """Whether the target may be cold without having reported it.
+
+        This lasts for `cold_seconds` at most.
+        """
+        max_seconds = min(cold_seconds, _MAX_COLD_SECONDS) if cold_seconds > 0 else math.inf
+        return now < self._uncertain_since + min(max_seconds, _MAX_COLD_SECONDS)
 
     def may_be_cold(self, now: float, cold_seconds: float) -> bool:
-        """Whether the limit for cold targets holds."""
+        """Whether the limit for cold targets applies."""
         return now < self.cold_until or self.is_uncertain(now, cold_seconds)
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -1,7 +1,7 @@
-"""The inbound guard: the only way to the target beside this proxy.
+"""The inbound guard, through which every request to the local target passes.
 
-The limits of a target (shutdown, evacuation, instance, cold start, slots) are
-enforced here, locally and exactly.
+It enforces the limits of the target (shutdown, evacuation, instance, cold start, slots)
+from local state, exactly and without a call to another node.
 """
 
 import asyncio
@@ -30,22 +30,22 @@
 
 __all__ = ["Guard"]
 
-# A draining target accepts hops that have no alternative for this share of its
-# drain time; the rest is for the requests in progress by then.
-_DRAIN_SHARE = 0.4
-_LEAST_SECONDS = 0.003
-# A request whose body is not received within this share of its aim is refused.
-_BODY_AIM_SHARE = 0.6
-_LEAST_PATIENCE = 0.3
+# A draining target accepts hops without an alternative for this share of its drain
+# time; the remaining time is reserved for the requests in progress by then.
+_DRAIN_ACCEPT_SHARE = 0.4
+_MIN_OFFER_SECONDS = 0.003
+# A request whose body is not received within this share of its latency target is refused.
+_BODY_LATENCY_SHARE = 0.6
+_MIN_BODY_TIMEOUT_SECONDS = 0.3
 _REFUSED_RETRY_SECONDS = 0.1
-# Requests in progress and not a byte for so many seconds: check the target.
-_QUIET_SECONDS = 0.35
-_LOOK_SECONDS = 0.1
-_SHUN_SECONDS = 0.2
+# If requests are in progress and no byte arrives for this long, the target is checked.
+_SILENCE_SECONDS = 0.35
+_CHECK_INTERVAL_SECONDS = 0.1
+_UNREACHABLE_RETRY_SECONDS = 0.2
 
 
 class Guard:
-    """Decides locally whether a hop may go to the target."""
+    """Decides from local state whether a hop may be forwarded to the target."""
 
     def __init__(
         self,
@@ -64,82 +64,89 @@
         self._connections: TargetConnections | None = None
         self._caller: TargetCaller | None = None
         self._tasks: set[asyncio.Task] = set()
-        self._offered = OfferedHops()
-        self._watch = LoopWatch(_LOOK_SECONDS)
+        self._offered_hops = OfferedHops()
+        self._loop_watch = LoopWatch(_CHECK_INTERVAL_SECONDS)
         self._unreachable_until = 0.0
-        self._leaving = LeavingRule(bounds)
-        # Records every hop, if this node traces.
+        self._leaving_rule = LeavingRule(bounds)
+        # Records every hop if tracing is enabled on this node.
         self.tracer: GuardTracer | None = None
 
     @property
     def in_progress(self) -> int:
-        """How many hops this guard is serving."""
+        """The number of hops being served."""
         return len(self._tasks)
 
     def begin_shutdown(self, now: float) -> None:
-        """The proxy shuts down: what is accepted must finish in time; `now`: monotonic seconds."""
-        self._leaving.since = now
+        """Refuses hops that could not finish before the proxy exits.
+
+        `now` is in monotonic seconds.
+        """
+        self._leaving_rule.since = now
 
     def set_address(self, address: Address) -> None:
-        """Sets the address of the target and closes its idle connections."""
+        """Sets the address of the target and closes the idle connections to the previous one."""
         if self._connections is not None:
             self._connections.close()
         self._connections = TargetConnections(address)
         self._caller = TargetCaller(self._connections, self.cold.note_written)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
-        """Serves a hop from a peer; google.protobuf's DecodeError if its head is malformed."""
+        """Serves a hop from a peer.
+
+        Raises google.protobuf's DecodeError if its head is malformed.
+        """
         head = kinds.RequestHead.FromString(payload)
         task = asyncio.get_running_loop().create_task(self._serve(exchange, head, time.monotonic()))
         self._tasks.add(task)
-        task.add_done_callback(lambda done: self._note_done(done, exchange))
+        task.add_done_callback(lambda done: self._on_task_done(done, exchange))
         exchange.on_cancel = task.cancel
 
-    def _note_done(self, task: asyncio.Task, exchange: Exchange) -> None:
+    def _on_task_done(self, task: asyncio.Task, exchange: Exchange) -> None:
         self._tasks.discard(task)
-        # A task that is cancelled before its first step does not clean up.
+        # A task cancelled before its first step never runs its `finally` block.
         exchange.close()
 
     async def run(self) -> None:
-        """Checks forever whether the target has stopped responding."""
+        """Detects a target that has stopped responding; runs forever."""
         while True:
-            await asyncio.sleep(_LOOK_SECONDS)
+            await asyncio.sleep(_CHECK_INTERVAL_SECONDS)
             now = time.monotonic()
-            self._watch.tick(now)
-            # One long request proves nothing; several without a byte do.
-            waiting = self._offered.count_older(now, _QUIET_SECONDS)
+            self._loop_watch.tick(now)
+            # A single request may just be slow; several without any byte indicate a failure.
+            waiting = self._offered_hops.count_older(now, _SILENCE_SECONDS)
             connections = self._connections
-            if connections is None or waiting < 2 or now - connections.heard_at < _QUIET_SECONDS:
+            if connections is None or waiting < 2 or now - connections.heard_at < _SILENCE_SECONDS:
                 continue
             if not await connections.is_reachable():
-                self._give_up_on_target(now)
+                self._mark_unreachable(now)
 
-    def _give_up_on_target(self, now: float) -> None:
-        self._unreachable_until = time.monotonic() + _SHUN_SECONDS
-        # Repeatable requests need not wait here until their deadline.
-        for exchange in self._offered.repeatable_before(now):
+    def _mark_unreachable(self, now: float) -> None:
+        self._unreachable_until = time.monotonic() + _UNREACHABLE_RETRY_SECONDS
+        # Repeatable requests are cancelled now, so that their senders can retry them
+        # elsewhere instead of waiting for the deadline.
+        for exchange in self._offered_hops.repeatable_before(now):
             if exchange.on_cancel is not None:
                 exchange.on_cancel()
 
-    async def _serve(self, exchange: Exchange, head, came: float) -> None:
+    async def _serve(self, exchange: Exchange, head, arrived_at: float) -> None:
         tracer = self.tracer
         span = tracer.begin_serve(head) if tracer is not None and head.trace_id else None
         answer = None
         try:
-            await self._watch.settle()
-            answer = await self._pass(exchange, head, came, span)
+            await self._loop_watch.settle()
+            answer = await self._admit_and_offer(exchange, head, arrived_at, span)
             answer.running = self.slots.running
             answer.waiting = self.slots.waiting + self._body_receiver.waiting
             answer.slots = self.slots.limit
-            # A body that followed its head was sent with it.
+            # An answer whose body was streamed has already been sent with its head.
             if not answer.body_follows:
                 exchange.send(FrameKind.ANSWER, answer.SerializeToString())
         except asyncio.CancelledError:
-            # Cancelled by the peer or by this guard: either way the hop is over.
+            # Cancelled by the peer or by this guard; the hop has ended in both cases.
             exchange.send(FrameKind.RESET)
             raise
         except Exception as error:
-            # The peer must not wait for a hop that is over.
+            # Resets the hop so that the peer does not wait for it.
             exchange.send(FrameKind.RESET)
             log.error("hop failed", attempt=head.attempt_id, error=repr(error))
         finally:
@@ -147,81 +154,87 @@
             if tracer is not None and span is not None:
                 tracer.finish_serve(span, answer, exchange.incoming.taken or len(head.body))
 
-    async def _pass(self, exchange: Exchange, head, came: float, span):
+    async def _admit_and_offer(self, exchange: Exchange, head, arrived_at: float, span):
         refusal = self._find_refusal(head)
         if refusal is not None:
             return refusal
-        deadline = came + head.deadline_left_ms / 1000.0
-        # By rank, then by the earliest aim: short calls, which other running
-        # requests wait for, are not delayed by long ones.
-        turn = QueuePriority(head.priority, came + head.aim_left_ms / 1000.0)
-        longest = head.queue_left_ms / 1000.0
-        if head.body_follows and self.slots.expected_wait(turn) <= longest:
-            # The body is transferred only if a slot is likely to be free in time.
-            patience = max(_LEAST_PATIENCE, _BODY_AIM_SHARE * head.aim_left_ms / 1000.0)
-            step = await self._body_receiver.receive(exchange, head, deadline - came, patience)
+        deadline = arrived_at + head.deadline_left_ms / 1000.0
+        # Ordered by rank, then by the earliest latency target: short calls, which other
+        # running requests wait for, are not delayed by long ones.
+        priority = QueuePriority(head.priority, arrived_at + head.aim_left_ms / 1000.0)
+        max_wait = head.queue_left_ms / 1000.0
+        if head.body_follows and self.slots.expected_wait(priority) <= max_wait:
+            # The body is received only if a slot is likely to become free in time.
+            body_timeout = max(
+                _MIN_BODY_TIMEOUT_SECONDS, _BODY_LATENCY_SHARE * head.aim_left_ms / 1000.0
+            )
+            step = await self._body_receiver.receive(
+                exchange, head, deadline - arrived_at, body_timeout
+            )
             if step:
                 return refuse(step, _REFUSED_RETRY_SECONDS)
-        if not await self.slots.acquire(turn, longest):
-            wait = max(_REFUSED_RETRY_SECONDS, self.slots.expected_wait(turn))
+        if not await self.slots.acquire(priority, max_wait):
+            wait = max(_REFUSED_RETRY_SECONDS, self.slots.expected_wait(priority))
             return refuse(NO_SLOT, wait)
         started = time.monotonic()
         run = Run(head.attempt_id, head.repeat_run or head.attempt_number > 1, span)
         if span is not None:
-            span.queued = started - came
+            span.queued = started - arrived_at
         try:
-            # The state may have changed during the wait.
+            # The state may have changed while the request was queued.
             refusal = self._find_refusal(head)
             caller = self._caller
-            # Without a caller there is a refusal.
+            # `_find_refusal` refuses every hop as long as there is no caller.
             if refusal is not None or caller is None:
                 return refusal
-            left = deadline - started
-            if left < _LEAST_SECONDS:
+            remaining = deadline - started
+            if remaining < _MIN_OFFER_SECONDS:
                 return refuse("deadline", 0.0)
             if not self.cold.has_room(head, started):
                 return refuse(COLD_STEP, self.cold.retry_after(started))
-            head.deadline_left_ms = max(1, int(left * 1000))
-            self._offered.begin(exchange, started)
+            head.deadline_left_ms = max(1, int(remaining * 1000))
+            self._offered_hops.begin(exchange, started)
             self.work.begin(run)
             exchange.is_repeatable = head.route_type == wire_names.READ_ONLY
-            answer = await caller.offer(exchange, head, left, lambda: self._find_obstacle(head))
+            answer = await caller.offer(
+                exchange, head, remaining, lambda: self._find_obstacle(head)
+            )
         finally:
-            self._offered.end(exchange)
+            self._offered_hops.end(exchange)
             self.work.end(run)
             self.slots.release()
-        return self._conclude(answer, started, time.monotonic())
+        return self._complete_answer(answer, started, time.monotonic())
 
-    def _conclude(self, answer, started: float, now: float):
-        """The answer with the time that the target took, or with when to come back."""
+    def _complete_answer(self, answer, started: float, now: float):
+        """Adds the service time to the answer of a hop, or the retry delay to a refusal."""
         if answer.step == COLD_STEP:
             return refuse(COLD_STEP, self.cold.retry_after(now))
         if answer.outcome == HopOutcome.NEVER_OFFERED:
             if answer.step == CONNECT_STEP:
-                self._unreachable_until = now + _SHUN_SECONDS
-            answer.retry_after_ms = int(_SHUN_SECONDS * 1000)
+                self._unreachable_until = now + _UNREACHABLE_RETRY_SECONDS
+            answer.retry_after_ms = int(_UNREACHABLE_RETRY_SECONDS * 1000)
         answer.service_us = int((now - started) * 1e6)
         if answer.outcome == HopOutcome.ANSWERED:
             self.slots.note_service(now - started)
         return answer
 
     def _find_refusal(self, head):
-        """The refusal of a hop that must not go to the target, or None."""
+        """Returns the refusal of a hop that must not go to the target, or None."""
         target = self._target
         if self._caller is None or target.instance != head.expected_instance:
             return refuse("another instance", 0.0)
         if time.monotonic() < self._unreachable_until:
-            return refuse("target out of reach", _SHUN_SECONDS)
+            return refuse("target out of reach", _UNREACHABLE_RETRY_SECONDS)
         if target.upstream != head.upstream:
             return refuse("another upstream", 0.0)
         if not self._is_owner(head):
             return refuse("another owner", _REFUSED_RETRY_SECONDS)
         if target.state is TargetState.DRAINING:
-            # Peers may not know of the drain yet; other targets can serve meanwhile.
-            share = self._bounds.drain_time.total_seconds() * _DRAIN_SHARE
+            # Peers may not know of the drain yet; other targets can serve these hops.
+            share = self._bounds.drain_time.total_seconds() * _DRAIN_ACCEPT_SHARE
             if not head.last_resort or time.monotonic() - target.drain_since > share:
                 return refuse("draining", 0.0)
-        elif self._leaving.is_too_late(time.monotonic(), head.last_resort):
+        elif self._leaving_rule.is_too_late(time.monotonic(), head.last_resort):
             return refuse("leaving", 0.0)
         elif target.state is not TargetState.READY:
             return refuse(target.state.value, 0.0)
@@ -233,13 +246,16 @@
         return None
 
     def _find_obstacle(self, head) -> str:
-        """The step that forbids the write of the hop right now, or "" after counting it."""
+        """Returns the step that forbids writing the hop now.
+
+        Returns "" if it may be written; the hop is then counted as written.
+        """
         if head.owner_epoch and not self._is_owner(head):
             return "another owner"
         return "" if self.cold.may_write(time.monotonic()) else COLD_STEP
 
     def _is_owner(self, head) -> bool:
-        """Whether our site owns the service now, in the sender's epoch."""
+        """Whether this site owns the service now, in the sender's epoch."""
         if not head.owner_epoch and head.upstream not in self._view.owners:
             return True
         epoch = self._view.leases.epoch(head.upstream, time.monotonic())
--- a/marblefold/request_path/local_target.py
+++ b/marblefold/request_path/local_target.py
@@ -1,4 +1,4 @@
-"""The state of the target beside this proxy, from its heartbeats and answers."""
+"""The state of the local target, from its heartbeats and health answers."""
 
 import enum
 import time
@@ -12,12 +12,12 @@
 __all__ = ["Heartbeat", "LocalTarget", "TargetState"]
 
 _MAX_PAST_INSTANCES = 32
-# A report that differs from the one before by more than this is logged.
-_REPORTED_DRIFT_SECONDS = 0.2
+# A reported cold time that differs from the expected one by more than this is logged.
+_LOGGED_DRIFT_SECONDS = 0.2
 
 
 class TargetState(enum.Enum):
-    """The states of a target instance; draining and gone are never reverted."""
+    """The states of a target instance, which only change in the order given here."""
 
     UNKNOWN = "unknown"
     READY = "ready"
@@ -26,7 +26,7 @@
 
 
 class Heartbeat(NamedTuple):
-    """A heartbeat of a target; `cold` is how much longer it is cold."""
+    """A heartbeat of a target; `cold` is the remaining cold time."""
 
     instance: str
     upstream: str
@@ -39,7 +39,7 @@
 
 
 class LocalTarget:
-    """The state of the one target that only this proxy reaches."""
+    """The state of the one target behind this proxy."""
 
     def __init__(self, on_change: Callable[[], None]) -> None:
         self.state = TargetState.UNKNOWN
@@ -52,13 +52,13 @@
         self._heartbeat_number = -1
         self._past_instances: list[str] = []
         self._on_change = on_change
-        # Called with the target's own word on how long it is cold, and when another
-        # instance takes its place.
+        # Called with each report of how long the target is cold, and when a new instance
+        # replaces the current one.
         self.on_cold_report: Callable[[ColdReport], None] = lambda _report: None
         self.on_new_instance: Callable[[], None] = lambda: None
 
     def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Applies a heartbeat; a late one or one of an earlier instance is ignored."""
+        """Applies a heartbeat; ignores an outdated one or one of an earlier instance."""
         if heartbeat.instance in self._past_instances:
             return
         if heartbeat.instance != self.instance:
@@ -91,7 +91,7 @@
         cold: timedelta,
         asked_at: float,
     ) -> None:
-        """Applies a healthy answer to the probe of `asked_at` (monotonic seconds)."""
+        """Applies a healthy answer to the probe sent at `asked_at` (monotonic seconds)."""
         if instance in self._past_instances:
             return
         is_changed = instance != self.instance
@@ -106,28 +106,28 @@
             self._on_change()
 
     def deregister(self, instance: str) -> None:
-        """The target has announced its end."""
+        """Applies the announcement of an instance that it shuts down."""
         if instance == self.instance and self._change_state(TargetState.GONE):
             self._on_change()
         elif instance != self.instance and instance not in self._past_instances:
-            self._remember(instance)
+            self._add_past_instance(instance)
 
     @property
     def cold_until(self) -> float:
-        """Until when the target is cold by its own word, in monotonic seconds."""
+        """Until when the target is cold according to its own reports, in monotonic seconds."""
         return self.cold.cold_until
 
     def _apply_report(self, report: ColdReport) -> bool:
-        """Applies the target's own word; returns whether it became cold or warm."""
+        """Applies a report of the target; returns whether it became cold or warm."""
         was_cold = self.cold_until > report.at
         expected = max(0.0, self.cold_until - report.at)
-        left = report.remaining.total_seconds()
-        if (left > 0) != was_cold or abs(left - expected) > _REPORTED_DRIFT_SECONDS:
+        remaining = report.remaining.total_seconds()
+        if (remaining > 0) != was_cold or abs(remaining - expected) > _LOGGED_DRIFT_SECONDS:
             log.info(
-                "target cold" if left > 0 else "target warm",
+                "target cold" if remaining > 0 else "target warm",
                 instance=self.instance,
                 source=report.source.value,
-                left=round(left, 3),
+                left=round(remaining, 3),
                 expected=round(expected, 3),
             )
         self.cold.apply(report)
@@ -136,25 +136,30 @@
 
     def _begin_instance(self, instance: str) -> None:
         if self.instance:
-            self._remember(self.instance)
+            self._add_past_instance(self.instance)
             self.cold = ColdState()
         self.instance = instance
         self._heartbeat_number = -1
         self.state = TargetState.UNKNOWN
         self.on_new_instance()
 
-    def _remember(self, instance: str) -> None:
+    def _add_past_instance(self, instance: str) -> None:
         self._past_instances.append(instance)
         del self._past_instances[:-_MAX_PAST_INSTANCES]
 
     def _change_state(self, state: TargetState) -> bool:
-        """The only place where the state changes; returns whether it did."""
+        """Changes the state; returns whether it did.  No other method advances the state."""
         order = list(TargetState)
-        # Within one instance the state only moves forward.
+        # The state of one instance never goes back to an earlier one.
         if order.index(state) <= order.index(self.state):
             return False
         self.state = state
         if state is TargetState.DRAINING:
             self.drain_since = time.monotonic()
-        log.info("target", instance=self.instance, state=state.value, upstream=self.upstream)
+        log.info(
+            "target state changed",
+            instance=self.instance,
+            state=state.value,
+            upstream=self.upstream,
+        )
         return True
--- a/marblefold/request_path/slot_queue.py
+++ b/marblefold/request_path/slot_queue.py
@@ -1,4 +1,4 @@
-"""Limits how many requests a target processes at once; the rest queue briefly."""
+"""Limits the concurrent requests of a target and queues the others for a short time."""
 
 import asyncio
 import heapq
@@ -7,18 +7,19 @@
 
 __all__ = ["SlotQueue", "QueuePriority"]
 
+# Weight of the newest sample in the moving average of service times.
 _SERVICE_TIME_WEIGHT = 0.1
 
 
 class QueuePriority(NamedTuple):
-    """The order of the queue: lower rank first, then earlier end (monotonic seconds)."""
+    """The order of the queue: lower rank first, then earlier `due_at` (monotonic seconds)."""
 
     rank: int
     due_at: float
 
 
 class SlotQueue:
-    """Slots granted in the order of turns."""
+    """A counting semaphore that grants slots in the order of priority."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
@@ -29,19 +30,19 @@
 
     @property
     def service_seconds(self) -> float:
-        """The learned service time of a request, in seconds."""
+        """The moving average of the service time of a request, in seconds."""
         return self._service_seconds
 
     @property
     def waiting(self) -> int:
-        """How many wait for a slot."""
+        """The number of requests waiting for a slot."""
         return sum(1 for _priority, _order, future in self._waiting if not future.done())
 
     def expected_wait(self, priority: QueuePriority) -> float:
-        """The expected wait of a request with that turn, in seconds."""
+        """The expected wait of a request with that priority, in seconds."""
         if self.running < self.limit:
             return 0.0
-        # Only requests that go first delay it.
+        # Only requests ahead of it in the queue delay it.
         ahead = sum(
             1 for other, _order, future in self._waiting if other <= priority and not future.done()
         )
@@ -52,11 +53,11 @@
         self._service_seconds += _SERVICE_TIME_WEIGHT * (seconds - self._service_seconds)
 
     async def acquire(self, priority: QueuePriority, max_wait_seconds: float) -> bool:
-        """Waits for a slot at most `max_wait_seconds` seconds; returns whether it was granted."""
+        """Waits for a slot up to `max_wait_seconds`; returns whether it was granted."""
         if self.running < self.limit:
             self.running += 1
             return True
-        # A wait that cannot end in time is refused at once.
+        # Refused at once if a slot is not expected to become free in time.
         if max_wait_seconds <= 0 or self.expected_wait(priority) > max_wait_seconds:
             return False
         future = asyncio.get_running_loop().create_future()
@@ -66,7 +67,7 @@
                 await future
             return True
         except TimeoutError:
-            # The slot may have come at the same moment.
+            # The slot may have been granted at the same moment.
             return _was_granted(future)
         except asyncio.CancelledError:
             if _was_granted(future):
@@ -74,19 +75,19 @@
             raise
 
     def release(self) -> None:
-        """Releases a slot to the next request in order."""
+        """Releases a slot and grants it to the next request in order."""
         self.running -= 1
         self._grant_free_slots()
 
     def set_limit(self, limit: int) -> None:
-        """Sets how many requests the target processes at once."""
+        """Sets how many requests the target may process at once."""
         self.limit = max(1, limit)
         self._grant_free_slots()
 
     def _grant_free_slots(self) -> None:
         while self._waiting and self.running < self.limit:
             _priority, _order, future = heapq.heappop(self._waiting)
-            # A request that left the queue is still in the heap, marked as done.
+            # Requests that stopped waiting stay in the heap with a finished future.
             if future.done():
                 continue
             self.running += 1
--- a/marblefold/request_path/target_caller.py
+++ b/marblefold/request_path/target_caller.py
@@ -1,4 +1,4 @@
-"""Sends one request to the target and reports the outcome."""
+"""Sends one request to the target over HTTP and reports the outcome."""
 
 import asyncio
 import time
@@ -19,15 +19,16 @@
 
 __all__ = ["BodySource", "OfferedExchange", "TargetCaller", "pack_request"]
 
-# An answer of up to so many bytes is read whole before its first byte is sent, so
-# that a broken one can still be retried or become a 502.
-_HELD_ANSWER = 512 * 1024
-# The target may have dropped a connection that was idle for longer (seconds): it is
-# used only for repeatable requests.
-_LONGEST_REST = 0.2
-_PROMISES = (408, 421, 429, 503)
-# Less time than this is not worth an offer.
-_LEAST_SECONDS = 0.003
+# An answer of up to this size is read completely before its first byte is sent, so that
+# one that breaks off can still be retried or become a 502.
+_MAX_BUFFERED_ANSWER_BYTES = 512 * 1024
+# A connection that was idle for longer is used only for repeatable requests, because the
+# target may have closed it.
+_MAX_IDLE_SECONDS = 0.2
+# Statuses by which a server may state that it did not execute the request.
+_NOT_EXECUTED_STATUSES = (408, 421, 429, 503)
+# With less time remaining, a request is not sent to the target.
+_MIN_OFFER_SECONDS = 0.003
 
 
 class BodySource(Protocol):
@@ -37,7 +38,7 @@
 
 
 class OfferedExchange(Protocol):
-    """What the caller needs of a hop, be it from a peer or of a gateway itself."""
+    """The part of a hop that the caller uses; the hop comes from a peer or the gateway itself."""
 
     @property
     def incoming(self) -> BodySource: ...
@@ -64,39 +65,39 @@
         seconds: float,
         find_obstacle: Callable[[], str] | None = None,
     ):
-        """The AnswerHead of the hop; the body may follow on the exchange.
+        """Returns the AnswerHead of the hop; the body may follow on the exchange.
 
-        The request must be answered within the given seconds.  NEVER_OFFERED
-        is returned only if not a byte of it was written to the target.  `find_obstacle`
-        names what forbids the write in that moment, or gives "".
+        The request must be answered within `seconds`.  NEVER_OFFERED is returned only if
+        no byte of the request was written to the target.  `find_obstacle` returns the step
+        that forbids the write at that moment, or "".
         """
         deadline = time.monotonic() + seconds
         try:
-            # A request sent on a connection that the target dropped may have run.
-            rest = None if head.route_type == wire_names.READ_ONLY else _LONGEST_REST
-            connection = await self._connections.take(rest)
+            # Whether a request on a connection that the target closed was executed is unknown.
+            max_idle = None if head.route_type == wire_names.READ_ONLY else _MAX_IDLE_SECONDS
+            connection = await self._connections.take(max_idle)
         except MeshError as error:
             return _never_offered(error.step)
-        # Checked after the connection was obtained: nothing is awaited from here on.
-        # Opening it took time, and the process may have been suspended.
-        left = deadline - time.monotonic()
-        if left < _LEAST_SECONDS:
+        # Checked again now that there is a connection: opening it took time, and the process
+        # may have been suspended.  Nothing is awaited between these checks and the write.
+        remaining = deadline - time.monotonic()
+        if remaining < _MIN_OFFER_SECONDS:
             self._connections.put_back(connection)
             return _never_offered("deadline")
         obstacle = find_obstacle() if find_obstacle is not None else ""
         if obstacle:
             self._connections.put_back(connection)
             return _never_offered(obstacle)
-        head.deadline_left_ms = min(head.deadline_left_ms, max(1, int(left * 1000)))
-        return await self._offer_on(connection, exchange, head, left)
+        head.deadline_left_ms = min(head.deadline_left_ms, max(1, int(remaining * 1000)))
+        return await self._offer_on(connection, exchange, head, remaining)
 
     async def _offer_on(
-        self, connection: TargetConnection, exchange: OfferedExchange, head, left: float
+        self, connection: TargetConnection, exchange: OfferedExchange, head, remaining: float
     ):
-        """Writes the request to the connection and reads the answer."""
+        """Writes the request to the connection and relays the answer."""
         is_kept = False
         try:
-            async with asyncio.timeout(left):
+            async with asyncio.timeout(remaining):
                 answer = await self._exchange(connection, exchange, head)
                 result, is_kept = await self._relay(answer, exchange, head.expected_instance != "")
                 return result
@@ -112,7 +113,7 @@
             if is_kept:
                 self._connections.give_back(connection)
             else:
-                # Also on cancellation: the target then stops its work.
+                # Also on cancellation, so that the target stops its work.
                 self._connections.discard(connection)
 
     async def _exchange(
@@ -122,11 +123,11 @@
             self._on_write()
         await connection.begin(pack_request(head), head.attempt_id.encode("latin-1", "replace"))
         if head.body_follows:
-            await _send_rest(connection, exchange, head)
+            await _send_remaining_body(connection, exchange, head)
         return await connection.answer()
 
-    async def _relay(self, answer: TargetAnswer, exchange: OfferedExchange, is_sealed: bool):
-        """The AnswerHead, and whether the connection may be kept."""
+    async def _relay(self, answer: TargetAnswer, exchange: OfferedExchange, expects_seal: bool):
+        """Returns the AnswerHead and whether the connection may be kept."""
         if answer.is_not_executed:
             await answer.payload.read()
             result = kinds.AnswerHead(
@@ -134,11 +135,11 @@
             )
             _read_load(answer, result)
             return result, True
-        if answer.status in _PROMISES:
-            # Such a status would promise "not executed", which the target did not state.
+        if answer.status in _NOT_EXECUTED_STATUSES:
+            # Forwarding the status would state "not executed", which the target did not.
             return _unknown(f"target said {answer.status}"), False
-        # Only targets of our own seal their answers.
-        if 200 <= answer.status < 300 and is_sealed and not _is_success(answer):
+        # Only targets with an instance identity send the Server-Seal header.
+        if 200 <= answer.status < 300 and expects_seal and not _is_sealed(answer):
             return _unknown("answer without seal"), False
         result = kinds.AnswerHead(
             outcome=HopOutcome.ANSWERED,
@@ -147,19 +148,19 @@
             header_block=make_header_block(answer.headers, ANSWER_ONLY_HERE),
         )
         _read_load(answer, result)
-        parts: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
-        while size <= _HELD_ANSWER:
+        while size <= _MAX_BUFFERED_ANSWER_BYTES:
             chunk = await answer.payload.readany()
             if not chunk:
-                result.body = b"".join(parts)
+                result.body = b"".join(chunks)
                 return result, True
-            parts.append(chunk)
+            chunks.append(chunk)
             size += len(chunk)
         result.body_follows = True
         exchange.send(FrameKind.ANSWER, result.SerializeToString())
         try:
-            await exchange.send_body(b"".join(parts))
+            await exchange.send_body(b"".join(chunks))
             while chunk := await answer.payload.readany():
                 await exchange.send_body(chunk)
         except BaseException:
@@ -170,7 +171,7 @@
 
 
 def pack_request(head) -> bytes:
-    """The bytes of the request for the target, with the body received so far."""
+    """Returns the bytes of the request for the target, with the body received so far."""
     length = b""
     if head.body_length >= 0:
         length = b"Content-Length: %d\r\n" % head.body_length
@@ -180,7 +181,7 @@
     if head.body_follows and head.body_length < 0 and first:
         first = b"%x\r\n" % len(first) + first + b"\r\n"
     caller = b""
-    # There is no calling service if no target runs beside the client.
+    # The calling service is unknown if no target runs beside the client.
     if head.caller_service:
         caller = wire_names.CALLER_SERVICE + b": " + head.caller_service.encode() + b"\r\n"
     expected = b""
@@ -204,7 +205,9 @@
     )
 
 
-async def _send_rest(connection: TargetConnection, exchange: OfferedExchange, head) -> None:
+async def _send_remaining_body(
+    connection: TargetConnection, exchange: OfferedExchange, head
+) -> None:
     is_chunked = head.body_length < 0
     sent = len(head.body)
     while chunk := await exchange.incoming.read():
@@ -215,23 +218,23 @@
     if is_chunked:
         await connection.send(b"0\r\n\r\n")
     elif sent != head.body_length:
-        # A target that answered early would take the next request's bytes for
+        # A target that answered early would read the next request on this connection as
         # the rest of this body.
         raise MeshError("body", f"{sent} bytes of {head.body_length}")
 
 
 def _read_load(answer: TargetAnswer, result) -> None:
-    """Copies the load that some targets report in a header."""
+    """Copies the load from the header in which some targets report it."""
     reported = find_header(answer.headers, wire_names.SERVER_LOAD)
-    parts = reported.split(b",") if reported is not None else ()
-    if len(parts) == 3 and all(part.strip().isdigit() for part in parts):
-        result.running, result.waiting, result.slots = (int(part) for part in parts)
+    fields = reported.split(b",") if reported is not None else ()
+    if len(fields) == 3 and all(field.strip().isdigit() for field in fields):
+        result.running, result.waiting, result.slots = (int(field) for field in fields)
 
 
-def _is_success(answer: TargetAnswer) -> bool:
+def _is_sealed(answer: TargetAnswer) -> bool:
     if find_header(answer.headers, wire_names.SERVER_SEAL) is None:
         return False
-    # An encoded body is not the body of the target.
+    # An encoded body is not the body that the target produced.
     encoding = find_header(answer.headers, b"Content-Encoding")
     return encoding is None or encoding.lower() == b"identity"
 
--- a/marblefold/request_path/upstream_limits.py
+++ b/marblefold/request_path/upstream_limits.py
@@ -1,4 +1,4 @@
-"""The limits of the operator's configuration for the targets of an upstream."""
+"""The limits that the configuration sets for the targets of an upstream."""
 
 import math
 from typing import NamedTuple
@@ -15,15 +15,15 @@
     "find_slot_limit",
 ]
 
-_MARGIN = 2
-_UNKNOWN_MOST = 1.0
+_COLD_MARGIN_REQUESTS = 2
+_UNKNOWN_RATE_LIMIT = 1.0
 
 
 class ColdLimits(NamedTuple):
-    """What a target bears while it is cold.
+    """The limits of a cold target.
 
     `per_second` is a number of requests, 0 if there is no limit; `seconds` is how long a
-    target stays cold after it became so.
+    target stays cold after it went cold.
     """
 
     per_second: float
@@ -31,16 +31,16 @@
 
 
 def find_slot_limit(view: MeshView, target: LocalTarget) -> int:
-    """How many requests at once: each takes a slot and a connection to the target."""
+    """The limit of concurrent requests: each takes a slot and a connection to the target."""
     known = view.table.upstreams.get(target.upstream) if view.table is not None else None
     return target.slots if known is None else max(1, min(target.slots, known.max_connections))
 
 
 def find_cold_limits(view: MeshView, upstream: str, head=None) -> ColdLimits | None:
-    """What a cold target of the upstream bears, or None if nobody knows.
+    """The limits of a cold target of the upstream, or None if they are unknown.
 
-    The sender of a hop tells it in the `head`, for a node that has no configuration yet.
-    Of two that differ the more cautious one holds.
+    The sender of a hop includes them in the `head` for a node without a configuration.
+    If that and the local configuration differ, the lower limit applies.
     """
     found = []
     known = view.table.upstreams.get(upstream) if view.table is not None else None
@@ -55,18 +55,18 @@
 
 
 def cold_rate_bound(limits: ColdLimits | None, bounds: Bounds) -> float:
-    """How many requests a second of a cold target may hold; inf if it is unknown or unlimited."""
+    """The most requests allowed in a second of a cold target; inf if unknown or unlimited."""
     if limits is None or limits.per_second <= 0:
         return math.inf
     return limits.per_second * bounds.cold_overage + bounds.cold_slack
 
 
 def cold_rate_limit(limits: ColdLimits | None, bounds: Bounds) -> float:
-    """How many requests the guard lets a cold target have in a second.
+    """The number of requests per second that the guard allows for a cold target.
 
-    Without known limits that is one: what is not known permits nothing.
+    If the limits are unknown it is one, the most cautious choice.
     """
     if limits is None:
-        return _UNKNOWN_MOST
-    # Below the bound: the target's second may not begin with ours.
-    return max(1.0, cold_rate_bound(limits, bounds) - _MARGIN)
+        return _UNKNOWN_RATE_LIMIT
+    # The margin allows for the target's seconds beginning at other times than the guard's.
+    return max(1.0, cold_rate_bound(limits, bounds) - _COLD_MARGIN_REQUESTS)
