--- a/tests/simulated_cold.py
+++ b/tests/simulated_cold.py
@@ -1,8 +1,8 @@
 """A target that may be cold, the guard beside it and a peer that sends it requests.
 
-Executor, hop sender, guard and target connections are the programs' own; only bytes,
-time and the target are the test's.  The peer has a configuration throughout, the guard
-gets one when the test says so.
+Executor, hop sender, guard and target connections are the real ones; the byte transport,
+the clock and the target are simulated.  The peer always has a configuration; the guard
+gets one when the test calls `configure`.
 """
 
 import re
@@ -31,7 +31,7 @@
 
 COLD_START = timedelta(seconds=3)
 PER_SECOND = 22.0
-# The bounds of the simulated node: 1.5 times that and 5 more.
+# By the bounds of the simulated node: 1.5 times PER_SECOND plus 5.
 ALLOWED = 38
 WRITTEN = re.compile(rb"GET /read/x HTTP/1\.1\r\n[^\0]*?Attempt-Id: (\w+)\r\n")
 
@@ -42,7 +42,7 @@
 
 
 class ColdPath:
-    """One peer, one guard and one target, on a clock that the test moves."""
+    """One peer, one guard and one target on a simulated clock."""
 
     def __init__(self):
         self.stage = Stage()
@@ -50,7 +50,7 @@
         self.bounds = parse_config(make_config("10.0.0.9", 7000, "")).bounds
         # When each request was written to the target.
         self.written = []
-        self._links, self._lines, self._asked, self._beats = [], [], 0, 0
+        self._links, self._target_links, self._request_count, self._heartbeats = [], [], 0, 0
         self.table = make_cold_table()
         self._start_peer()
         self.start_proxy()
@@ -68,7 +68,7 @@
         self._server = HttpServer(executor.serve, may_run_ahead=executor.may_run_ahead)
 
     def start_proxy(self):
-        """A new process beside the target: no configuration, nothing heard of the target."""
+        """Starts a new proxy process without a configuration or any state of the target."""
         self.view = MeshView("n1")
         self.target = LocalTarget(lambda: None)
         self.stage.call(self._make_guard)
@@ -87,68 +87,68 @@
             self.written.append(self.stage.now)
 
     def configure(self):
-        """The proxy beside the target has got the configuration."""
+        """Gives the configuration to the proxy beside the target."""
         self.view.table = self.table
 
-    def beat(self, cold_seconds):
-        """The target tells how much longer it is cold."""
-        self.deliver(self.make_beat(cold_seconds))
+    def heartbeat(self, cold_seconds):
+        """The target sends a heartbeat with its remaining cold time."""
+        self.deliver(self.make_heartbeat(cold_seconds))
 
-    def make_beat(self, cold_seconds):
-        """The target's next heartbeat, still on its way."""
-        self._beats += 1
+    def make_heartbeat(self, cold_seconds):
+        """Returns the next heartbeat of the target, not delivered yet."""
+        self._heartbeats += 1
         cold = timedelta(seconds=cold_seconds)
-        return Heartbeat("i1", "quotes", "", "hall", 12, False, cold, self._beats)
+        return Heartbeat("i1", "quotes", "", "hall", 12, False, cold, self._heartbeats)
 
-    def deliver(self, beat):
-        """The proxy hears a heartbeat."""
-        self.stage.call(self.target.apply_heartbeat, beat)
+    def deliver(self, heartbeat):
+        """The proxy receives a heartbeat."""
+        self.stage.call(self.target.apply_heartbeat, heartbeat)
 
     def restart_proxy(self):
-        """The process beside the target is killed, and another one starts."""
+        """Kills the proxy process beside the target and starts another one."""
         links, self._links = self._links, []
         for near, far in links:
             self.stage.call(near.reset)
             self.stage.call(far.reset)
-        for line in self._lines:
-            self.stage.call(line.transport.reset)
+        for link in self._target_links:
+            self.stage.call(link.transport.reset)
         self.start_proxy()
 
     def answer_health(self, cold_seconds, asked_at):
-        """The target's answer to a probe arrives."""
+        """Delivers the answer of the target to the probe sent at `asked_at`."""
         cold = timedelta(seconds=cold_seconds)
         self.stage.call(self.target.apply_health, "i1", "quotes", "hall", 12, cold, asked_at)
 
     def warm_up(self):
-        """The proxy has run for a while, knows its target to be warm and is used."""
+        """Brings the proxy to a state in which it is in use and its target is known to be warm."""
         self.configure()
-        self.beat(0.0)
-        self.spend(5.0)
+        self.heartbeat(0.0)
+        self.advance(5.0)
         self.ask(1)
         self.answer_health(0.0, self.stage.now)
 
     def ask(self, count):
-        """The peer's clients ask so many times; the target answers at once."""
+        """Sends `count` requests from clients of the peer; the target answers at once."""
         for _request in range(count):
-            self._asked += 1
+            self._request_count += 1
             connection = self.stage.call(ClientConnection, self._server)
             transport = ListTransport(connection, self.stage.loop)
             self.stage.call(connection.connection_made, transport)
             self.stage.call(
                 connection.data_received,
                 b"GET /read/x HTTP/1.1\r\nHost: shop\r\nAttempt-Id: a%d\r\n"
-                b"Deadline-Ms: 900\r\n\r\n" % self._asked,
+                b"Deadline-Ms: 900\r\n\r\n" % self._request_count,
             )
-            self._flow()
+            self._transfer()
 
-    def spend(self, seconds):
-        """Time goes on."""
+    def advance(self, seconds):
+        """Advances the clock."""
         self.stage.now += seconds
         self.stage.turn()
-        self._flow()
+        self._transfer()
 
-    def most_in_a_second(self, since, until):
-        """The largest number of requests written in one second of that time."""
+    def max_in_a_second(self, since, until):
+        """The largest number of requests written in any second of the period."""
         cold = [at for at in self.written if since <= at <= until]
         return max((sum(1 for at in cold if end - 1.0 < at <= end) for end in cold), default=0)
 
@@ -157,8 +157,8 @@
 
     def _connect(self, address, near):
         if address.startswith("10.0.1."):
-            self._lines.append(SimpleNamespace(transport=near, seen=0))
-            near.on_write = self._look
+            self._target_links.append(SimpleNamespace(transport=near, seen=0))
+            near.on_write = self._record_writes
             return
         owner = SimpleNamespace(on_hop=self.guard.on_hop, on_lost=lambda _connection: None)
         protocol = PeerConnection(owner)
@@ -166,14 +166,14 @@
         protocol.connection_made(far)
         self._links.append((near, far))
 
-    def _look(self):
-        for line in self._lines:
-            found = list(WRITTEN.finditer(bytes(line.transport.written)))
-            self.written += [self.stage.now] * (len(found) - line.seen)
-            line.seen = len(found)
+    def _record_writes(self):
+        for link in self._target_links:
+            found = list(WRITTEN.finditer(bytes(link.transport.written)))
+            self.written += [self.stage.now] * (len(found) - link.seen)
+            link.seen = len(found)
 
-    def _flow(self):
-        """Moves what the links carry, and lets the target answer what it was sent."""
+    def _transfer(self):
+        """Transfers pending bytes on the links and lets the target answer its requests."""
         moved = True
         while moved:
             moved = False
@@ -183,11 +183,11 @@
                     if data and other.is_open:
                         self.stage.call(other.protocol.data_received, data)
                         moved = True
-            for line in self._lines:
-                for match in WRITTEN.finditer(line.transport.take()):
+            for link in self._target_links:
+                for match in WRITTEN.finditer(link.transport.take()):
                     answer = (
                         b"HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\n"
                         b"Content-Length: 4\r\n\r\ndone" % match[1]
                     )
-                    self.stage.call(line.transport.protocol.data_received, answer)
+                    self.stage.call(link.transport.protocol.data_received, answer)
                     moved = True
--- a/tests/test_cold_model.py
+++ b/tests/test_cold_model.py
@@ -1,7 +1,7 @@
-"""Heartbeats, probes, evacuations and restarts in any order, against the target's own clock.
+"""Heartbeats, probes, evacuations and restarts in any order against a model of the target.
 
-The model knows when the target is cold; the guard knows what reaches it, late or
-never.  Whatever it knows, no second of a cold time may hold more than the bound.
+The model knows when the target is cold; the guard only knows what reaches it, late or
+not at all.  No second of a cold time may hold more requests than the bound.
 """
 
 from hypothesis import Phase, settings
@@ -19,10 +19,10 @@
         self.path = ColdPath()
         self.path.warm_up()
         self.cold_times = []
-        # Heartbeats on their way, in the order in which they were made.
-        self.on_their_way = []
-        self.asked_probes = []
-        self.note_probes()
+        # Delayed heartbeats in the order in which they were created.
+        self.delayed_heartbeats = []
+        self.probe_times = []
+        self.record_probes()
 
     def teardown(self):
         self.path.close()
@@ -32,86 +32,86 @@
         return self.path.stage.now
 
     @property
-    def cold_left(self):
+    def cold_remaining(self):
         until = max((until for _since, until in self.cold_times), default=0.0)
         return max(0.0, until - self.now)
 
-    def note_probes(self):
-        """Keeps when each probe was asked."""
-        take = self.path.guard.cold.on_probe_needed
+    def record_probes(self):
+        """Records when each probe is sent."""
+        on_probe_needed = self.path.guard.cold.on_probe_needed
 
-        def note():
+        def record():
             known = self.path.probes
-            take()
+            on_probe_needed()
             if self.path.probes > known:
-                self.asked_probes.append(self.now)
+                self.probe_times.append(self.now)
 
-        self.path.guard.cold.on_probe_needed = note
+        self.path.guard.cold.on_probe_needed = record
 
     def go_cold(self, is_late):
-        """As targets do: a heartbeat says so in that moment."""
-        # What was written in the same moment was written to a warm target.
-        self.path.spend(0.001)
+        """The target goes cold and sends a heartbeat at once, as targets do."""
+        # Requests written at the same moment were written to a warm target.
+        self.path.advance(0.001)
         self.cold_times.append((self.now, self.now + COLD_SECONDS))
-        self.make_beat(is_late)
+        self.make_heartbeat(is_late)
 
     @rule(count=st.sampled_from([1, 15, 45, 45]), seconds=st.sampled_from([0.0, 0.05, 0.3]))
     def ask(self, count, seconds):
         self.path.ask(count)
-        self.path.spend(seconds)
+        self.path.advance(seconds)
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 1.0]))
     def wait(self, seconds):
-        self.path.spend(seconds)
+        self.path.advance(seconds)
 
     @rule(is_late=st.booleans())
-    def make_beat(self, is_late):
-        beat = self.path.make_beat(self.cold_left)
+    def make_heartbeat(self, is_late):
+        heartbeat = self.path.make_heartbeat(self.cold_remaining)
         if is_late:
-            self.on_their_way.append(beat)
+            self.delayed_heartbeats.append(heartbeat)
         else:
-            self.path.deliver(beat)
+            self.path.deliver(heartbeat)
 
-    @precondition(lambda self: self.on_their_way)
+    @precondition(lambda self: self.delayed_heartbeats)
     @rule(choice=st.integers(0, 20))
     def deliver(self, choice):
-        self.path.deliver(self.on_their_way.pop(choice % len(self.on_their_way)))
+        self.path.deliver(self.delayed_heartbeats.pop(choice % len(self.delayed_heartbeats)))
 
-    @precondition(lambda self: self.asked_probes)
+    @precondition(lambda self: self.probe_times)
     @rule(choice=st.integers(0, 20))
     def answer_probe(self, choice):
-        asked = self.asked_probes.pop(choice % len(self.asked_probes))
-        self.path.answer_health(self.cold_left, asked)
+        asked = self.probe_times.pop(choice % len(self.probe_times))
+        self.path.answer_health(self.cold_remaining, asked)
 
     @rule(is_late=st.booleans())
     def evacuate(self, is_late):
-        """The proxy hears that its zone is taken back."""
+        """The proxy learns that the evacuation of its zone has ended."""
         self.go_cold(is_late)
         self.path.guard.cold.mark_uncertain(self.now, "zone taken back")
 
     @rule(is_late=st.booleans(), seconds=st.floats(0.0, 2.0))
-    def evacuate_unheard(self, is_late, seconds):
-        """The proxy is cut off; only its peers know that the zone is emptied."""
-        self.path.spend(1.2)
+    def evacuate_while_partitioned(self, is_late, seconds):
+        """The proxy is partitioned; only its peers know that the zone is evacuated."""
+        self.path.advance(1.2)
         self.go_cold(is_late)
-        self.path.spend(seconds)
+        self.path.advance(seconds)
 
     @rule(knows_configuration=st.booleans())
     def restart(self, knows_configuration):
         self.path.restart_proxy()
-        self.note_probes()
-        self.asked_probes.clear()
-        # Those on their way went to the process before; one of the new life may still be late.
-        self.on_their_way.clear()
+        self.record_probes()
+        self.probe_times.clear()
+        # Delayed heartbeats went to the previous process; one to the new process may be late too.
+        self.delayed_heartbeats.clear()
         if knows_configuration:
             self.path.configure()
-        self.make_beat(False)
+        self.make_heartbeat(False)
 
     @invariant()
     def no_second_of_a_cold_time_holds_more_than_its_bound(self):
         assert self.path.stage.faults == []
         for since, until in self.cold_times:
-            assert self.path.most_in_a_second(since, until) <= ALLOWED
+            assert self.path.max_in_a_second(since, until) <= ALLOWED
 
 
 TestColdTarget = ColdTarget.TestCase
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -1,4 +1,7 @@
-"""A cold target is never offered more in a second than it bears, whatever its proxy knows."""
+"""A cold target never receives more requests in a second than allowed.
+
+This must hold whatever the proxy beside the target knows.
+"""
 
 import asyncio
 
@@ -11,175 +14,175 @@
 def path():
     made = ColdPath()
     yield made
-    # The invariant that the programs themselves count.
+    # The programs count violations of the invariant themselves.
     assert made.guard.cold.monitor.violations == 0
     made.close()
 
 
-def press(path, seconds, per_tenth=10):
-    """Asks for so many seconds, a hundred requests in each of them; returns when it began."""
+def send_load(path, seconds, per_tenth=10):
+    """Sends `per_tenth` requests every 0.1 seconds; returns when the load began."""
     began = path.stage.now
     for _step in range(round(seconds * 10)):
         path.ask(per_tenth)
-        path.spend(0.1)
+        path.advance(0.1)
     return began
 
 
-def test_a_warm_target_is_offered_what_comes(path):
+def test_a_warm_target_is_not_limited(path):
     path.warm_up()
-    began = press(path, 1.0)
-    assert path.most_in_a_second(began, path.stage.now) >= 90
+    began = send_load(path, 1.0)
+    assert path.max_in_a_second(began, path.stage.now) >= 90
 
 
-def test_a_cold_target_is_offered_no_more_than_it_bears(path):
+def test_a_cold_target_is_limited(path):
     path.warm_up()
-    path.beat(3.0)
-    began = press(path, 3.0)
-    assert 0 < path.most_in_a_second(began, began + 3.0) <= ALLOWED
+    path.heartbeat(3.0)
+    began = send_load(path, 3.0)
+    assert 0 < path.max_in_a_second(began, began + 3.0) <= ALLOWED
 
 
 def test_a_guard_without_a_configuration_keeps_the_limit(path):
-    """Its proxy was restarted while the control machines were out of reach."""
-    path.beat(3.0)
-    began = press(path, 3.0)
-    assert path.most_in_a_second(began, began + 3.0) <= ALLOWED
+    """The proxy was restarted while the control plane was unreachable."""
+    path.heartbeat(3.0)
+    began = send_load(path, 3.0)
+    assert path.max_in_a_second(began, began + 3.0) <= ALLOWED
 
 
-def test_whoever_sends_tells_the_limit_to_a_guard_without_a_configuration(path):
-    path.beat(3.0)
-    path.spend(1.2)
-    began = press(path, 1.5)
-    assert path.most_in_a_second(began, path.stage.now) > 30
+def test_the_sender_provides_the_limit_to_a_guard_without_a_configuration(path):
+    path.heartbeat(3.0)
+    path.advance(1.2)
+    began = send_load(path, 1.5)
+    assert path.max_in_a_second(began, path.stage.now) > 30
 
 
-def test_a_heartbeat_that_was_on_its_way_does_not_make_the_target_warm(path):
-    """It was sent before the target went cold, and is heard after its zone was taken back."""
+def test_a_delayed_heartbeat_does_not_make_the_target_warm(path):
+    """It was sent before the target went cold and arrives after the evacuation has ended."""
     path.warm_up()
     path.guard.cold.mark_uncertain(path.stage.now, "zone taken back")
-    path.beat(0.0)
-    began = press(path, 3.0)
-    assert path.most_in_a_second(began, began + 3.0) <= ALLOWED
+    path.heartbeat(0.0)
+    began = send_load(path, 3.0)
+    assert path.max_in_a_second(began, began + 3.0) <= ALLOWED
 
 
-def test_a_first_heartbeat_may_be_older_than_the_process_that_hears_it(path):
+def test_a_first_heartbeat_may_be_older_than_the_process_that_receives_it(path):
     path.configure()
-    path.beat(0.0)
-    began = press(path, 3.0)
-    assert path.most_in_a_second(began, began + 3.0) <= ALLOWED
+    path.heartbeat(0.0)
+    began = send_load(path, 3.0)
+    assert path.max_in_a_second(began, began + 3.0) <= ALLOWED
 
 
-def test_a_doubt_that_no_probe_ends_lasts_for_the_whole_cold_start(path):
+def test_uncertainty_without_a_probe_answer_lasts_for_the_whole_cold_start(path):
     path.warm_up()
     path.guard.cold.mark_uncertain(path.stage.now, "zone taken back")
-    began = press(path, 2.9)
-    assert path.most_in_a_second(began, began + 2.9) <= ALLOWED
+    began = send_load(path, 2.9)
+    assert path.max_in_a_second(began, began + 2.9) <= ALLOWED
     assert path.probes > 1
-    later = press(path, 1.5)
-    assert path.most_in_a_second(later, path.stage.now) > ALLOWED
+    later = send_load(path, 1.5)
+    assert path.max_in_a_second(later, path.stage.now) > ALLOWED
 
 
-def test_a_health_answer_ends_a_doubt_if_it_was_asked_for_after_it(path):
+def test_a_health_answer_ends_uncertainty_only_if_requested_after_it_began(path):
     path.warm_up()
-    path.spend(0.2)
-    asked_before = path.stage.now - 0.1
+    path.advance(0.2)
+    requested_before = path.stage.now - 0.1
     path.guard.cold.mark_uncertain(path.stage.now, "zone taken back")
-    path.answer_health(0.0, asked_before)
-    began = press(path, 1.0)
-    assert path.most_in_a_second(began, path.stage.now) <= ALLOWED
+    path.answer_health(0.0, requested_before)
+    began = send_load(path, 1.0)
+    assert path.max_in_a_second(began, path.stage.now) <= ALLOWED
     path.answer_health(0.0, path.stage.now)
-    later = press(path, 1.2)
-    assert path.most_in_a_second(later, path.stage.now) > ALLOWED
+    later = send_load(path, 1.2)
+    assert path.max_in_a_second(later, path.stage.now) > ALLOWED
 
 
-def test_a_health_answer_that_says_cold_outlives_a_heartbeat_that_says_warm(path):
+def test_a_cold_health_answer_prevails_over_a_warm_heartbeat(path):
     path.warm_up()
     path.answer_health(2.0, path.stage.now)
-    path.beat(0.0)
-    began = press(path, 2.0)
-    assert path.most_in_a_second(began, began + 2.0) <= ALLOWED
+    path.heartbeat(0.0)
+    began = send_load(path, 2.0)
+    assert path.max_in_a_second(began, began + 2.0) <= ALLOWED
 
 
-def test_a_target_that_was_offered_nothing_may_have_gone_cold_unknown(path):
-    """The proxy was cut off and never heard that its zone was emptied and taken back."""
+def test_an_idle_target_may_have_gone_cold_unnoticed(path):
+    """The proxy was partitioned and not told that its zone was evacuated and restored."""
     path.warm_up()
-    path.spend(4.0)
-    began = press(path, 2.9)
-    assert path.most_in_a_second(began, began + 2.9) <= ALLOWED
+    path.advance(4.0)
+    began = send_load(path, 2.9)
+    assert path.max_in_a_second(began, began + 2.9) <= ALLOWED
     assert path.probes > 0
 
 
-def test_a_process_that_stood_still_may_have_missed_that_its_target_went_cold(path):
+def test_a_suspended_process_may_have_missed_that_its_target_went_cold(path):
     path.warm_up()
-    press(path, 0.5)
+    send_load(path, 0.5)
     path.stage.now += 1.3
-    began = press(path, 2.9)
-    assert path.most_in_a_second(began, began + 2.9) <= ALLOWED
+    began = send_load(path, 2.9)
+    assert path.max_in_a_second(began, began + 2.9) <= ALLOWED
 
 
-def test_requests_whose_connections_open_late_are_counted_when_they_are_written(path):
+def test_requests_on_slow_connections_are_counted_when_they_are_written(path):
     path.warm_up()
-    path.beat(3.0)
+    path.heartbeat(3.0)
     began = path.stage.now
     path.ask(30)
-    # All of these are admitted while there is room for a few.
+    # All of these are admitted, although the window has room for only a few.
     gate = path.stage.loop.gate = asyncio.Event()
     path.guard.set_address(path.address)
     path.ask(12)
-    path.spend(0.1)
+    path.advance(0.1)
     path.stage.call(gate.set)
-    path.spend(0.0)
-    assert 30 < path.most_in_a_second(began, path.stage.now) <= ALLOWED
+    path.advance(0.0)
+    assert 30 < path.max_in_a_second(began, path.stage.now) <= ALLOWED
 
 
-def test_a_request_written_late_leaves_that_much_less_room(path):
-    """What was admitted in one second and is written in the next counts in the next."""
+def test_a_request_written_late_counts_when_it_is_written(path):
+    """A request admitted in one second and written in the next counts in the next."""
     path.warm_up()
-    path.beat(3.0)
-    path.spend(1.5)
+    path.heartbeat(3.0)
+    path.advance(1.5)
     gate = path.stage.loop.gate = asyncio.Event()
     path.guard.set_address(path.address)
     began = path.stage.now
     path.ask(12)
-    path.spend(0.24)
+    path.advance(0.24)
     path.stage.call(gate.set)
-    path.spend(0.83)
+    path.advance(0.83)
     path.ask(40)
-    assert path.most_in_a_second(began, path.stage.now) <= ALLOWED
+    assert path.max_in_a_second(began, path.stage.now) <= ALLOWED
 
 
-def test_a_limit_that_nobody_knows_is_not_none(path):
-    """Neither sender nor guard finds the upstream in a configuration."""
+def test_an_unknown_limit_does_not_mean_unlimited(path):
+    """Neither the sender nor the guard has the upstream in its configuration."""
     path.table.upstreams.clear()
-    path.beat(3.0)
-    path.spend(1.2)
-    began = press(path, 1.5)
-    assert path.most_in_a_second(began, path.stage.now) <= 2
+    path.heartbeat(3.0)
+    path.advance(1.2)
+    began = send_load(path, 1.5)
+    assert path.max_in_a_second(began, path.stage.now) <= 2
 
 
-def test_what_a_doubt_refuses_has_the_target_probed(path):
-    """A proxy that has just started refuses everything; a probe may end that at once."""
+def test_a_refusal_due_to_uncertainty_triggers_a_probe(path):
+    """A proxy that has just started refuses all requests; a probe may end that at once."""
     path.configure()
-    path.beat(0.0)
+    path.heartbeat(0.0)
     path.ask(1)
     assert path.probes == 1
     path.answer_health(0.0, path.stage.now)
-    began = press(path, 0.5)
-    assert path.most_in_a_second(began, path.stage.now) > ALLOWED
+    began = send_load(path, 0.5)
+    assert path.max_in_a_second(began, path.stage.now) > ALLOWED
 
 
-def test_an_answer_to_an_earlier_probe_does_not_replace_one_to_a_later(path):
+def test_an_answer_to_an_earlier_probe_does_not_replace_one_to_a_later_probe(path):
     path.warm_up()
-    asked = path.stage.now
-    path.spend(0.3)
+    requested_at = path.stage.now
+    path.advance(0.3)
     path.answer_health(3.0, path.stage.now)
-    path.answer_health(0.0, asked)
-    began = press(path, 2.9)
-    assert path.most_in_a_second(began, began + 2.9) <= ALLOWED
+    path.answer_health(0.0, requested_at)
+    began = send_load(path, 2.9)
+    assert path.max_in_a_second(began, began + 2.9) <= ALLOWED
 
 
 def test_a_quiet_target_is_not_probed(path):
     path.warm_up()
     for _second in range(20):
-        path.spend(2.0)
+        path.advance(2.0)
         path.ask(2)
     assert path.probes == 0
--- a/tests/test_given_up_in_time.py
+++ b/tests/test_given_up_in_time.py
@@ -1,4 +1,4 @@
-"""What nobody waits for any more is not begun, and nobody waits for what is over."""
+"""Abandoned requests are not started, and nobody waits for requests that have ended."""
 
 import asyncio
 
@@ -42,8 +42,10 @@
     return connection, transport
 
 
-@pytest.mark.parametrize("stood_still, is_begun", [(0.0, True), (1.5, False)])
-def test_a_client_that_left_during_a_freeze_is_not_served(stage, stood_still, is_begun):
+@pytest.mark.parametrize("suspended_seconds, is_begun", [(0.0, True), (1.5, False)])
+def test_a_client_that_disconnected_during_a_suspension_is_not_served(
+    stage, suspended_seconds, is_begun
+):
     begun = []
 
     async def handle(request):
@@ -54,10 +56,10 @@
     stage.start(server.run())
     stage.advance(0.5)
     connection, transport = open_client(stage, server)
-    stage.now += stood_still
+    stage.now += suspended_seconds
 
     async def wake():
-        # Its request is read in one turn of the loop and its end in the next.
+        # The request is read in one iteration of the event loop and the close in the next.
         connection.data_received(GET)
         await asyncio.sleep(0)
         transport.reset()
@@ -67,13 +69,13 @@
     assert bool(begun) == is_begun
 
 
-def test_a_watch_tells_a_freeze_from_an_idle_loop():
+def test_the_loop_watch_distinguishes_a_suspension_from_an_idle_loop():
     watch = LoopWatch(0.5)
     assert not watch.is_catching_up(1e9)
     watch.tick(10.0)
     assert not watch.is_catching_up(11.0) and watch.is_catching_up(11.1)
     watch.tick(12.0)
-    # What lay in the sockets is read in the turns that follow.
+    # Bytes that waited in the sockets are read in the following iterations.
     assert watch.is_catching_up(12.05) and not watch.is_catching_up(12.2)
 
 
@@ -87,7 +89,7 @@
     return guard, connection, transport
 
 
-def test_a_hop_given_up_before_its_first_step_is_not_begun_and_leaves_nothing(stage):
+def test_a_hop_cancelled_before_its_first_step_is_not_begun_and_leaves_no_state(stage):
     guard, connection, transport = make_guard(stage)
     head = pack_frame(FrameKind.HEAD, 1, kinds.RequestHead().SerializeToString())
     stage.call(connection.data_received, head + pack_frame(FrameKind.CANCEL, 1))
@@ -95,7 +97,7 @@
     assert connection.is_idle and guard.in_progress == 0
 
 
-def test_a_hop_that_fails_unforeseen_is_ended_for_its_peer(stage):
+def test_a_hop_with_an_unexpected_error_is_reset_for_its_peer(stage):
     guard, connection, transport = make_guard(stage)
 
     def fail(_head):
@@ -109,7 +111,7 @@
     assert connection.is_idle
 
 
-def test_a_second_hop_under_a_number_in_use_ends_the_connection(stage):
+def test_a_second_hop_with_a_number_in_use_closes_the_connection(stage):
     _guard, connection, transport = make_guard(stage)
     head = pack_frame(FrameKind.HEAD, 1, kinds.RequestHead().SerializeToString())
     stage.call(connection.data_received, head + head)
@@ -125,7 +127,7 @@
         self.incoming.finish()
 
 
-def test_a_body_that_ends_early_leaves_no_connection_to_the_next_request(stage):
+def test_a_connection_whose_request_body_ended_early_is_not_reused(stage):
     lines = []
     stage.loop.connector = lambda _address, transport: lines.append(transport)
     connections = stage.call(TargetConnections, Address("10.0.0.1", 80))
@@ -139,7 +141,7 @@
     )
     offer = TargetCaller(connections).offer(stage.call(ShortBody), head, 9.0)
     task = stage.loop.create_task(offer)
-    # The target answers before it has read the body and would keep the connection.
+    # The target answers before it has read the body and would leave the connection open.
     stage.turn(2)
     if lines and lines[0].is_open and lines[0].written:
         answer = b"HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n"
@@ -150,7 +152,7 @@
 
 
 class SlowBody:
-    """A request whose body does not come."""
+    """A request whose body does not arrive."""
 
     has_body = True
 
@@ -158,7 +160,7 @@
         await asyncio.Event().wait()
 
 
-def test_a_body_that_does_not_come_is_waited_for_until_the_deadline(stage):
+def test_a_body_that_does_not_arrive_is_awaited_until_the_deadline(stage):
     task = stage.start(_gather(SlowBody(), 100, stage.now + 2.0))
     stage.advance(1.9)
     assert not task.done()
@@ -167,7 +169,7 @@
         task.result()
 
 
-def test_a_body_that_cannot_be_read_is_answered_and_ends_the_connection(stage):
+def test_a_malformed_body_is_answered_and_closes_the_connection(stage):
     async def handle(request):
         await request.gather(100, 100)
         return own_answer(200, "never")
@@ -181,7 +183,7 @@
 
 
 @pytest.mark.parametrize("error", [RuntimeError("unforeseen"), MeshError("step", "reason")])
-def test_a_request_that_fails_unforeseen_is_cut_and_promises_nothing(stage, error):
+def test_a_request_with_an_unexpected_error_is_aborted_without_an_answer(stage, error):
     async def handle(_request):
         raise error
 
--- a/tests/test_guard_parts.py
+++ b/tests/test_guard_parts.py
@@ -1,4 +1,7 @@
-"""The guard's parts against plain models: slots, cold seconds, lives, budget."""
+"""The components of the guard against simple models.
+
+Covers slots, the cold-start limit, target instances, the retry budget and body transfer.
+"""
 
 import asyncio
 from datetime import timedelta
@@ -19,26 +22,26 @@
 
 @given(
     steps=st.lists(st.tuples(st.floats(0, 0.4), st.booleans()), max_size=80),
-    most=st.integers(1, 6),
+    max_per_second=st.integers(1, 6),
     started=st.booleans(),
 )
-def test_no_second_of_a_cold_target_holds_more_than_its_limit(steps, most, started):
+def test_no_second_of_a_cold_target_holds_more_than_its_limit(steps, max_per_second, started):
     limit = ColdLimit()
     limit.cold_until = 1e9
     if started:
         limit.assume_window_full(0.0)
-    now, offered = 0.0, []
+    now, offered_at = 0.0, []
     for seconds, _ in steps:
         now += seconds
-        if limit.may_offer(now, most):
-            offered.append(now)
-            assert sum(1 for at in offered if now - at <= 1.0) <= most
+        if limit.may_offer(now, max_per_second):
+            offered_at.append(now)
+            assert sum(1 for at in offered_at if now - at <= 1.0) <= max_per_second
             assert not started or now > 1.0
         else:
             assert limit.retry_after(now) > 0
 
 
-def test_arrivals_before_it_went_cold_count_too():
+def test_requests_before_the_target_went_cold_count_too():
     limit = ColdLimit()
     assert all(limit.may_offer(0.1, 3) for _ in range(10))
     limit.cold_until = 5.0
@@ -46,18 +49,18 @@
     assert limit.may_offer(1.3, 3)
 
 
-BEATS = st.lists(
+HEARTBEATS = st.lists(
     st.tuples(st.sampled_from(["i-1", "i-2"]), st.integers(0, 5), st.booleans(), st.booleans()),
     max_size=25,
 )
 
 
-@given(BEATS)
-def test_draining_and_gone_never_revert_within_a_life(beats):
+@given(HEARTBEATS)
+def test_draining_and_gone_never_revert_within_an_instance(heartbeats):
     target = LocalTarget(lambda: None)
-    worst = {}
+    latest_rank = {}
     order = list(TargetState)
-    for instance, number, draining, leaves in beats:
+    for instance, number, draining, leaves in heartbeats:
         if leaves:
             target.deregister(instance)
         else:
@@ -66,11 +69,11 @@
             )
         if target.instance:
             rank = order.index(target.state)
-            assert rank >= worst.get(target.instance, 0)
-            worst[target.instance] = rank
+            assert rank >= latest_rank.get(target.instance, 0)
+            latest_rank[target.instance] = rank
 
 
-def test_late_beats_change_nothing():
+def test_outdated_heartbeats_change_nothing():
     target = LocalTarget(lambda: None)
     heartbeat = Heartbeat("i-1", "q", "a", "z", 4, False, timedelta(0), 5)
     target.apply_heartbeat(heartbeat)
@@ -81,23 +84,23 @@
     assert target.instance == "i-2"
 
 
-def test_slots_go_by_rank_then_by_the_end_and_no_more_than_there_are():
+def test_slots_are_granted_by_rank_then_due_time_and_within_the_limit():
     async def test():
         queue = SlotQueue(1)
         order = []
 
-        async def take(name, turn):
-            assert await queue.acquire(turn, 30.0)
+        async def acquire(name, priority):
+            assert await queue.acquire(priority, 30.0)
             order.append(name)
 
         assert await queue.acquire(QueuePriority(0, 0.0), 1.0)
         tasks = [
-            asyncio.ensure_future(take(name, QueuePriority(rank, end)))
-            for name, rank, end in (
+            asyncio.ensure_future(acquire(name, QueuePriority(rank, due_at)))
+            for name, rank, due_at in (
                 ("late", 1, 9.0),
                 ("early", 1, 2.0),
                 ("low", 2, 1.0),
-                ("left", 1, 1.0),
+                ("cancelled", 1, 1.0),
             )
         ]
         await asyncio.sleep(0)
@@ -114,7 +117,7 @@
     asyncio.run(test())
 
 
-def test_who_cannot_have_a_slot_in_time_is_refused_at_once():
+def test_a_request_that_cannot_get_a_slot_in_time_is_refused_at_once():
     async def test():
         queue = SlotQueue(1)
         queue.note_service(1.0)
@@ -151,7 +154,7 @@
 
 
 class BodyExchange:
-    """An exchange whose peer sends what it was granted."""
+    """An exchange whose peer sends its body on demand."""
 
     def __init__(self, body):
         self.incoming, self.granted, self.body = BodyPipe(), 0, body
@@ -165,7 +168,7 @@
 
 
 class SentFrames:
-    """A connection that keeps what is sent on it."""
+    """A connection that records the frames sent on it."""
 
     peer = "p"
 
@@ -203,7 +206,7 @@
     asyncio.run(test())
 
 
-def test_what_bodies_keep_a_link_busy_for_is_bounded():
+def test_the_credit_granted_to_all_bodies_is_bounded():
     async def test(link):
         receiver = BodyReceiver(link)
         exchanges = [BodyExchange(b"") for _ in range(100)]
@@ -220,14 +223,14 @@
         granted = [exchange.granted for exchange in exchanges if exchange.granted]
         for task in tasks:
             task.cancel()
-        # Two windows, or what the link carries in a tenth of a second.
+        # At most two windows, or what the link carries in 0.1 seconds.
         assert sum(granted) <= max(2 * 8 * 1024, 0.1 * link) and granted
 
     for link in (20_000.0, 250_000.0, 2.5e6, 1.25e8):
         asyncio.run(test(link))
 
 
-def test_bodies_come_in_a_few_at_a_time_and_only_whole():
+def test_few_bodies_are_received_at_a_time_and_only_complete_ones_accepted():
     async def test():
         receiver = BodyReceiver(1000.0)
         exchanges = [BodyExchange(b"photo") for _ in range(3)]
@@ -238,7 +241,7 @@
         ]
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        # Two places on a narrow link: the third is not let to send yet.
+        # A slow link has two permits, so the third body gets no credit yet.
         assert [exchange.granted > 0 for exchange in exchanges] == [True, True, False]
         exchanges[0].send_all()
         exchanges[1].incoming.break_off(MeshError("body", "left"))
@@ -248,7 +251,7 @@
         exchanges[2].send_all()
         assert await tasks[2] == "body not whole"
         assert receiver.waiting == 0
-        # Nobody is held until the deadline for a body that does not come.
+        # A body that does not arrive is refused before the deadline.
         assert (
             await BodyReceiver(1e9).receive(
                 BodyExchange(b""), kinds.RequestHead(body_follows=True, body_length=5), 30.0, 0.0
--- a/tests/test_zone_taken_back.py
+++ b/tests/test_zone_taken_back.py
@@ -1,4 +1,4 @@
-"""What a proxy takes for granted when its zone is taken back never shortens its target's word."""
+"""The end of an evacuation never shortens the cold time that a target has reported."""
 
 import time
 from datetime import timedelta
@@ -20,7 +20,7 @@
 
 
 def test_the_end_of_an_evacuation_does_not_shorten_a_reported_cold_time(monkeypatch):
-    """After a power loss a proxy hears of ended evacuations once its target has said it is cold."""
+    """After a power loss, a proxy may learn of the end after its target reported to be cold."""
     now = [100.0]
     monkeypatch.setattr(time, "monotonic", lambda: now[0])
     proxy = make_proxy()
