--- a/marblefold/proxy/graceful_shutdown.py
+++ b/marblefold/proxy/graceful_shutdown.py
@@ -16,7 +16,7 @@
 _POLL_INTERVAL_SECONDS = 0.05
 # The remaining share of the grace period is reserved for the exit of the process.
 _GRACE_SHARE = 0.92
-# Connections are accepted for this share of the grace period at most.
+# Requests are accepted for this share of the grace period at most.
 _ACCEPT_SHARE = 0.55
 
 
@@ -47,7 +47,8 @@
     stop_at = started_at + program.grace_period.total_seconds() * _GRACE_SHARE
     while (now := time.monotonic()) < stop_at:
         if now - started_at > program.grace_period.total_seconds() * _ACCEPT_SHARE:
-            # Stops listening: a request accepted later might not be finished in time.
+            # Clients arrive as long as the port is open, and a request accepted later than
+            # this could not be finished.
             program.outbound.turns_away = True
             program.outbound.stop()
         is_noticed = now - started_at > _READINESS_DETECTION.total_seconds()
--- a/marblefold/proxy/target_prober.py
+++ b/marblefold/proxy/target_prober.py
@@ -64,12 +64,17 @@
 
     async def _probe(self, path: str) -> None:
         config = self._read_config()
-        asked_at = time.monotonic()
-        if config.app_address is None or not self._cold.may_probe(asked_at):
+        requested_at = time.monotonic()
+        if config.app_address is None or not self._cold.may_probe(requested_at):
             return
         health = await fetch_health(config.app_address, path)
         log.info("target probed", healthy=health is not None)
         if health is not None:
             self._target.apply_health(
-                health.instance, config.upstream, config.zone, health.slots, health.cold, asked_at
+                health.instance,
+                config.upstream,
+                config.zone,
+                health.slots,
+                health.cold,
+                requested_at,
             )
--- a/marblefold/request_path/cold_state.py
+++ b/marblefold/request_path/cold_state.py
@@ -27,14 +27,14 @@
 class ColdReport(NamedTuple):
     """How much longer the target is cold, as reported by itself.
 
-    `at` is when the report was received.  `made_after` is a time before which it cannot
+    `at` is when the report was received.  `created_after` is a time before which it cannot
     have been created; for a heartbeat that is unknown.  Both are monotonic seconds.
     """
 
     source: ReportSource
     remaining: timedelta
     at: float
-    made_after: float = -math.inf
+    created_after: float = -math.inf
 
 
 class ColdState:
@@ -46,7 +46,7 @@
     def __init__(self) -> None:
         self._cold_until = dict.fromkeys(ReportSource, -math.inf)
         self._heartbeat_at = -math.inf
-        self._health_asked_at = -math.inf
+        self._health_requested_at = -math.inf
         self._uncertain_since = -math.inf
 
     @property
@@ -59,17 +59,20 @@
 
         A health answer is ignored if one to a later request has been applied.
         """
-        if report.made_after < self._health_asked_at and report.source is ReportSource.HEALTH:
+        if (
+            report.created_after < self._health_requested_at
+            and report.source is ReportSource.HEALTH
+        ):
             return
         self._cold_until[report.source] = report.at + report.remaining.total_seconds()
         if report.source is ReportSource.HEARTBEAT:
             self._heartbeat_at = report.at
             return
-        self._health_asked_at = report.made_after
+        self._health_requested_at = report.created_after
         # The answer is newer than each heartbeat received before its request.
-        if self._heartbeat_at < report.made_after:
+        if self._heartbeat_at < report.created_after:
             self._cold_until[ReportSource.HEARTBEAT] = -math.inf
-        if self._uncertain_since <= report.made_after:
+        if self._uncertain_since <= report.created_after:
             self._uncertain_since = -math.inf
 
     def mark_uncertain(self, now: float) -> None:
--- a/marblefold/request_path/local_target.py
+++ b/marblefold/request_path/local_target.py
@@ -89,16 +89,16 @@
         zone: str,
         slots: int,
         cold: timedelta,
-        asked_at: float,
+        requested_at: float,
     ) -> None:
-        """Applies a healthy answer to the probe sent at `asked_at` (monotonic seconds)."""
+        """Applies a healthy answer to the probe sent at `requested_at` (monotonic seconds)."""
         if instance in self._past_instances:
             return
         is_changed = instance != self.instance
         if is_changed:
             self._begin_instance(instance)
             self.upstream, self.zone, self.slots = upstream, zone, max(1, slots)
-        report = ColdReport(ReportSource.HEALTH, cold, time.monotonic(), asked_at)
+        report = ColdReport(ReportSource.HEALTH, cold, time.monotonic(), requested_at)
         is_changed |= self._apply_report(report)
         if self.state is TargetState.UNKNOWN:
             is_changed |= self._change_state(TargetState.READY)
--- a/tests/simulated_cold.py
+++ b/tests/simulated_cold.py
@@ -114,20 +114,20 @@
             self.stage.call(link.transport.reset)
         self.start_proxy()
 
-    def answer_health(self, cold_seconds, asked_at):
-        """Delivers the answer of the target to the probe sent at `asked_at`."""
+    def answer_health(self, cold_seconds, requested_at):
+        """Delivers the answer of the target to the probe sent at `requested_at`."""
         cold = timedelta(seconds=cold_seconds)
-        self.stage.call(self.target.apply_health, "i1", "quotes", "hall", 12, cold, asked_at)
+        self.stage.call(self.target.apply_health, "i1", "quotes", "hall", 12, cold, requested_at)
 
     def warm_up(self):
         """Brings the proxy to a state in which it is in use and its target is known to be warm."""
         self.configure()
         self.heartbeat(0.0)
         self.advance(5.0)
-        self.ask(1)
+        self.send_requests(1)
         self.answer_health(0.0, self.stage.now)
 
-    def ask(self, count):
+    def send_requests(self, count):
         """Sends `count` requests from clients of the peer; the target answers at once."""
         for _request in range(count):
             self._request_count += 1
--- a/tests/test_cold_model.py
+++ b/tests/test_cold_model.py
@@ -56,8 +56,8 @@
         self.make_heartbeat(is_late)
 
     @rule(count=st.sampled_from([1, 15, 45, 45]), seconds=st.sampled_from([0.0, 0.05, 0.3]))
-    def ask(self, count, seconds):
-        self.path.ask(count)
+    def send_requests(self, count, seconds):
+        self.path.send_requests(count)
         self.path.advance(seconds)
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 1.0]))
@@ -80,8 +80,8 @@
     @precondition(lambda self: self.probe_times)
     @rule(choice=st.integers(0, 20))
     def answer_probe(self, choice):
-        asked = self.probe_times.pop(choice % len(self.probe_times))
-        self.path.answer_health(self.cold_remaining, asked)
+        requested_at = self.probe_times.pop(choice % len(self.probe_times))
+        self.path.answer_health(self.cold_remaining, requested_at)
 
     @rule(is_late=st.booleans())
     def evacuate(self, is_late):
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -23,7 +23,7 @@
     """Sends `per_tenth` requests every 0.1 seconds; returns when the load began."""
     began = path.stage.now
     for _step in range(round(seconds * 10)):
-        path.ask(per_tenth)
+        path.send_requests(per_tenth)
         path.advance(0.1)
     return began
 
@@ -123,11 +123,11 @@
     path.warm_up()
     path.heartbeat(3.0)
     began = path.stage.now
-    path.ask(30)
+    path.send_requests(30)
     # All of these are admitted, although the window has room for only a few.
     gate = path.stage.loop.gate = asyncio.Event()
     path.guard.set_address(path.address)
-    path.ask(12)
+    path.send_requests(12)
     path.advance(0.1)
     path.stage.call(gate.set)
     path.advance(0.0)
@@ -142,11 +142,11 @@
     gate = path.stage.loop.gate = asyncio.Event()
     path.guard.set_address(path.address)
     began = path.stage.now
-    path.ask(12)
+    path.send_requests(12)
     path.advance(0.24)
     path.stage.call(gate.set)
     path.advance(0.83)
-    path.ask(40)
+    path.send_requests(40)
     assert path.max_in_a_second(began, path.stage.now) <= ALLOWED
 
 
@@ -163,7 +163,7 @@
     """A proxy that has just started refuses all requests; a probe may end that at once."""
     path.configure()
     path.heartbeat(0.0)
-    path.ask(1)
+    path.send_requests(1)
     assert path.probes == 1
     path.answer_health(0.0, path.stage.now)
     began = send_load(path, 0.5)
@@ -184,5 +184,5 @@
     path.warm_up()
     for _second in range(20):
         path.advance(2.0)
-        path.ask(2)
+        path.send_requests(2)
     assert path.probes == 0
