--- /dev/null
+++ b/marblefold/proxy/graceful_shutdown.py
@@ -0,0 +1,66 @@
+"""Graceful shutdown after SIGTERM: every request that was read is answered."""
+
+import asyncio
+import time
+from datetime import timedelta
+from typing import Protocol
+
+from marblefold.http_connections.http_server import HttpServer
+from marblefold.logs import log
+
+__all__ = ["ShutdownProgram", "shut_down_gracefully"]
+
+# The platform checks readiness every second and reacts after two failures.
+_READINESS_DETECTION = timedelta(milliseconds=2300)
+_QUIET_PERIOD = timedelta(milliseconds=400)
+_POLL_INTERVAL_SECONDS = 0.05
+# The remaining share of the grace period is reserved for the exit of the process.
+_GRACE_SHARE = 0.92
+# Requests are accepted for this share of the grace period at most.
+_ACCEPT_SHARE = 0.55
+
+
+class ShutdownProgram(Protocol):
+    """A program that can be shut down gracefully."""
+
+    outbound: HttpServer
+
+    @property
+    def grace_period(self) -> timedelta: ...
+
+    @property
+    def hops_in_progress(self) -> int: ...
+
+    def begin_shutdown(self) -> None: ...
+
+
+async def shut_down_gracefully(program: ShutdownProgram) -> None:
+    """Shuts the program down; returns when the process may exit."""
+    started_at = time.monotonic()
+    log.info(
+        "shutdown started", in_progress=program.outbound.in_progress, hops=program.hops_in_progress
+    )
+    program.begin_shutdown()
+    # From here on each answer closes its connection.  Requests are still accepted, because
+    # clients arrive until the platform has seen two failed readiness checks.
+    program.outbound.is_leaving = True
+    stop_at = started_at + program.grace_period.total_seconds() * _GRACE_SHARE
+    while (now := time.monotonic()) < stop_at:
+        if now - started_at > program.grace_period.total_seconds() * _ACCEPT_SHARE:
+            # Clients arrive as long as the port is open, and a request accepted later than
+            # this could not be finished.
+            program.outbound.turns_away = True
+            program.outbound.stop()
+        is_noticed = now - started_at > _READINESS_DETECTION.total_seconds()
+        is_quiet = (
+            program.outbound.turns_away
+            or now - program.outbound.last_arrival > _QUIET_PERIOD.total_seconds()
+        )
+        if is_noticed and is_quiet:
+            program.outbound.close_idle()
+            if not program.outbound.in_progress and not program.hops_in_progress:
+                break
+        await asyncio.sleep(_POLL_INTERVAL_SECONDS)
+    program.outbound.stop()
+    program.outbound.close_idle()
+    log.info("shutdown complete", after=round(time.monotonic() - started_at, 2))
--- a/marblefold/proxy/beats.py
+++ b/marblefold/proxy/heartbeat_calls.py
@@ -1,4 +1,4 @@
-"""Receives the heartbeats of the target beside this proxy."""
+"""Receives the heartbeats of the local target."""
 
 import json
 from datetime import timedelta
@@ -6,17 +6,18 @@
 from marblefold import wire_names
 from marblefold.http_connections.answer import Answer
 from marblefold.http_connections.call_router import Call, CallRouter, json_answer
-from marblefold.request_path.local_target import Beat, LocalTarget
+from marblefold.request_path.local_target import Heartbeat, LocalTarget
 
-__all__ = ["BeatCalls", "read_beat"]
+__all__ = ["HeartbeatCalls", "parse_heartbeat"]
 
-_LARGEST_BEAT = 4096
+_MAX_HEARTBEAT_BYTES = 4096
 
 
-def read_beat(instance: str, body: bytes) -> Beat:
-    """Parses a heartbeat; ValueError names what is wrong with it.
+def parse_heartbeat(instance: str, body: bytes) -> Heartbeat:
+    """Parses a heartbeat.
 
-    Raises OverflowError for numbers out of range and RecursionError for deep nesting.
+    Raises ValueError, whose message names the invalid field, OverflowError for numbers
+    out of range and RecursionError for deep nesting.
     """
     document = json.loads(body)
     if not isinstance(document, dict):
@@ -32,7 +33,7 @@
     state = field(wire_names.STATE, str)
     if state not in (wire_names.READY, wire_names.DRAINING):
         raise ValueError(f"{wire_names.STATE}: {state!r}")
-    return Beat(
+    return Heartbeat(
         instance=instance,
         upstream=field(wire_names.UPSTREAM, str),
         address=field(wire_names.ADDRESS, str),
@@ -44,27 +45,27 @@
     )
 
 
-class BeatCalls:
-    """The calls that targets make, served from local state."""
+class HeartbeatCalls:
+    """Handles the calls of the target, from local state."""
 
     def __init__(self, target: LocalTarget, own_zone: str) -> None:
         self._target = target
         self._own_zone = own_zone
 
     def add_to(self, router: CallRouter) -> None:
-        """Serves these calls at the router."""
-        router.add("PUT", wire_names.TARGET_PATH, self._beat, _LARGEST_BEAT)
-        router.add("DELETE", wire_names.TARGET_PATH, self._leave, _LARGEST_BEAT)
+        """Registers the calls with the router."""
+        router.add("PUT", wire_names.TARGET_PATH, self._on_heartbeat, _MAX_HEARTBEAT_BYTES)
+        router.add("DELETE", wire_names.TARGET_PATH, self._on_deregister, _MAX_HEARTBEAT_BYTES)
 
-    async def _beat(self, call: Call) -> Answer:
+    async def _on_heartbeat(self, call: Call) -> Answer:
         try:
-            beat = read_beat(call.subject, call.body)
+            heartbeat = parse_heartbeat(call.subject, call.body)
         except (ValueError, OverflowError, RecursionError) as error:
             return json_answer(400, {wire_names.REASON: str(error)})
-        # The guard applies it from here on, so the answer may confirm it.
-        self._target.take_beat(beat._replace(zone=beat.zone or self._own_zone))
+        # The guard acts on the heartbeat from here on, so the answer may acknowledge it.
+        self._target.apply_heartbeat(heartbeat._replace(zone=heartbeat.zone or self._own_zone))
         return json_answer(200, {})
 
-    async def _leave(self, call: Call) -> Answer:
-        self._target.leave(call.subject)
+    async def _on_deregister(self, call: Call) -> Answer:
+        self._target.deregister(call.subject)
         return json_answer(200, {})
--- a/marblefold/proxy/target_prober.py
+++ b/marblefold/proxy/target_prober.py
@@ -1,4 +1,4 @@
-"""Asks the target beside this proxy for its health when its heartbeats are not enough."""
+"""Probes the health of the local target when its heartbeats are not sufficient."""
 
 import asyncio
 import time
@@ -6,26 +6,26 @@
 
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
-from marblefold.proxy.health_probe import ask_health
-from marblefold.request_path.cold_start import ColdStart
+from marblefold.proxy.health_probe import fetch_health
+from marblefold.request_path.cold_start import ColdStartLimiter
 from marblefold.request_path.local_target import LocalTarget, TargetState
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.task_keeper import TaskKeeper
 
 __all__ = ["TargetProber"]
 
-_TABLE_LOOK_SECONDS = 0.05
+_TABLE_POLL_INTERVAL_SECONDS = 0.05
 
 
 class TargetProber:
-    """Probes at the start, when its zone is taken back, and when the limiter needs to know."""
+    """Probes at the start, when the evacuation of the zone ends, and when the limiter needs it."""
 
     def __init__(
         self,
         read_config: Callable[[], NodeConfig],
         view: MeshView,
         target: LocalTarget,
-        cold: ColdStart,
+        cold: ColdStartLimiter,
         tasks: TaskKeeper,
     ) -> None:
         self._read_config = read_config
@@ -33,27 +33,30 @@
         self._target = target
         self._cold = cold
         self._tasks = tasks
-        cold.on_probe_wanted = self.probe
+        cold.on_probe_needed = self.probe
         view.on_evacuation = self.on_evacuation
 
     async def run(self) -> None:
-        """After our own start the target may already be running: probes it once."""
+        """Probes the target once after the start, since it may already be running."""
         while self._view.table is None:
-            await asyncio.sleep(_TABLE_LOOK_SECONDS)
-        # Even if a heartbeat came first: that may have been on its way for long.
-        if self._target.state is TargetState.UNKNOWN or self._cold.is_in_doubt:
+            await asyncio.sleep(_TABLE_POLL_INTERVAL_SECONDS)
+        # Also after a first heartbeat, which may have been delayed by several seconds.
+        if self._target.state is TargetState.UNKNOWN or self._cold.is_uncertain:
             self.probe()
 
     def on_evacuation(self, zone: str, is_on: bool) -> None:
-        """A zone is emptied or taken back; in ours the target may have gone cold unheard."""
+        """Probes the target when the evacuation of its zone ends.
+
+        The target may have gone cold during the evacuation without being noticed.
+        """
         if is_on or zone != self._read_config().zone:
             return
-        self._cold.doubt(time.monotonic(), "zone taken back")
+        self._cold.mark_uncertain(time.monotonic(), "zone taken back")
         if self._target.state is TargetState.READY:
             self.probe()
 
     def probe(self) -> None:
-        """Asks the target, if the configuration tells where its health is."""
+        """Probes the target if the configuration contains its health check path."""
         table = self._view.table
         known = table.upstreams.get(self._read_config().upstream) if table else None
         if known is not None:
@@ -61,12 +64,17 @@
 
     async def _probe(self, path: str) -> None:
         config = self._read_config()
-        asked_at = time.monotonic()
-        if config.app_address is None or not self._cold.may_probe(asked_at):
+        requested_at = time.monotonic()
+        if config.app_address is None or not self._cold.may_probe(requested_at):
             return
-        health = await ask_health(config.app_address, path)
+        health = await fetch_health(config.app_address, path)
         log.info("target probed", healthy=health is not None)
         if health is not None:
-            self._target.take_health(
-                health.instance, config.upstream, config.zone, health.slots, health.cold, asked_at
+            self._target.apply_health(
+                health.instance,
+                config.upstream,
+                config.zone,
+                health.slots,
+                health.cold,
+                requested_at,
             )
--- a/tests/test_starting_proxies.py
+++ b/tests/test_starting_proxies.py
@@ -1,8 +1,8 @@
 """A proxy that starts while a registry has no quorum contact."""
 
 from marblefold.inner_protocol.messages import kinds
-from marblefold.proxy.first_news import PATIENCE_SECONDS
 from marblefold.proxy.registry_follower import RegistryFollower
+from marblefold.proxy.startup_entry_hold import HOLD_TIMEOUT_SECONDS
 from marblefold.request_path.mesh_view import MeshView
 from tests import test_cut_off_cases as cases
 from tests.simulated_machines import TIME_STEP_SECONDS
@@ -52,9 +52,9 @@
     view, follower = start_proxy()
     connection = Connection(follower, "a")
     cluster.machines["a"].feed.follow(connection, kinds.Follow())
-    cluster.advance(PATIENCE_SECONDS - TIME_STEP_SECONDS)
-    follower.release_first_news(cluster.now)
+    cluster.advance(HOLD_TIMEOUT_SECONDS - TIME_STEP_SECONDS)
+    follower.release_held_entries(cluster.now)
     assert view.evacuated == set()
     cluster.advance(2 * TIME_STEP_SECONDS)
-    follower.release_first_news(cluster.now)
+    follower.release_held_entries(cluster.now)
     assert view.evacuated == {"z"}
