--- a/tests/test_given_up_in_time.py
+++ b/tests/test_given_up_in_time.py
@@ -16,7 +16,7 @@
 from marblefold.loop_watch import LoopWatch
 from marblefold.node_config.model import Address
 from marblefold.node_config.reading import parse_config
-from marblefold.request_path.executor import _gather
+from marblefold.request_path.executor import _buffer_body
 from marblefold.request_path.guard import Guard
 from marblefold.request_path.local_target import LocalTarget
 from marblefold.request_path.mesh_view import MeshView
@@ -161,7 +161,7 @@
 
 
 def test_a_body_that_does_not_arrive_is_awaited_until_the_deadline(stage):
-    task = stage.start(_gather(SlowBody(), 100, stage.now + 2.0))
+    task = stage.start(_buffer_body(SlowBody(), 100, stage.now + 2.0))
     stage.advance(1.9)
     assert not task.done()
     stage.advance(0.2)
