--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -16,14 +16,14 @@
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
 from marblefold.node_config.watching import ConfigWatch
+from marblefold.proxy.graceful_shutdown import shut_down_gracefully
 from marblefold.proxy.lease_client import LeaseClient
-from marblefold.proxy.leaving import leave_in_order
 from marblefold.proxy.registry_follower import RegistryFollower
-from marblefold.proxy.traffic_teller import TrafficTeller
+from marblefold.proxy.traffic_reporter import TrafficReporter
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.request_path.running_work import RunningWork
-from marblefold.request_path.surroundings import Surroundings
+from marblefold.request_path.routing_state import RoutingState
+from marblefold.request_path.running_requests import RunningRequests
 from marblefold.request_path.target_selection import TargetSelector
 from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.starting import start_tracing
@@ -52,19 +52,19 @@
             config.node_name,
             self._seed_registries,
             self.view,
-            most=GATEWAY_FOLLOWS,
-            asker=LeaseClient(config.node_name, self.view),
+            max_followed=GATEWAY_FOLLOWS,
+            lease_client=LeaseClient(config.node_name, self.view),
         )
         selector = TargetSelector(
-            self.view, config.zone, subset_of=config.node_name, has_guards=False
+            self.view, config.zone, subset_key=config.node_name, has_guards=False
         )
         free = config.limits.file_descriptors - _KEPT_FOR_FILES - _KEPT_FOR_OURSELVES
         for_targets = max(4, int(free * _TARGET_SHARE))
-        self.surroundings = Surroundings(self.view, selector, config.bounds, config.limits)
+        self.routing_state = RoutingState(self.view, selector, config.bounds, config.limits)
         self.pool = TargetPool(for_targets, self._addresses)
         hops = TargetHops(self.pool)
         self.executor = RequestExecutor(
-            self.surroundings, PartnerHops(hops, hops, self.view), RunningWork(), ""
+            self.routing_state, PartnerHops(hops, hops, self.view), RunningRequests(), ""
         )
         self.outbound = HttpServer(
             self.executor.serve, max(4, free - for_targets), self.executor.may_run_ahead
@@ -81,7 +81,7 @@
         )
         if self._tracing is not None:
             self.executor.tracer = self._tracing.tracer
-        self._traffic = TrafficTeller(self.surroundings.traffic, self.follower, config)
+        self._traffic = TrafficReporter(self.routing_state.traffic, self.follower, config)
 
     async def run(self) -> None:
         """Serves until a SIGTERM has been obeyed."""
@@ -106,12 +106,12 @@
         if self._tracing is not None:
             self._tasks.start(self._tracing.run())
         await self._stop.wait()
-        await leave_in_order(self)
+        await shut_down_gracefully(self)
         if self._tracing is not None:
             self._tracing.export_rest()
         self._tasks.cancel()
 
-    def tell_leaving(self) -> None:
+    def begin_shutdown(self) -> None:
         """Fails the readiness checks, so that the platform sends clients elsewhere."""
         self.is_leaving = True
 
@@ -148,4 +148,4 @@
     async def _look_for_overdue(self) -> None:
         while True:
             await asyncio.sleep(_OVERDUE_LOOK.total_seconds())
-            self.surroundings.log_overdue(_OVERDUE_LOOK)
+            self.routing_state.log_overdue(_OVERDUE_LOOK)
--- a/marblefold/registry/peer_updates.py
+++ b/marblefold/registry/peer_updates.py
@@ -27,10 +27,10 @@
         """The registries to follow."""
         return self._peers()
 
-    def is_news(self, entry: kinds.Entry) -> bool:
+    def is_newer(self, entry: kinds.Entry) -> bool:
         """Whether to request a deferred entry: never, as the accepted kinds have small values."""
         return False
 
-    def take(self, entry: kinds.Entry) -> bool:
+    def apply(self, entry: kinds.Entry) -> bool:
         """Stores an entry of another registry if it is newer; returns whether it was."""
         return entry.kind in self._accepted_kinds and self._catalogue.put(entry)
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -1,4 +1,4 @@
-"""Executes a client's request through the mesh, following its RequestDecision."""
+"""Executes client requests, carrying out the steps of their RequestDecision."""
 
 import asyncio
 import random
@@ -16,72 +16,74 @@
 )
 from marblefold.logs import log
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
-from marblefold.request_path.hop_sender import Hops
+from marblefold.request_path.hop_sender import HopTransport
 from marblefold.request_path.outcome import HopOutcome, HopResult
 from marblefold.request_path.request_head import make_head
-from marblefold.request_path.running_work import RunningWork
-from marblefold.request_path.surroundings import Surroundings
+from marblefold.request_path.routing_state import RoutingState
+from marblefold.request_path.running_requests import RunningRequests
 from marblefold.request_path.tracers import RequestTracer
 
 __all__ = ["RequestExecutor"]
 
-# A body of up to so many bytes is buffered, so that it can be sent again.
-_HELD_BODY = 512 * 1024
-_NO_DEADLINE_SECONDS = 600.0
-# Retry-After, in seconds, for a body that was not received by its deadline.
-_AGAIN_SECONDS = 0.1
-_LONGEST_ID = 200
-# How a request ends whose client is gone.
+# A body of up to this size is buffered, so that it can be sent again.
+_MAX_BUFFERED_BODY_BYTES = 512 * 1024
+_DEFAULT_DEADLINE_SECONDS = 600.0
+# Retry-After for a request whose body was not received by its deadline.
+_BODY_RETRY_AFTER_SECONDS = 0.1
+_MAX_ATTEMPT_ID_LENGTH = 200
+# The conclusion of a request whose client has disconnected.
 _CANCELLED = Conclude(Answer(0), "cancelled")
 
 
 class RequestExecutor:
-    """Serves the requests that clients send to this proxy."""
+    """Executes the requests that clients send to this proxy."""
 
     def __init__(
         self,
-        surroundings: Surroundings,
-        hops: Hops,
-        work: RunningWork,
+        routing_state: RoutingState,
+        hops: HopTransport,
+        running_requests: RunningRequests,
         caller: str,
     ) -> None:
         self.caller = caller
-        # Records every step, if this node traces.
+        # Set only if this node traces requests.
         self.tracer: RequestTracer | None = None
-        self._work = work
-        self._surroundings = surroundings
+        self._running_requests = running_requests
+        self._routing_state = routing_state
         self.hops = hops
         self._random = random.Random()
 
     async def serve(self, request: ClientRequest) -> Answer:
-        """The answer to the request; ConnectionError if its client is lost."""
-        table = self._surroundings.view.table
+        """Returns the answer to the request; ConnectionError if the client disconnects."""
+        table = self._routing_state.view.table
         if table is None:
             return own_answer(503, "no configuration yet", request.attempt_id, 0.5)
         route = self._find_route(request, table)
         if isinstance(route, Answer):
             return route
-        # Decided on the head alone, before any work is done for the request.
-        concurrency_limiter = self._surroundings.concurrency
-        passage = concurrency_limiter.ask(route.name, route.priority, request.arrived)
-        if not passage.allowed:
+        # Decided on the request head alone, before any work is done for the request.
+        concurrency_limiter = self._routing_state.concurrency
+        admission = concurrency_limiter.admit(route.name, route.priority, request.arrived)
+        if not admission.allowed:
             log.warning("concurrency limit", route=route.name, attempt=request.attempt_id)
-            return own_answer(429, "too many alike", request.attempt_id, passage.retry_after)
-        ticket = concurrency_limiter.begin(route.name, request.arrived, request.attempt_id)
+            return own_answer(429, "too many alike", request.attempt_id, admission.retry_after)
+        permit = concurrency_limiter.begin(route.name, request.arrived, request.attempt_id)
         try:
             return await self._serve_on_route(request, route, table.limits.body_bytes)
         finally:
-            concurrency_limiter.end(route.name, ticket)
+            concurrency_limiter.end(route.name, permit)
 
     async def _serve_on_route(
         self, request: ClientRequest, route: Route, body_limit: int
     ) -> Answer:
         deadline = self._find_deadline(request, route)
         try:
-            body, is_whole = await _gather(request, body_limit, deadline)
+            body, is_whole = await _buffer_body(request, body_limit, deadline)
         except TimeoutError:
-            # Nothing was begun, and the rest of the body will not be read.
-            return own_answer(503, "not run: body", request.attempt_id, _AGAIN_SECONDS, closes=True)
+            # No hop was sent, and the rest of the body is not read.
+            return own_answer(
+                503, "not run: body", request.attempt_id, _BODY_RETRY_AFTER_SECONDS, closes=True
+            )
         except BodyTooLarge:
             return own_answer(413, "the body is too large", request.attempt_id, closes=True)
         try:
@@ -98,10 +100,10 @@
         is_whole: bool,
         body_limit: int,
     ) -> Answer:
-        surroundings = self._surroundings
+        routing_state = self._routing_state
         upstream = self._pick_upstream(route)
-        parent = self._work.find_parent(request.attempt_id)
-        kilobytes = max(len(body), request.body_length) / 1024 + surroundings.answer_kilobytes(
+        parent = self._running_requests.find_parent(request.attempt_id)
+        kilobytes = max(len(body), request.body_length) / 1024 + routing_state.answer_kilobytes(
             route.name
         )
         decision = RequestDecision(
@@ -113,22 +115,22 @@
             is_whole,
             kilobytes,
             parent is not None,
-            surroundings,
+            routing_state,
         )
         now = time.monotonic()
-        surroundings.note_request(upstream, now)
-        owner = surroundings.view.owners.get(upstream)
-        table = surroundings.view.table
-        known = table.upstreams.get(upstream) if table is not None else None
-        head = make_head(request, route, upstream, known, self.caller, body, is_whole)
+        routing_state.note_request(upstream, now)
+        owner = routing_state.view.owners.get(upstream)
+        table = routing_state.view.table
+        upstream_settings = table.upstreams.get(upstream) if table is not None else None
+        head = make_head(request, route, upstream, upstream_settings, self.caller, body, is_whole)
         head.config_version = table.number if table is not None else 0
         head.owner_epoch = owner.epoch if owner is not None else 0
         if parent is not None:
-            # Work was already done for the calling request: its calls go first.
+            # Work was already done for the calling request, so its nested calls have priority.
             head.priority = 0
-            head.repeat_run = parent.is_repeat
-            if parent.is_repeat:
-                surroundings.note_repeat(upstream, now)
+            head.repeat_run = parent.is_retry
+            if parent.is_retry:
+                routing_state.note_retry(upstream, now)
         span = None
         tracer = self.tracer
         if tracer is not None:
@@ -141,33 +143,35 @@
                 body,
                 is_whole,
             )
-        end = _CANCELLED
+        conclusion = _CANCELLED
         try:
             while not isinstance(step := decision.next_step(time.monotonic()), Conclude):
-                # A body that is buffered whole can be sent again from its beginning.
+                # A fully buffered body can be sent again from its beginning.
                 sent: SentRequest = (
                     HeldRequest(request, body) if is_whole and head.body_follows else request
                 )
                 result = await self._hop(step, head, sent, decision, body_limit, span)
                 decision.note(step.target, result)
-            end = step
+            conclusion = step
         finally:
-            surroundings.traffic.note(
-                route.name, end.answer.status, time.monotonic() - request.arrived, kilobytes
+            routing_state.traffic.note(
+                route.name, conclusion.answer.status, time.monotonic() - request.arrived, kilobytes
             )
             if tracer is not None and span is not None:
-                tracer.finish_request(span, end.answer.status, end.step, decision.may_have_run)
-        if end.answer.status >= 500 and end.step != "answered":
+                tracer.finish_request(
+                    span, conclusion.answer.status, conclusion.step, decision.may_have_run
+                )
+        if conclusion.answer.status >= 500 and conclusion.step != "answered":
             log.info(
-                "gave up",
+                "request failed",
                 attempt=request.attempt_id,
-                step=end.step,
-                status=end.answer.status,
+                step=conclusion.step,
+                status=conclusion.answer.status,
                 upstream=upstream,
             )
-        if end.answer.status < 300:
-            surroundings.note_answer(route.name, len(end.answer.body) / 1024)
-        return end.answer
+        if conclusion.answer.status < 300:
+            routing_state.note_answer(route.name, len(conclusion.answer.body) / 1024)
+        return conclusion.answer
 
     async def _hop(
         self,
@@ -182,14 +186,14 @@
         head.expected_instance = target.instance
         head.deadline_left_ms = int(offer.seconds_left * 1000)
         head.queue_left_ms = int(offer.queue_seconds * 1000)
-        head.aim_left_ms = int(offer.aim_seconds * 1000)
+        head.aim_left_ms = int(offer.latency_target_seconds * 1000)
         head.attempt_number = offer.attempt_number
         head.last_resort = offer.is_last_resort
-        surroundings = self._surroundings
-        # Any attempt after the first may reach a target as a repeat.
+        routing_state = self._routing_state
+        # Any attempt after the first counts as a retry.
         if offer.attempt_number > 1:
-            surroundings.note_repeat(target.upstream, time.monotonic())
-        ticket = surroundings.begin(target, decision.weight, head.attempt_id)
+            routing_state.note_retry(target.upstream, time.monotonic())
+        permit = routing_state.begin(target, decision.latency_target, head.attempt_id)
         result = HopResult(HopOutcome.UNKNOWN, step="cancelled")
         hop = None
         tracer = self.tracer
@@ -202,29 +206,30 @@
             )
             return result
         finally:
-            surroundings.end(target, ticket, result, decision.weight)
+            routing_state.end(target, permit, result, decision.latency_target)
             if tracer is not None and hop is not None:
                 tracer.finish_hop(hop, result)
 
     def may_run_ahead(self, request: ClientRequest) -> bool:
-        """Whether a pipelined request may run before those ahead of it are answered.
+        """Whether a pipelined request may run before earlier ones are answered.
 
-        Whether a request may be repeated depends on its route, not on its method.
+        This depends on the type of its route, as only requests of read-only routes
+        may be repeated; the method says nothing about that.
         """
-        table = self._surroundings.view.table
+        table = self._routing_state.view.table
         route = table.find(request.host, request.path) if table is not None else None
         return route is not None and route.kind == wire_names.READ_ONLY
 
     def _find_route(self, request: ClientRequest, table: RouteTable) -> Route | Answer:
-        """The route of the request, or the answer that refuses it."""
+        """Returns the route of the request, or the answer that refuses it."""
         if request.is_upgrade or request.method == "CONNECT":
             return own_answer(400, "no such use of the connection", closes=True)
         attempt = request.attempt_id
-        if not attempt or len(attempt) > _LONGEST_ID or not attempt.isascii():
+        if not attempt or len(attempt) > _MAX_ATTEMPT_ID_LENGTH or not attempt.isascii():
             return own_answer(400, "no Attempt-Id")
         route = table.find(request.host, request.path)
         if route is None:
-            route = self._surroundings.view.find_partner_route(
+            route = self._routing_state.view.find_partner_route(
                 request.host, request.path, time.monotonic()
             )
         if route is None:
@@ -233,7 +238,7 @@
 
     def _find_deadline(self, request: ClientRequest, route: Route) -> float:
         requested = request.deadline_ms
-        seconds = requested / 1000.0 if requested is not None else _NO_DEADLINE_SECONDS
+        seconds = requested / 1000.0 if requested is not None else _DEFAULT_DEADLINE_SECONDS
         return request.arrived + min(seconds, route.time_limit.total_seconds())
 
     def _pick_upstream(self, route: Route) -> str:
@@ -242,13 +247,15 @@
         return self._random.choices(route.upstreams, route.weights)[0]
 
 
-async def _gather(request: ClientRequest, most: int, deadline: float) -> tuple[bytes, bool]:
-    """The buffered part of the body, and whether it is whole.
+async def _buffer_body(
+    request: ClientRequest, max_bytes: int, deadline: float
+) -> tuple[bytes, bool]:
+    """Returns the buffered part of the body, and whether that is the whole body.
 
     Raises TimeoutError if the body is not received by the deadline (monotonic seconds),
-    BodyTooLarge above `most` bytes, and ConnectionError if the client is lost.
+    BodyTooLarge if it is larger than `max_bytes`, and ConnectionError if the client disconnects.
     """
     if not request.has_body:
         return b"", True
     async with asyncio.timeout(max(0.0, deadline - time.monotonic())):
-        return await request.gather(_HELD_BODY, most)
+        return await request.gather(_MAX_BUFFERED_BODY_BYTES, max_bytes)
--- a/marblefold/request_path/local_target.py
+++ b/marblefold/request_path/local_target.py
@@ -1,4 +1,4 @@
-"""The state of the target beside this proxy, from its heartbeats and answers."""
+"""The state of the local target, from its heartbeats and health answers."""
 
 import enum
 import time
@@ -9,15 +9,15 @@
 from marblefold.logs import log
 from marblefold.request_path.cold_state import ColdReport, ColdState, ReportSource
 
-__all__ = ["Beat", "LocalTarget", "TargetState"]
+__all__ = ["Heartbeat", "LocalTarget", "TargetState"]
 
-_REMEMBERED_LIVES = 32
-# A report that differs from the one before by more than this is logged.
-_REPORTED_DRIFT_SECONDS = 0.2
+_MAX_PAST_INSTANCES = 32
+# A reported cold time that differs from the expected one by more than this is logged.
+_LOGGED_DRIFT_SECONDS = 0.2
 
 
 class TargetState(enum.Enum):
-    """The states of a target instance; draining and gone are never reverted."""
+    """The states of a target instance, which only change in the order given here."""
 
     UNKNOWN = "unknown"
     READY = "ready"
@@ -25,8 +25,8 @@
     GONE = "gone"
 
 
-class Beat(NamedTuple):
-    """A heartbeat of a target; `cold` is how much longer it is cold."""
+class Heartbeat(NamedTuple):
+    """A heartbeat of a target; `cold` is the remaining cold time."""
 
     instance: str
     upstream: str
@@ -39,7 +39,7 @@
 
 
 class LocalTarget:
-    """The state of the one target that only this proxy reaches."""
+    """The state of the one target behind this proxy."""
 
     def __init__(self, on_change: Callable[[], None]) -> None:
         self.state = TargetState.UNKNOWN
@@ -49,108 +49,117 @@
         self.slots = 1
         self.cold = ColdState()
         self.drain_since = 0.0
-        self._beat_number = -1
-        self._past_lives: list[str] = []
+        self._heartbeat_number = -1
+        self._past_instances: list[str] = []
         self._on_change = on_change
-        # Called with the target's own word on how long it is cold, and when another
-        # instance takes its place.
+        # Called with each report of how long the target is cold, and when a new instance
+        # replaces the current one.
         self.on_cold_report: Callable[[ColdReport], None] = lambda _report: None
-        self.on_new_life: Callable[[], None] = lambda: None
+        self.on_new_instance: Callable[[], None] = lambda: None
 
-    def take_beat(self, beat: Beat) -> None:
-        """Applies a heartbeat; a late one or one of an earlier instance is ignored."""
-        if beat.instance in self._past_lives:
+    def apply_heartbeat(self, heartbeat: Heartbeat) -> None:
+        """Applies a heartbeat; ignores an outdated one or one of an earlier instance."""
+        if heartbeat.instance in self._past_instances:
             return
-        if beat.instance != self.instance:
-            self._begin_life(beat.instance)
-        elif beat.number <= self._beat_number:
+        if heartbeat.instance != self.instance:
+            self._begin_instance(heartbeat.instance)
+        elif heartbeat.number <= self._heartbeat_number:
             return
-        self._beat_number = beat.number
+        self._heartbeat_number = heartbeat.number
         now = time.monotonic()
         is_changed = (self.upstream, self.zone, self.slots) != (
-            beat.upstream,
-            beat.zone,
-            beat.slots,
+            heartbeat.upstream,
+            heartbeat.zone,
+            heartbeat.slots,
         )
-        self.upstream, self.zone, self.slots = beat.upstream, beat.zone, max(1, beat.slots)
-        is_changed |= self._take_report(ColdReport(ReportSource.HEARTBEAT, beat.cold, now))
-        state = TargetState.DRAINING if beat.is_draining else TargetState.READY
+        self.upstream, self.zone, self.slots = (
+            heartbeat.upstream,
+            heartbeat.zone,
+            max(1, heartbeat.slots),
+        )
+        is_changed |= self._apply_report(ColdReport(ReportSource.HEARTBEAT, heartbeat.cold, now))
+        state = TargetState.DRAINING if heartbeat.is_draining else TargetState.READY
         if self._change_state(state) or is_changed:
             self._on_change()
 
-    def take_health(
+    def apply_health(
         self,
         instance: str,
         upstream: str,
         zone: str,
         slots: int,
         cold: timedelta,
-        asked_at: float,
+        requested_at: float,
     ) -> None:
-        """Applies a healthy answer to the probe of `asked_at` (monotonic seconds)."""
-        if instance in self._past_lives:
+        """Applies a healthy answer to the probe sent at `requested_at` (monotonic seconds)."""
+        if instance in self._past_instances:
             return
         is_changed = instance != self.instance
         if is_changed:
-            self._begin_life(instance)
+            self._begin_instance(instance)
             self.upstream, self.zone, self.slots = upstream, zone, max(1, slots)
-        report = ColdReport(ReportSource.HEALTH, cold, time.monotonic(), asked_at)
-        is_changed |= self._take_report(report)
+        report = ColdReport(ReportSource.HEALTH, cold, time.monotonic(), requested_at)
+        is_changed |= self._apply_report(report)
         if self.state is TargetState.UNKNOWN:
             is_changed |= self._change_state(TargetState.READY)
         if is_changed:
             self._on_change()
 
-    def leave(self, instance: str) -> None:
-        """The target has announced its end."""
+    def deregister(self, instance: str) -> None:
+        """Applies the announcement of an instance that it shuts down."""
         if instance == self.instance and self._change_state(TargetState.GONE):
             self._on_change()
-        elif instance != self.instance and instance not in self._past_lives:
-            self._remember(instance)
+        elif instance != self.instance and instance not in self._past_instances:
+            self._add_past_instance(instance)
 
     @property
     def cold_until(self) -> float:
-        """Until when the target is cold by its own word, in monotonic seconds."""
+        """Until when the target is cold according to its own reports, in monotonic seconds."""
         return self.cold.cold_until
 
-    def _take_report(self, report: ColdReport) -> bool:
-        """Applies the target's own word; returns whether it became cold or warm."""
+    def _apply_report(self, report: ColdReport) -> bool:
+        """Applies a report of the target; returns whether it became cold or warm."""
         was_cold = self.cold_until > report.at
         expected = max(0.0, self.cold_until - report.at)
-        left = report.left.total_seconds()
-        if (left > 0) != was_cold or abs(left - expected) > _REPORTED_DRIFT_SECONDS:
+        remaining = report.remaining.total_seconds()
+        if (remaining > 0) != was_cold or abs(remaining - expected) > _LOGGED_DRIFT_SECONDS:
             log.info(
-                "target cold" if left > 0 else "target warm",
+                "target cold" if remaining > 0 else "target warm",
                 instance=self.instance,
                 source=report.source.value,
-                left=round(left, 3),
+                left=round(remaining, 3),
                 expected=round(expected, 3),
             )
-        self.cold.take(report)
+        self.cold.apply(report)
         self.on_cold_report(report)
         return was_cold != (self.cold_until > report.at)
 
-    def _begin_life(self, instance: str) -> None:
+    def _begin_instance(self, instance: str) -> None:
         if self.instance:
-            self._remember(self.instance)
+            self._add_past_instance(self.instance)
             self.cold = ColdState()
         self.instance = instance
-        self._beat_number = -1
+        self._heartbeat_number = -1
         self.state = TargetState.UNKNOWN
-        self.on_new_life()
+        self.on_new_instance()
 
-    def _remember(self, instance: str) -> None:
-        self._past_lives.append(instance)
-        del self._past_lives[:-_REMEMBERED_LIVES]
+    def _add_past_instance(self, instance: str) -> None:
+        self._past_instances.append(instance)
+        del self._past_instances[:-_MAX_PAST_INSTANCES]
 
     def _change_state(self, state: TargetState) -> bool:
-        """The only place where the state changes; returns whether it did."""
+        """Changes the state; returns whether it did.  No other method advances the state."""
         order = list(TargetState)
-        # Within one instance the state only moves forward.
+        # The state of one instance never goes back to an earlier one.
         if order.index(state) <= order.index(self.state):
             return False
         self.state = state
         if state is TargetState.DRAINING:
             self.drain_since = time.monotonic()
-        log.info("target", instance=self.instance, state=state.value, upstream=self.upstream)
+        log.info(
+            "target state changed",
+            instance=self.instance,
+            state=state.value,
+            upstream=self.upstream,
+        )
         return True
--- a/tests/simulated_leases.py
+++ b/tests/simulated_leases.py
@@ -147,10 +147,10 @@
         return self.world.now * self.rate
 
     def receive_document(self, number, value):
-        self.view.take(kinds.Entry(kind="partners", key="partners", number=number, value=value))
+        self.view.apply(kinds.Entry(kind="partners", key="partners", number=number, value=value))
 
     def request_lease(self):
-        return self.lease_client.ask("registry", self.clock)
+        return self.lease_client.make_request("registry", self.clock)
 
     def enter(self, prefix):
         request = types.SimpleNamespace(host=HOST, path=prefix + "x")
--- a/tests/test_partner_leases.py
+++ b/tests/test_partner_leases.py
@@ -45,7 +45,7 @@
 
         def answer():
             granted = registry.granter.grant(request)
-            self.messages.append(lambda: lease_client.take(granted))
+            self.messages.append(lambda: lease_client.apply_grant(granted))
 
         self.messages.append(answer)
 
@@ -97,7 +97,9 @@
             coordinator = self.registries[0].coordinator
             if coordinator.number:
                 node.receive_document(coordinator.number, coordinator.value)
-                node.lease_client.take(self.registries[0].granter.grant(node.request_lease()))
+                node.lease_client.apply_grant(
+                    self.registries[0].granter.grant(node.request_lease())
+                )
                 assert node.view.partners.digest == compute_digest(self.world)
                 assert node.view.leases.may_use_partners(node.clock)
         for registry in self.registries:
@@ -116,7 +118,7 @@
     registry.begin_read()
     registry.end_read()
     node.receive_document(world.number, world.value)
-    node.lease_client.take(registry.granter.grant(node.request_lease()))
+    node.lease_client.apply_grant(registry.granter.grant(node.request_lease()))
     node.enter("/a/")
     node.enter("/b/")
     assert len(node.entered) == 1
