--- a/marblefold/registry/site_coordination.py
+++ b/marblefold/registry/site_coordination.py
@@ -14,12 +14,11 @@
 from marblefold.node_config.reading import NodeConfig
 from marblefold.ownership.agent import OWNER_PREFIX, OWNERS_REGISTER, SiteAgent
 from marblefold.ownership.background_records import BackgroundRecords
-from marblefold.ownership.calls import Claimed, OwnerCalls
+from marblefold.ownership.calls import KnownClaims, OwnerCalls
 from marblefold.ownership.claims import Owner, find_clashes, read_owners
 from marblefold.partners.calls import PartnerCalls
-from marblefold.partners.document import Document
-from marblefold.partners.duty import REGISTER as PARTNERS_REGISTER
-from marblefold.partners.duty import PartnerDuty
+from marblefold.partners.coordinator import PARTNERS_REGISTER, PartnerCoordinator
+from marblefold.partners.document import PartnersDocument
 from marblefold.register_store.register_client import RegisterClient
 from marblefold.register_store.register_files import RegisterFiles
 from marblefold.registry.catalogue import Catalogue
@@ -42,7 +41,7 @@
         self._owned_services: dict[str, tuple[str, ...]] = {}
         self._owners_number = 0
         self._clashes: dict[str, list[str]] = {}
-        self.partners = PartnerDuty(store_client, is_leader)
+        self.partners = PartnerCoordinator(store_client, is_leader)
         self.granter = LeaseGranter(self.partners)
         self.agent: SiteAgent | None = None
         self._calls = (
@@ -61,7 +60,7 @@
                 lambda: self._collect_claims().claimants,
             )
             self.granter.site = config.site
-            self.granter.owned = self.agent.grants
+            self.granter.owned = self.agent.owned_leases
 
     def add_to(self, router: CallRouter) -> None:
         """Registers the administration calls with the router."""
@@ -78,7 +77,7 @@
     def apply_record(self, register: str, number: int, value: bytes) -> None:
         """Applies a record that a majority holds and publishes it in the feed."""
         if register == PARTNERS_REGISTER:
-            self.partners.take(number, value)
+            self.partners.apply_document(number, value)
             self._catalogue.put(
                 kinds.Entry(
                     kind="partners",
@@ -109,7 +108,7 @@
     def _apply_owners_record(self, value: bytes) -> None:
         previous, self._owned_services = self._owned_services, read_owners(value)
         if self.agent is not None:
-            self.agent.take_record(value)
+            self.agent.apply_owners_record(value)
         for upstream in self._owned_services:
             # The service is owned from now on; nobody serves it until it has an owner.
             self._catalogue.put(kinds.Entry(kind="owner", key=upstream, number=1))
@@ -137,7 +136,7 @@
         )
         self.report_claim_conflicts()
 
-    def _collect_claims(self) -> Claimed:
+    def _collect_claims(self) -> KnownClaims:
         claimants: dict[str, set[tuple[str, str]]] = {}
         for entry in self._catalogue.entries("target"):
             notice = kinds.TargetNotice.FromString(entry.value)
@@ -148,14 +147,14 @@
             for entry in self._catalogue.entries("owner")
             if entry.value
         }
-        return Claimed(claimants, owners)
+        return KnownClaims(claimants, owners)
 
 
 def _remove_credentials(value: bytes) -> bytes:
     """Removes the partners' credentials, which nodes do not need."""
-    return Document(
+    return PartnersDocument(
         {
             name: {key: field for key, field in partner.items() if key != "credential"}
-            for name, partner in Document.read(value).partners.items()
+            for name, partner in PartnersDocument.read(value).partners.items()
         }
     ).pack()
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -16,9 +16,9 @@
 from marblefold.http_connections.client_connection import ClientConnection
 from marblefold.inner_protocol.messages import kinds
 from marblefold.maintenance.calls import MaintenanceCalls
-from marblefold.ownership.calls import Claimed, OwnerCalls
+from marblefold.ownership.calls import KnownClaims, OwnerCalls
 from marblefold.partners.calls import PartnerCalls
-from marblefold.partners.duty import PartnerDuty
+from marblefold.partners.coordinator import PartnerCoordinator
 from marblefold.register_store.changes import RegisterContent
 from marblefold.register_store.orders import read_order
 from marblefold.registry.control_calls import ControlCalls
@@ -92,14 +92,14 @@
     def __init__(self, history_folder=""):
         self.stores = MemoryStores()
         self.router = CallRouter()
-        duty = PartnerDuty(self.stores, lambda: False)
+        duty = PartnerCoordinator(self.stores, lambda: False)
         history = HistoryKeeper(history_folder)
         self.parts = (
             TraceCalls(Collector(100), lambda: 0.0),
             history,
             RehearsalCalls(self.stores, dict),
             PartnerCalls(self.stores, duty, dict, sleep=_no_sleep),
-            OwnerCalls(self.stores, lambda: Claimed({}, {})),
+            OwnerCalls(self.stores, lambda: KnownClaims({}, {})),
             MaintenanceCalls(self.stores, lambda: ZONES, lambda: CAPACITY),
             ControlCalls(self.stores, lambda: ZONES, dict),
         )
