--- a/marblefold/history/keeper.py
+++ b/marblefold/history/recorder.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from marblefold.history.versions import Versions
 
-__all__ = ["HistoryKeeper"]
+__all__ = ["HistoryRecorder"]
 
 # More than this waiting means a disk that stalls: the oldest are let go.
 _MOST_WAITING = 16
@@ -26,7 +26,7 @@
 _LONGEST_NUMBER = 18
 
 
-class HistoryKeeper:
+class HistoryRecorder:
     """Owns the history's thread; without a folder there is no history."""
 
     def __init__(self, data_directory: str) -> None:
@@ -43,7 +43,7 @@
         router.add("GET", wire_names.HISTORY_PATH, self._list)
         router.add("GET", wire_names.VERSION_PATH, self._show)
 
-    def take(self, number: int, body: bytes) -> None:
+    def record(self, number: int, body: bytes) -> None:
         """A configuration holds; it is kept when there is time."""
         if not self._folder or number <= self._newest:
             return
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -11,7 +11,7 @@
 
 from marblefold.configuration.laying_out import lay_out
 from marblefold.configuration.reading import read_configuration
-from marblefold.history.keeper import HistoryKeeper
+from marblefold.history.recorder import HistoryRecorder
 from marblefold.http_connections.http_server import HttpServer
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
@@ -98,7 +98,7 @@
         calls = CommandRouter(self._stall_detector, self.contact)
         TraceCalls(self._collector, time.time).add_to(calls)
         self._traffic_rates = TrafficRates()
-        self._history = HistoryKeeper(config.data_directory if is_history_on() else "")
+        self._history = HistoryRecorder(config.data_directory if is_history_on() else "")
         self._history.add_to(calls)
         RehearsalCalls(self.store_client, self._describe_snapshot_parts).add_to(calls)
         self._site_coordinator.add_to(calls)
@@ -217,7 +217,7 @@
     def _on_record(self, record: ChosenRecord) -> None:
         """Applies a chosen record and publishes it to the followers."""
         if record.register == "configuration":
-            self._history.take(record.number, record.value)
+            self._history.record(record.number, record.value)
             self.catalogue.put(
                 kinds.Entry(
                     kind="configuration",
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -11,7 +11,7 @@
 from types import SimpleNamespace
 
 from marblefold.errors import MeshError
-from marblefold.history.keeper import HistoryKeeper
+from marblefold.history.recorder import HistoryRecorder
 from marblefold.http_connections.call_router import CallRouter
 from marblefold.http_connections.client_connection import ClientConnection
 from marblefold.inner_protocol.messages import kinds
@@ -93,7 +93,7 @@
         self.stores = MemoryStores()
         self.router = CallRouter()
         duty = PartnerDuty(self.stores, lambda: False)
-        history = HistoryKeeper(history_folder)
+        history = HistoryRecorder(history_folder)
         self.parts = (
             TraceCalls(Collector(100), lambda: 0.0),
             history,
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -7,7 +7,7 @@
 import pytest
 
 from marblefold.errors import MeshError
-from marblefold.history.keeper import HistoryKeeper
+from marblefold.history.recorder import HistoryRecorder
 from marblefold.history.versions import Versions
 from marblefold.http_connections.call_router import Call
 
@@ -68,26 +68,26 @@
 
 def test_a_registry_answers_from_it_and_serves_on_without_it(tmp_path):
     async def test():
-        keeper = HistoryKeeper(str(tmp_path))
-        run = asyncio.create_task(keeper.run())
+        recorder = HistoryRecorder(str(tmp_path))
+        run = asyncio.create_task(recorder.run())
         for number in (1, 2):
-            keeper.take(number, body_of(number))
+            recorder.record(number, body_of(number))
         async with asyncio.timeout(20):
-            while len(json.loads((await keeper._list(Call("", b""))).body)["versions"]) < 2:
+            while len(json.loads((await recorder._list(Call("", b""))).body)["versions"]) < 2:
                 await asyncio.sleep(0)
-        assert json.loads((await keeper._show(Call("r2", b""))).body) == {"config-version": 2}
-        assert (await keeper._show(Call("9", b""))).status == 404
-        assert (await keeper._show(Call("two", b""))).status == 400
+        assert json.loads((await recorder._show(Call("r2", b""))).body) == {"config-version": 2}
+        assert (await recorder._show(Call("9", b""))).status == 404
+        assert (await recorder._show(Call("two", b""))).status == 400
         run.cancel()
         # No folder: nothing is kept, nothing waits.
-        none = HistoryKeeper("")
-        none.take(1, body_of(1))
+        none = HistoryRecorder("")
+        none.record(1, body_of(1))
         assert none._waiting.qsize() == 0 and (await none._list(Call("", b""))).status == 404
         # A folder that cannot be made: told, and nothing else.
         (tmp_path / "file").write_text("")
-        stuck = HistoryKeeper(str(tmp_path / "file"))
+        stuck = HistoryRecorder(str(tmp_path / "file"))
         for number in range(40):
-            stuck.take(number, body_of(number))
+            stuck.record(number, body_of(number))
         assert stuck._waiting.qsize() <= 16
         run = asyncio.create_task(stuck.run())
         async with asyncio.timeout(20):
--- a/tests/test_hung_disks.py
+++ b/tests/test_hung_disks.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import rule
 
-from marblefold.history import keeper as history
+from marblefold.history import recorder as history
 from marblefold.http_connections.call_router import Call
 from marblefold.ownership.background_records import BackgroundRecords
 from tests.many_changes import change_of, register_name
@@ -76,23 +76,23 @@
     monkeypatch.setattr(history, "_CALL_SECONDS", 0.01)
 
     async def test():
-        keeper = history.HistoryKeeper(str(tmp_path))
-        real_open = keeper._open
-        keeper._open = lambda: (released.wait(20), real_open())[1]
-        run = asyncio.create_task(keeper.run())
+        recorder = history.HistoryRecorder(str(tmp_path))
+        real_open = recorder._open
+        recorder._open = lambda: (released.wait(20), real_open())[1]
+        run = asyncio.create_task(recorder.run())
         # Every store sends each number, and late ones arrive after newer ones.
         for number in (3, 3, 2, 1, 3, 4):
-            keeper.take(number, json.dumps({"config-version": number}).encode())
+            recorder.record(number, json.dumps({"config-version": number}).encode())
         for _ in range(20):
-            assert (await keeper._list(Call("", b""))).status == 503
-            assert (await keeper._show(Call("r3", b""))).status == 503
-        assert keeper._waiting.qsize() <= 1 and keeper._thread._thread.daemon
+            assert (await recorder._list(Call("", b""))).status == 503
+            assert (await recorder._show(Call("r3", b""))).status == 503
+        assert recorder._waiting.qsize() <= 1 and recorder._thread._thread.daemon
         released.set()
         monkeypatch.setattr(history, "_CALL_SECONDS", 20)
         async with asyncio.timeout(20):
-            while len(json.loads((await keeper._list(Call("", b""))).body)["versions"]) < 2:
+            while len(json.loads((await recorder._list(Call("", b""))).body)["versions"]) < 2:
                 await asyncio.sleep(0)
-        versions = json.loads((await keeper._list(Call("", b""))).body)["versions"]
+        versions = json.loads((await recorder._list(Call("", b""))).body)["versions"]
         assert [version["config-version"] for version in versions] == [4, 3]
         run.cancel()
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -8,7 +8,7 @@
 
 from marblefold import wire_names
 from marblefold.configuration import model
-from marblefold.history.keeper import HistoryKeeper
+from marblefold.history.recorder import HistoryRecorder
 from marblefold.http_connections.call_router import CallRouter
 from marblefold.maintenance.calls import MaintenanceCalls
 from marblefold.ownership.calls import OwnerCalls
@@ -44,7 +44,7 @@
     OwnerCalls(None, None).add_to(router)
     TraceCalls(None, None).add_to(router)
     RehearsalCalls(None, dict).add_to(router)
-    HistoryKeeper("").add_to(router)
+    HistoryRecorder("").add_to(router)
     served = router.calls | {wire_names.READINESS_CALL}
     described = set()
     for path, operations in API["paths"].items():
