--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -26,7 +26,7 @@
 from marblefold.request_path.running_requests import RunningRequests
 from marblefold.request_path.target_selection import TargetSelector
 from marblefold.task_keeper import TaskKeeper
-from marblefold.tracing.starting import start_tracing
+from marblefold.tracing.startup import start_tracing
 
 __all__ = ["GatewayProgram"]
 
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -35,7 +35,7 @@
 from marblefold.request_path.routing_state import RoutingState
 from marblefold.request_path.target_selection import TargetSelector
 from marblefold.task_keeper import TaskKeeper
-from marblefold.tracing.starting import start_tracing
+from marblefold.tracing.startup import start_tracing
 
 __all__ = ["ProxyProgram"]
 
--- a/marblefold/tracing/command.py
+++ b/marblefold/tracing/command.py
@@ -10,8 +10,8 @@
 from marblefold import wire_names
 from marblefold.errors import MeshError
 from marblefold.registry_client import ask_all
-from marblefold.tracing.assembling import Trace, assemble
-from marblefold.tracing.showing import to_json, to_otlp, to_text
+from marblefold.tracing.assembly import Trace, assemble
+from marblefold.tracing.formats import to_json, to_otlp, to_text
 
 __all__ = ["run_trace"]
 
--- a/marblefold/tracing/showing.py
+++ b/marblefold/tracing/formats.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 
 from marblefold.request_path.outcome import HopOutcome
-from marblefold.tracing.assembling import Step, Trace
+from marblefold.tracing.assembly import Step, Trace
 from marblefold.tracing.span import SpanKind
 
 __all__ = ["to_json", "to_otlp", "to_text"]
--- a/tests/simulated_tracing.py
+++ b/tests/simulated_tracing.py
@@ -7,7 +7,7 @@
 
 from marblefold.inner_protocol.messages import kinds
 from marblefold.request_path.outcome import HopOutcome, HopResult
-from marblefold.tracing.assembling import assemble
+from marblefold.tracing.assembly import assemble
 from marblefold.tracing.calls import _to_row
 from marblefold.tracing.collector import Collector
 from marblefold.tracing.exporter import Exporter, ExporterConfig
--- a/tests/test_tracing_on_loopback.py
+++ b/tests/test_tracing_on_loopback.py
@@ -4,7 +4,7 @@
 import json
 import sys
 
-import marblefold.tracing.starting
+import marblefold.tracing.startup
 from marblefold.program_flags import TraceOptions
 from tests.mesh_on_loopback import CONFIGURATION, CORE, SIDES, Mesh, ask
 
@@ -12,7 +12,7 @@
 def run(test, folder, monkeypatch):
     async def whole():
         monkeypatch.setattr(
-            marblefold.tracing.starting, "read_trace_options", lambda: TraceOptions()
+            marblefold.tracing.startup, "read_trace_options", lambda: TraceOptions()
         )
         mesh = Mesh(folder)
         await mesh.start()
