--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -108,7 +108,7 @@
         await self._stop.wait()
         await shut_down_gracefully(self)
         if self._tracing is not None:
-            self._tracing.export_rest()
+            self._tracing.export_remaining()
         self._tasks.cancel()
 
     def begin_shutdown(self) -> None:
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -144,7 +144,7 @@
         await self._stop.wait()
         await shut_down_gracefully(self)
         if self._tracing is not None:
-            self._tracing.export_rest()
+            self._tracing.export_remaining()
         self._tasks.cancel()
 
     def begin_shutdown(self) -> None:
@@ -180,7 +180,7 @@
     def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
         """Handles the request of a peer to keep a trace."""
         if self._tracing is not None:
-            self._tracing.take(unpack_message(payload))
+            self._tracing.handle_message(unpack_message(payload))
 
     def on_lost(self, connection: PeerConnection) -> None:
         """The connection of a peer is lost; its hops have been cancelled already."""
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -181,7 +181,7 @@
         elif isinstance(message, kinds.TrafficNotice):
             self._traffic_rates.record(message, time.monotonic())
         elif isinstance(message, kinds.SpanBatch):
-            self._collector.take(message)
+            self._collector.add_batch(message)
         elif isinstance(message, kinds.Want):
             self.feed.send_entry(connection, message)
         elif isinstance(message, kinds.RenewLease):
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -179,7 +179,7 @@
         started = time.monotonic()
         run = RunningRequest(head.attempt_id, head.repeat_run or head.attempt_number > 1, span)
         if span is not None:
-            span.queued = started - arrived_at
+            span.queued_seconds = started - arrived_at
         try:
             # The state may have changed while the request was queued.
             refusal = self._find_refusal(head)
--- a/marblefold/tracing/collector.py
+++ b/marblefold/tracing/collector.py
@@ -52,7 +52,7 @@
         # Orders that may have run: digest to Attempt-Id to trace id.
         self._tries: dict[bytes, dict[str, bytes]] = {}
 
-    def take(self, batch: kinds.SpanBatch) -> None:
+    def add_batch(self, batch: kinds.SpanBatch) -> None:
         """Adds the spans of a batch and drops the traces that the node shed."""
         self.lost[batch.node] = batch.lost
         for trace_id in batch.shed:
--- a/marblefold/tracing/node_tracing.py
+++ b/marblefold/tracing/node_tracing.py
@@ -62,7 +62,7 @@
         """Exports, for ever."""
         await self._exporter.run()
 
-    def export_rest(self) -> None:
+    def export_remaining(self) -> None:
         """Sends all waiting spans, as this node is about to end."""
         while self.recorder.waiting:
             waiting = self.recorder.waiting
@@ -70,7 +70,7 @@
             if self.recorder.waiting >= waiting:
                 return
 
-    def take(self, message: object) -> None:
+    def handle_message(self, message: object) -> None:
         """Handles a message of a peer, if it marks a trace."""
         if isinstance(message, kinds.TraceMark):
             self.recorder.mark(message.trace_id)
--- a/marblefold/tracing/span.py
+++ b/marblefold/tracing/span.py
@@ -41,7 +41,7 @@
         "status",
         "step",
         "attempt",
-        "queued",
+        "queued_seconds",
         "body_bytes",
         "digest",
         "is_inferred",
@@ -72,7 +72,7 @@
         self.status = 0
         self.step = ""
         self.attempt = 0
-        self.queued = 0.0
+        self.queued_seconds = 0.0
         self.body_bytes = 0
         self.digest = b""
         self.is_inferred = False
@@ -105,7 +105,7 @@
         status=span.status,
         step=span.step[:_LONGEST_TEXT],
         attempt=span.attempt,
-        queued_us=int(span.queued * 1e6),
+        queued_us=int(span.queued_seconds * 1e6),
         body_bytes=span.body_bytes,
         digest=span.digest,
         keep=span.keep,
--- a/tests/simulated_tracing.py
+++ b/tests/simulated_tracing.py
@@ -49,7 +49,7 @@
     def send(self, registry, message):
         if self.is_dark or registry in self.network.dark_registries:
             return False
-        self.network.collectors[registry].take(
+        self.network.collectors[registry].add_batch(
             kinds.SpanBatch.FromString(message.SerializeToString())
         )
         return True
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -216,7 +216,7 @@
     for number in range(300):
         keep = Keep.MARKED if number % 3 == 0 else Keep.ORDER
         span = make_span(number.to_bytes(16, "big"), keep, number)
-        collector.take(kinds.SpanBatch(node="n", lost=2, spans=[pack_span(span, 0.0)]))
+        collector.add_batch(kinds.SpanBatch(node="n", lost=2, spans=[pack_span(span, 0.0)]))
         assert collector.spans <= 100
     held = list(collector.newest())
     marked = sum(1 for trace_id in held if int.from_bytes(trace_id, "big") % 3 == 0)
@@ -248,7 +248,7 @@
     held = {}
     for batch in sent.values():
         collector = Collector()
-        collector.take(kinds.SpanBatch.FromString(batch.SerializeToString()))
+        collector.add_batch(kinds.SpanBatch.FromString(batch.SerializeToString()))
         for trace_id in collector.newest():
             held.setdefault(trace_id, []).extend(
                 row.span.target for row in collector.find(trace_id)
--- a/tests/test_tracing_on_loopback.py
+++ b/tests/test_tracing_on_loopback.py
@@ -44,7 +44,7 @@
             # A guard's span ends a moment after the answer has left.
             while recorder._open:
                 await asyncio.sleep(0)
-        proxy._tracing.export_rest()
+        proxy._tracing.export_remaining()
     expected = sum(proxy._tracing.recorder.waiting for proxy in mesh.proxies)
     assert expected == 0
     quiet, last = 0, -1
