--- a/marblefold/history/recorder.py
+++ b/marblefold/history/recorder.py
@@ -1,4 +1,4 @@
-"""Keeps the history of a registry beside its work, and answers calls on it."""
+"""Records the configuration history of a registry in the background and answers calls on it."""
 
 import asyncio
 import functools
@@ -19,79 +19,79 @@
 
 __all__ = ["HistoryRecorder"]
 
-# More than this waiting means a disk that stalls: the oldest are let go.
-_MOST_WAITING = 16
-# A call on the history is answered by then, also while the disk answers nothing.
-_CALL_SECONDS = 1.0
-_LONGEST_NUMBER = 18
+# A longer queue means that the disk stalls: the oldest entry is dropped.
+_MAX_QUEUED = 16
+# Bounds the time to answer a call while the disk hangs.
+_CALL_TIMEOUT_SECONDS = 1.0
+_MAX_NUMBER_DIGITS = 18
 
 
 class HistoryRecorder:
-    """Owns the history's thread; without a folder there is no history."""
+    """Owns the disk thread of the history; without a data directory nothing is recorded."""
 
     def __init__(self, data_directory: str) -> None:
         self._folder = os.path.join(data_directory, "history") if data_directory else ""
-        self._waiting: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
-        # One thread: the object store is used by one at a time.
+        self._queue: asyncio.Queue[tuple[int, bytes]] = asyncio.Queue()
+        # A single thread, as the object store does not support concurrent use.
         self._thread = DiskThread("history")
-        # The highest number taken so far: every store sends each one, at any time.
-        self._newest = 0
+        # The highest number recorded: every store sends every number, in any order.
+        self._newest_number = 0
         self._versions: Versions | None = None
 
     def add_to(self, router: CallRouter) -> None:
-        """Serves the calls on it."""
+        """Adds the calls on the history to the router."""
         router.add("GET", wire_names.HISTORY_PATH, self._list)
         router.add("GET", wire_names.VERSION_PATH, self._show)
 
     def record(self, number: int, body: bytes) -> None:
-        """A configuration holds; it is kept when there is time."""
-        if not self._folder or number <= self._newest:
+        """Queues an acknowledged configuration for the history; ignores outdated numbers."""
+        if not self._folder or number <= self._newest_number:
             return
-        self._newest = number
-        if self._waiting.qsize() >= _MOST_WAITING:
-            self._waiting.get_nowait()
-            log.warning("history lags", let_go=1)
-        self._waiting.put_nowait((number, body))
+        self._newest_number = number
+        if self._queue.qsize() >= _MAX_QUEUED:
+            self._queue.get_nowait()
+            log.warning("history queue full, oldest entry dropped", let_go=1)
+        self._queue.put_nowait((number, body))
 
     async def run(self) -> None:
-        """Keeps what comes, for ever; a disk in trouble is logged, and holds nothing up."""
+        """Writes queued configurations, forever; disk errors are only logged."""
         if not self._folder:
             return
         while True:
-            number, body = await self._waiting.get()
+            number, body = await self._queue.get()
             try:
-                await self._do(functools.partial(self._add, number, body))
+                await self._run_on_thread(functools.partial(self._add, number, body))
             except Exception as error:
-                # Nothing depends on it, so nothing may break by it either.
-                log.warning("history not kept", number=number, reason=str(error))
+                # No other part depends on the history, so its errors must not stop the registry.
+                log.warning("history write failed", number=number, reason=str(error))
                 self._versions = None
 
     def _add(self, number: int, body: bytes) -> None:
         self._open().add(number, body)
 
-    async def _do(self, work: Callable[[], Any]) -> Any:
+    async def _run_on_thread(self, work: Callable[[], Any]) -> Any:
         return await asyncio.wrap_future(self._thread.submit(work))
 
-    async def _answer(self, work: Callable[[], Any]) -> Any:
-        """What the history says; MeshError where its disk fails, or answers nothing."""
+    async def _query(self, work: Callable[[], Any]) -> Any:
+        """Runs a query on the disk thread; a disk failure or a timeout raises DiskError."""
         try:
-            async with asyncio.timeout(_CALL_SECONDS):
-                return await self._do(work)
+            async with asyncio.timeout(_CALL_TIMEOUT_SECONDS):
+                return await self._run_on_thread(work)
         except MeshError:
             raise
         except Exception as error:
-            # Torn objects make the library raise almost anything.
+            # On torn objects the library raises exceptions of almost any type.
             raise DiskError("history", str(error) or "the disk does not answer") from error
 
     def _open(self) -> "Versions":
         if self._versions is None:
-            # Nothing else in a registry needs the library.
+            # Imported late, as nothing else in a registry needs the Git library.
             from marblefold.history.versions import Versions
 
             versions = Versions(self._folder)
             versions.open()
             if versions.damage:
-                log.warning("history damaged", reason=versions.damage)
+                log.warning("damaged history moved aside", reason=versions.damage)
             self._versions = versions
         return self._versions
 
@@ -99,7 +99,7 @@
         if not self._folder:
             return json_answer(404, {wire_names.REASON: "no history is kept here"})
         try:
-            versions = await self._answer(lambda: list(self._open().newest_first()))
+            versions = await self._query(lambda: list(self._open().newest_first()))
         except DiskError as error:
             return not_now_answer(error)
         return json_answer(
@@ -120,10 +120,10 @@
         if not self._folder:
             return json_answer(404, {wire_names.REASON: "no history is kept here"})
         number = call.subject.removeprefix("r")
-        if not (number.isascii() and number.isdigit() and len(number) <= _LONGEST_NUMBER):
+        if not (number.isascii() and number.isdigit() and len(number) <= _MAX_NUMBER_DIGITS):
             return json_answer(400, {wire_names.REASON: "version: not a number"})
         try:
-            body = await self._answer(lambda: self._open().read(int(number)))
+            body = await self._query(lambda: self._open().read(int(number)))
         except DiskError as error:
             return not_now_answer(error)
         except MeshError as error:
--- a/marblefold/history/versions.py
+++ b/marblefold/history/versions.py
@@ -1,8 +1,8 @@
-"""The configurations that were acknowledged, in a Git object store on disk.
+"""A history of acknowledged configurations, in a Git object store on disk.
 
-Best effort and bounded: it is never asked before an acknowledgement, and the
-stores' registers are what holds.  One that is damaged is put aside and begun
-anew.
+Best effort and bounded: no acknowledgement waits for it, and the stores'
+registers remain authoritative.  A damaged history is moved aside and a new one
+is started.
 """
 
 import json
@@ -21,14 +21,14 @@
 __all__ = ["Version", "Versions"]
 
 _BRANCH = Ref(b"refs/heads/configurations")
-_FILE = b"configuration.json"
-_WHO = b"marblefold <marblefold@localhost>"
-_REGULAR = 0o100644
-_Kind = TypeVar("_Kind", Blob, Commit, Tree)
+_FILE_NAME = b"configuration.json"
+_AUTHOR = b"marblefold <marblefold@localhost>"
+_REGULAR_FILE_MODE = 0o100644
+_Object = TypeVar("_Object", Blob, Commit, Tree)
 
 
 class Version(NamedTuple):
-    """One configuration that was acknowledged, at a time in Unix seconds."""
+    """One acknowledged configuration; `at` is its time in Unix seconds."""
 
     number: int
     at: int
@@ -36,17 +36,17 @@
 
 
 class Versions:
-    """Blocking: to be used from a thread of its own."""
+    """The stored configurations; blocks on disk access, so it needs a thread of its own."""
 
-    def __init__(self, folder: str, most: int = 200) -> None:
+    def __init__(self, folder: str, max_versions: int = 200) -> None:
         self._folder = folder
-        self._most = most
+        self._max_versions = max_versions
         self._repo: Repo | None = None
-        # Why the history before was put aside, if it was.
+        # Why the previous history was moved aside; empty if it was not.
         self.damage = ""
 
     def open(self) -> None:
-        """Opens the store, or begins one; what cannot be read is put aside."""
+        """Opens the object store, or creates it; an unreadable one is moved aside."""
         os.makedirs(os.path.dirname(self._folder) or ".", exist_ok=True)
         if os.path.exists(self._folder):
             try:
@@ -54,25 +54,25 @@
                 self._check()
                 return
             except Exception as error:
-                # Torn objects make the library raise almost anything.
+                # On torn objects the library raises exceptions of almost any type.
                 self.damage = f"{type(error).__name__}: {error}"
-                self._put_aside()
+                self._move_aside()
         self._repo = Repo.init_bare(self._folder, mkdir=True)
 
     def add(self, number: int, body: bytes) -> bool:
-        """Keeps a configuration; one that is not above the newest is there already."""
+        """Stores a configuration; returns False if its number is not above the newest one."""
         newest = next(self.newest_first(), None)
         if newest is not None and newest.number >= number:
             return False
         self._commit(number, body, int(time.time()), newest.commit if newest else "")
-        # Rewritten at twice the bound, so that it seldom is.
-        if sum(1 for _version in self.newest_first()) > 2 * self._most:
-            self._forget_old()
+        # Rewriting the store at twice the limit keeps rewrites rare.
+        if sum(1 for _version in self.newest_first()) > 2 * self._max_versions:
+            self._drop_old_versions()
         return True
 
     def newest_first(self) -> Iterator[Version]:
-        """The versions kept."""
-        commit_id = self._opened().refs.read_ref(_BRANCH)
+        """Iterates over the stored versions, newest first."""
+        commit_id = self._get_repo().refs.read_ref(_BRANCH)
         while commit_id:
             commit = self._read_object(commit_id, Commit)
             number = int(commit.message.decode().removeprefix("configuration "))
@@ -80,68 +80,68 @@
             commit_id = commit.parents[0] if commit.parents else None
 
     def read(self, number: int) -> bytes:
-        """A version as it was put; a MeshError where it is not kept."""
+        """Returns the body of a version as stored; raises MeshError if it is not stored."""
         for version in self.newest_first():
             if version.number == number:
                 commit = self._read_object(version.commit.encode(), Commit)
                 tree = self._read_object(commit.tree, Tree)
-                return self._read_object(tree[_FILE][1], Blob).data
+                return self._read_object(tree[_FILE_NAME][1], Blob).data
         raise MeshError("history", f"version {number} is not kept")
 
-    def _opened(self) -> Repo:
+    def _get_repo(self) -> Repo:
         if self._repo is None:
             raise MeshError("history", "not open")
         return self._repo
 
-    def _read_object(self, object_id: bytes, kind: type[_Kind]) -> _Kind:
-        found = self._opened()[object_id]
-        if not isinstance(found, kind):
-            raise MeshError("history", f"{object_id!r} is no {kind.__name__}")
-        return found
+    def _read_object(self, object_id: bytes, object_type: type[_Object]) -> _Object:
+        stored_object = self._get_repo()[object_id]
+        if not isinstance(stored_object, object_type):
+            raise MeshError("history", f"{object_id!r} is no {object_type.__name__}")
+        return stored_object
 
     def _commit(self, number: int, body: bytes, at: int, parent: str) -> None:
-        objects = self._opened().object_store
+        objects = self._get_repo().object_store
         blob = Blob.from_string(body)
         objects.add_object(blob)
         tree = Tree()
-        tree.add(_FILE, _REGULAR, blob.id)
+        tree.add(_FILE_NAME, _REGULAR_FILE_MODE, blob.id)
         objects.add_object(tree)
         commit = Commit()
         commit.tree = tree.id
         commit.parents = [ObjectID(parent.encode())] if parent else []
-        commit.author = commit.committer = _WHO
+        commit.author = commit.committer = _AUTHOR
         commit.author_time = commit.commit_time = at
         commit.author_timezone = commit.commit_timezone = 0
         commit.encoding = b"UTF-8"
         commit.message = f"configuration {number}".encode()
         objects.add_object(commit)
-        self._opened().refs[_BRANCH] = commit.id
+        self._get_repo().refs[_BRANCH] = commit.id
 
     def _check(self) -> None:
-        """Reads what is newest: a torn one shows here, and not when it is wanted."""
+        """Reads all versions, so that a torn object is found at once and not by a later call."""
         for version in self.newest_first():
             json.loads(self.read(version.number))
 
-    def _forget_old(self) -> None:
-        kept = list(self.newest_first())[: self._most]
+    def _drop_old_versions(self) -> None:
+        kept = list(self.newest_first())[: self._max_versions]
         bodies = [(version, self.read(version.number)) for version in reversed(kept)]
-        fresh = self._folder + ".new"
-        shutil.rmtree(fresh, ignore_errors=True)
-        self._opened().close()
-        self._repo = fresh_repo = Repo.init_bare(fresh, mkdir=True)
+        new_folder = self._folder + ".new"
+        shutil.rmtree(new_folder, ignore_errors=True)
+        self._get_repo().close()
+        self._repo = new_repo = Repo.init_bare(new_folder, mkdir=True)
         parent = ""
         for version, body in bodies:
             self._commit(version.number, body, version.at, parent)
-            parent = fresh_repo.refs[_BRANCH].decode()
-        fresh_repo.close()
-        old = self._folder + ".old"
-        shutil.rmtree(old, ignore_errors=True)
-        os.rename(self._folder, old)
-        os.rename(fresh, self._folder)
-        shutil.rmtree(old, ignore_errors=True)
+            parent = new_repo.refs[_BRANCH].decode()
+        new_repo.close()
+        old_folder = self._folder + ".old"
+        shutil.rmtree(old_folder, ignore_errors=True)
+        os.rename(self._folder, old_folder)
+        os.rename(new_folder, self._folder)
+        shutil.rmtree(old_folder, ignore_errors=True)
         self._repo = Repo(self._folder)
 
-    def _put_aside(self) -> None:
-        aside = self._folder + ".damaged"
-        shutil.rmtree(aside, ignore_errors=True)
-        os.rename(self._folder, aside)
+    def _move_aside(self) -> None:
+        damaged_folder = self._folder + ".damaged"
+        shutil.rmtree(damaged_folder, ignore_errors=True)
+        os.rename(self._folder, damaged_folder)
--- a/marblefold/tracing/calls.py
+++ b/marblefold/tracing/calls.py
@@ -1,4 +1,4 @@
-"""The read-only calls for the traces that a registry holds."""
+"""Read-only calls for the traces that a registry holds."""
 
 from collections.abc import Callable
 from urllib.parse import parse_qs
@@ -12,9 +12,9 @@
 
 __all__ = ["TraceCalls"]
 
-_MOST_ROWS = 200
-_MOST_SPANS = 2000
-_MOST_ID = 200
+_MAX_ROWS = 200
+_MAX_SPANS = 2000
+_MAX_ID_LENGTH = 200
 _BYTE_FIELDS = ("trace_id", "span_id", "parent", "digest")
 _PLAIN_FIELDS = (
     "kind",
@@ -34,11 +34,11 @@
     "keep",
     "inferred",
 )
-_LISTED_KINDS = {"order": 3, "upload": 2, "sample": 1, "marked": 4}
+_KEEP_BY_KIND = {"order": 3, "upload": 2, "sample": 1, "marked": 4}
 
 
 class TraceCalls:
-    """Answers from memory; the size of every answer is bounded."""
+    """Answers from memory, with bounded answer sizes."""
 
     def __init__(self, collector: Collector, now: Callable[[], float]) -> None:
         self._collector = collector
@@ -48,12 +48,12 @@
         """Adds these calls to the router."""
         router.add("GET", wire_names.TRACES_PATH, self._list)
         router.add("GET", wire_names.TRACE_PATH, self._show)
-        router.add("GET", wire_names.DOUBLES_PATH, self._doubles)
+        router.add("GET", wire_names.DOUBLES_PATH, self._list_duplicates)
 
     async def _show(self, call: Call) -> Answer:
-        if not call.subject or len(call.subject) > _MOST_ID:
-            return _bad("trace", "an Attempt-Id or a trace id of 32 hexadecimal digits")
-        trace_id = self._collector.find_attempt(call.subject)
+        if not call.subject or len(call.subject) > _MAX_ID_LENGTH:
+            return _bad_request("trace", "an Attempt-Id or a trace id of 32 hexadecimal digits")
+        trace_id = self._collector.find_trace_id(call.subject)
         if trace_id is None and len(call.subject) == 32:
             try:
                 trace_id = bytes.fromhex(call.subject)
@@ -61,7 +61,7 @@
                 trace_id = None
         if trace_id is None:
             return json_answer(404, {wire_names.REASON: "no such trace here"})
-        spans = self._collector.find(trace_id)
+        spans = self._collector.find_spans(trace_id)
         if not spans and not self._collector.is_shed(trace_id):
             return json_answer(404, {wire_names.REASON: "no such trace here"})
         return json_answer(
@@ -69,39 +69,39 @@
             {
                 "trace": trace_id.hex(),
                 "shed": self._collector.is_shed(trace_id),
-                "cut": len(spans) > _MOST_SPANS,
-                "spans": [_to_row(span) for span in spans[:_MOST_SPANS]],
+                "cut": len(spans) > _MAX_SPANS,
+                "spans": [_to_row(span) for span in spans[:_MAX_SPANS]],
             },
         )
 
     async def _list(self, call: Call) -> Answer:
-        asked = parse_qs(call.query)
+        query = parse_qs(call.query)
         try:
-            keep = _read_choice(asked, "kind", _LISTED_KINDS)
+            keep = _read_choice(query, "kind", _KEEP_BY_KIND)
             outcome = _read_choice(
-                asked, "outcome", {item.name.lower(): int(item) for item in HopOutcome}
+                query, "outcome", {item.name.lower(): int(item) for item in HopOutcome}
             )
-            since = _read_number(asked, "since-s", 0.0, 1e9, 1e9)
-            most = int(_read_number(asked, "limit", 1, _MOST_ROWS, 50))
-            skip = int(_read_number(asked, "skip", 0, 1e9, 0))
-        except ValueError as fault:
-            return _bad(*fault.args)
+            since = _read_number(query, "since-s", 0.0, 1e9, 1e9)
+            limit = int(_read_number(query, "limit", 1, _MAX_ROWS, 50))
+            skip = int(_read_number(query, "skip", 0, 1e9, 0))
+        except ValueError as error:
+            return _bad_request(*error.args)
         rows: list[dict] = []
-        is_more = False
+        has_more = False
         for trace_id in self._collector.newest():
             requests = [
-                found
-                for found in self._collector.find(trace_id)
-                if found.span.kind == SpanKind.REQUEST
+                collected
+                for collected in self._collector.find_spans(trace_id)
+                if collected.span.kind == SpanKind.REQUEST
             ]
-            first = min(requests, key=lambda found: found.span.start_us, default=None)
-            if first is None or not self._is_asked(first, keep, outcome, since):
+            first = min(requests, key=lambda collected: collected.span.start_us, default=None)
+            if first is None or not self._matches(first, keep, outcome, since):
                 continue
             if skip > 0:
                 skip -= 1
                 continue
-            if len(rows) == most:
-                is_more = True
+            if len(rows) == limit:
+                has_more = True
                 break
             rows.append(_to_row(first))
         collector = self._collector
@@ -109,60 +109,60 @@
             200,
             {
                 "traces": rows,
-                "more": is_more,
-                "spans-held": collector.spans,
-                "spans-limit": collector.most_spans,
-                "traces-dropped": collector.dropped,
-                "spans-lost": {node: lost for node, lost in collector.lost.items() if lost},
+                "more": has_more,
+                "spans-held": collector.span_count,
+                "spans-limit": collector.max_spans,
+                "traces-dropped": collector.dropped_traces,
+                "spans-lost": {node: lost for node, lost in collector.lost_spans.items() if lost},
             },
         )
 
-    def _is_asked(self, found: CollectedSpan, keep: int, outcome: int, since: float) -> bool:
-        span = found.span
+    def _matches(self, collected: CollectedSpan, keep: int, outcome: int, since: float) -> bool:
+        span = collected.span
         return (
             (not keep or span.keep == keep)
             and (not outcome or span.outcome == outcome)
             and self._now() - span.start_us / 1e6 <= since
         )
 
-    async def _doubles(self, _call: Call) -> Answer:
+    async def _list_duplicates(self, _call: Call) -> Answer:
         groups: list[dict] = []
-        for doubled in self._collector.doubled():
-            if len(groups) == _MOST_ROWS:
+        for order in self._collector.duplicate_orders():
+            if len(groups) == _MAX_ROWS:
                 break
             groups.append(
                 {
-                    "digest": doubled.digest.hex(),
-                    "tries": {attempt: trace.hex() for attempt, trace in doubled.tries.items()},
+                    "digest": order.digest.hex(),
+                    "tries": {attempt: trace.hex() for attempt, trace in order.tries.items()},
                 }
             )
-        return json_answer(200, {"doubles": groups, "cut": len(groups) == _MOST_ROWS})
+        return json_answer(200, {"doubles": groups, "cut": len(groups) == _MAX_ROWS})
 
 
-def _to_row(found: CollectedSpan) -> dict:
-    row = {name: getattr(found.span, name) for name in _PLAIN_FIELDS}
-    row.update({name: getattr(found.span, name).hex() for name in _BYTE_FIELDS})
-    row.update(node=found.node, zone=found.zone, address=found.address)
+def _to_row(collected: CollectedSpan) -> dict:
+    row = {name: getattr(collected.span, name) for name in _PLAIN_FIELDS}
+    row.update({name: getattr(collected.span, name).hex() for name in _BYTE_FIELDS})
+    row.update(node=collected.node, zone=collected.zone, address=collected.address)
     return row
 
 
-def _read_choice(asked: dict, name: str, choices: dict[str, int]) -> int:
-    value = asked.get(name, [""])[0]
+def _read_choice(query: dict, name: str, choices: dict[str, int]) -> int:
+    value = query.get(name, [""])[0]
     if value and value not in choices:
         raise ValueError(name, f"one of {', '.join(choices)}")
     return choices.get(value, 0)
 
 
-def _read_number(asked: dict, name: str, least: float, most: float, default: float) -> float:
-    text = asked.get(name, [""])[0]
+def _read_number(query: dict, name: str, minimum: float, maximum: float, default: float) -> float:
+    text = query.get(name, [""])[0]
     try:
         value = float(text) if text else default
     except ValueError:
         value = -1.0
-    if not least <= value <= most:
-        raise ValueError(name, f"a number from {least:g} to {most:g}")
+    if not minimum <= value <= maximum:
+        raise ValueError(name, f"a number from {minimum:g} to {maximum:g}")
     return value
 
 
-def _bad(field: str, wanted: str) -> Answer:
-    return json_answer(400, {wire_names.REASON: f"{field}: not {wanted}"})
+def _bad_request(field: str, expected: str) -> Answer:
+    return json_answer(400, {wire_names.REASON: f"{field}: not {expected}"})
--- a/marblefold/tracing/context.py
+++ b/marblefold/tracing/context.py
@@ -1,7 +1,7 @@
 """The trace context that travels with a request, and the priority of a trace.
 
-The decision to keep a trace is made once, where the request begins, and
-travels with every hop: no other node decides.
+The decision to keep a trace is made once, at the node where the request begins,
+and travels with every hop, so that no other node decides again.
 """
 
 import enum
@@ -10,56 +10,56 @@
 from typing import NamedTuple
 
 __all__ = [
-    "Keep",
+    "KeepPriority",
     "TraceContext",
+    "apply_sample_rate",
     "format_traceparent",
-    "keep_of",
+    "new_trace_id",
     "parse_traceparent",
     "shed_order",
-    "start_trace",
 ]
 
 _TRACEPARENT = re.compile(r"([0-9a-f]{2})-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})(-.*)?")
 _SAMPLED = 1
-_HASH_SPAN = 2**32
+_HASH_RANGE = 2**32
 
 
-class Keep(enum.IntEnum):
-    """Why a trace is kept, ordered by priority: under load lower ones are shed first."""
+class KeepPriority(enum.IntEnum):
+    """Why a trace is kept, as a priority: under load, lower ones are shed first."""
 
-    # Only in the ring buffer of each node, until overwritten.
-    NOT = 0
+    # Held only in the ring buffer of each node, until overwritten.
+    NONE = 0
     SAMPLE = 1
     UPLOAD = 2
     ORDER = 3
-    # Something went wrong with it.
+    # Something went wrong with a request of the trace.
     MARKED = 4
 
 
 class TraceContext(NamedTuple):
-    """Ids of the trace and of the parent span."""
+    """The ids of the trace and of the parent span, and the priority of the trace."""
 
     trace_id: bytes
     span_id: bytes
-    keep: Keep
+    keep: KeepPriority
 
 
 def new_span_id() -> bytes:
-    """A random span id (8 bytes, never all zeros)."""
+    """Returns a random span id (8 bytes, never all zeros)."""
     return os.urandom(8).replace(b"\0", b"\1")
 
 
-def start_trace() -> bytes:
-    """A random trace id (16 bytes, never all zeros)."""
+def new_trace_id() -> bytes:
+    """Returns a random trace id (16 bytes, never all zeros)."""
     return os.urandom(16).replace(b"\0", b"\1")
 
 
-def keep_of(trace_id: bytes, keep: Keep, sample_rate: float) -> Keep:
-    """Applies the sample rate (0 to 1) to lookups; depends on the trace id alone."""
-    if keep is not Keep.SAMPLE:
+def apply_sample_rate(trace_id: bytes, keep: KeepPriority, sample_rate: float) -> KeepPriority:
+    """Applies the sample rate (0 to 1) to lookups; decides by the trace id alone."""
+    if keep is not KeepPriority.SAMPLE:
         return keep
-    is_in = int.from_bytes(trace_id[:4], "big") < sample_rate * _HASH_SPAN
-    return Keep.SAMPLE if is_in else Keep.NOT
+    is_sampled = int.from_bytes(trace_id[:4], "big") < sample_rate * _HASH_RANGE
+    return KeepPriority.SAMPLE if is_sampled else KeepPriority.NONE
 
 
 def shed_order(keep: int, trace_id: bytes) -> tuple[int, bytes]:
@@ -68,13 +68,13 @@
 
 
 def parse_traceparent(text: str) -> tuple[bytes, bytes, bool] | None:
-    """Trace id, parent id and sampled flag of a W3C traceparent; None if invalid."""
-    found = _TRACEPARENT.fullmatch(text.strip())
-    if found is None:
+    """Returns trace id, parent id and sampled flag of a W3C traceparent; None if invalid."""
+    match = _TRACEPARENT.fullmatch(text.strip())
+    if match is None:
         return None
-    version, trace_id, parent, flags, more = found.groups()
+    version, trace_id, parent, flags, extra = match.groups()
     # W3C Trace Context: ff is invalid, and version 00 has no further fields.
-    if version == "ff" or (version == "00" and more):
+    if version == "ff" or (version == "00" and extra):
         return None
     if not int(trace_id, 16) or not int(parent, 16):
         return None
@@ -82,6 +82,6 @@
 
 
 def format_traceparent(context: TraceContext) -> str:
-    """The traceparent header for work done for this span."""
+    """Returns the traceparent value for requests made within this span."""
     flags = _SAMPLED if context.keep else 0
     return f"00-{context.trace_id.hex()}-{context.span_id.hex()}-{flags:02x}"
--- a/marblefold/tracing/exporter.py
+++ b/marblefold/tracing/exporter.py
@@ -1,7 +1,7 @@
-"""Sends the kept spans of a node to the registries that their traces fall to.
+"""Sends the kept spans of a node to the registries that collect their traces.
 
-It runs off the request path and sends a bounded number of spans per second,
-each to two registries chosen by rendezvous hashing, so that the loss of one
+Runs outside the request path and sends a bounded number of spans per second.
+Rendezvous hashing assigns each span to two registries, so that the loss of one
 registry loses no trace.
 """
 
@@ -18,27 +18,26 @@
 
 __all__ = ["Exporter", "ExporterConfig", "rank_collectors"]
 
-_COPIES = 2
+_COPIES_PER_TRACE = 2
 
 
 class ExporterConfig(NamedTuple):
-    """How much this node sends, and how often."""
+    """How many spans this node sends at most, and how often."""
 
-    # Batches of several seconds are fewer and compress better.
-    every: timedelta = timedelta(seconds=3)
-    # At most so many per second.
-    spans: int = 64
+    # Collecting spans for several seconds means fewer batches, which compress better.
+    interval: timedelta = timedelta(seconds=3)
+    spans_per_second: int = 64
 
 
 def rank_collectors(trace_id: bytes, registries: Collection[str]) -> list[str]:
-    """The registries ranked by rendezvous hashing of the id; the same on all nodes."""
+    """Ranks the registries by rendezvous hashing of the id; the same on all nodes."""
     return sorted(
         registries, key=lambda registry: (zlib.crc32(trace_id + registry.encode()), registry)
     )
 
 
 class Exporter:
-    """Takes batches from the recorder and sends them."""
+    """Takes batches of spans from the recorder and sends them."""
 
     def __init__(
         self,
@@ -59,62 +58,66 @@
         self._config = config
 
     async def run(self) -> None:
-        """Exports regularly, for ever."""
+        """Exports at the configured interval, forever."""
         while True:
-            await asyncio.sleep(self._config.every.total_seconds())
+            await asyncio.sleep(self._config.interval.total_seconds())
             self.export_now()
 
     def export_now(self) -> None:
-        """Sends what is due, with times by this node's wall clock."""
+        """Sends the next batch, with times by this node's wall clock."""
         self.export(time.time() - time.monotonic())
 
     def export(self, epoch_offset: float) -> None:
-        """Sends what is due; `epoch_offset` is wall clock minus steady clock, in seconds."""
+        """Sends the next batch; `epoch_offset` is wall clock minus steady clock, in seconds."""
         batch = self._recorder.take_batch(
-            int(self._config.spans * self._config.every.total_seconds())
+            int(self._config.spans_per_second * self._config.interval.total_seconds())
         )
         if not batch.spans and not batch.shed:
             return
         registries = self._registries()
-        parts: dict[str, kinds.SpanBatch] = {}
+        messages: dict[str, kinds.SpanBatch] = {}
 
-        def part(registry: str) -> kinds.SpanBatch:
-            if registry not in parts:
-                parts[registry] = kinds.SpanBatch(
+        def message_for(registry: str) -> kinds.SpanBatch:
+            if registry not in messages:
+                messages[registry] = kinds.SpanBatch(
                     node=self._node,
                     zone=self._zone,
                     address=self._address,
-                    lost=self._recorder.lost,
+                    lost=self._recorder.lost_spans,
                 )
-            return parts[registry]
+            return messages[registry]
 
         for span in batch.spans:
             packed = pack_span(span, epoch_offset)
             for registry in _find_collectors(span, registries):
-                part(registry).spans.append(packed)
+                message_for(registry).spans.append(packed)
         for trace_id in batch.shed:
-            # All are told, as any of them may hold earlier spans of it.
+            # Sent to all registries, as any of them may hold earlier spans of the trace.
             for registry in registries:
-                part(registry).shed.append(trace_id)
-        taken = {
+                message_for(registry).shed.append(trace_id)
+        accepted_by = {
             registry
-            for registry, message in parts.items()
+            for registry, message in messages.items()
             if self._send(registry, _compress(message))
         }
-        self._give_back(batch, taken, registries)
+        self._requeue_rejected(batch, accepted_by, registries)
 
-    def _give_back(self, batch: Batch, taken: set[str], registries: Collection[str]) -> None:
-        """Returns to the recorder the spans that no registry accepted."""
-        untaken = [
-            span for span in batch.spans if not taken & set(_find_collectors(span, registries))
+    def _requeue_rejected(
+        self, batch: Batch, accepted_by: set[str], registries: Collection[str]
+    ) -> None:
+        """Returns spans that no registry accepted to the recorder."""
+        rejected = [
+            span
+            for span in batch.spans
+            if not accepted_by & set(_find_collectors(span, registries))
         ]
-        shed = batch.shed if not taken else []
-        if untaken or shed:
-            self._recorder.give_back(Batch(untaken, shed))
+        shed = batch.shed if not accepted_by else []
+        if rejected or shed:
+            self._recorder.requeue(Batch(rejected, shed))
 
 
 def _compress(message: kinds.SpanBatch) -> kinds.SpanBatch:
-    """Compresses the spans: they are similar, and the links also carry requests."""
+    """Compresses the spans: they are similar, and requests share the links."""
     if message.spans:
         message.compressed_spans = zlib.compress(
             kinds.SpanBatch(spans=message.spans).SerializeToString(), 6
@@ -124,9 +127,9 @@
 
 
 def _find_collectors(span: Span, registries: Collection[str]) -> list[str]:
-    found = rank_collectors(span.trace_id, registries)[:_COPIES]
+    collectors = rank_collectors(span.trace_id, registries)[:_COPIES_PER_TRACE]
     if span.digest:
-        # Tries of one order meet at a registry, whatever their traces.
-        meeting = rank_collectors(span.digest, registries)[:_COPIES]
-        found.extend(registry for registry in meeting if registry not in found)
-    return found
+        # One registry sees all attempts of an order, though their traces differ.
+        digest_collectors = rank_collectors(span.digest, registries)[:_COPIES_PER_TRACE]
+        collectors.extend(registry for registry in digest_collectors if registry not in collectors)
+    return collectors
--- a/marblefold/tracing/formats.py
+++ b/marblefold/tracing/formats.py
@@ -1,41 +1,41 @@
-"""Prints traces as text, JSON or OTLP."""
+"""Formats traces as text, JSON or OTLP."""
 
 import json
 from collections.abc import Iterator
 
 from marblefold.request_path.outcome import HopOutcome
-from marblefold.tracing.assembly import Step, Trace
+from marblefold.tracing.assembly import SpanNode, Trace
 from marblefold.tracing.span import SpanKind
 
 __all__ = ["to_json", "to_otlp", "to_text"]
 
-_SHOWN_SKEW_US = 1000
+_MIN_SHOWN_SKEW_US = 1000
 
 
 def to_text(trace: Trace) -> str:
-    """The trace as an indented tree."""
-    lines = [f"trace {trace.trace_id}: {'whole' if trace.is_whole else 'incomplete'}"]
+    """Formats the trace as an indented tree."""
+    lines = [f"trace {trace.trace_id}: {'whole' if trace.is_complete else 'incomplete'}"]
     for root in trace.roots:
-        lines.extend(_lines(root, root.row["start_us"], 1))
+        lines.extend(_render_lines(root, root.row["start_us"], 1))
     if trace.is_shed:
         lines.append("  given up by a node that could not keep it")
-    lines.extend(f"  missing: {what}" for what in trace.missing)
+    lines.extend(f"  missing: {description}" for description in trace.missing)
     return "\n".join(lines) + "\n"
 
 
 def to_json(trace: Trace) -> dict:
-    """The trace as one JSON object."""
+    """Returns the trace as one JSON object."""
     return {
         "trace": trace.trace_id,
-        "whole": trace.is_whole,
+        "whole": trace.is_complete,
         "shed": trace.is_shed,
         "missing": list(trace.missing),
-        "roots": [_to_object(root) for root in trace.roots],
+        "roots": [_to_json_object(root) for root in trace.roots],
     }
 
 
 def to_otlp(traces: list[Trace]) -> str:
-    """The traces in the JSON encoding of OTLP."""
+    """Formats the traces in the JSON encoding of OTLP."""
     from google.protobuf import json_format
     from opentelemetry.proto.common.v1.common_pb2 import AnyValue, KeyValue
     from opentelemetry.proto.trace.v1 import trace_pb2
@@ -44,15 +44,15 @@
     scopes: dict[str, trace_pb2.ScopeSpans] = {}
 
     def attribute(key: str, value: object) -> KeyValue:
-        kept = (
+        attribute_value = (
             AnyValue(int_value=value)
             if isinstance(value, int)
             else AnyValue(string_value=str(value))
         )
-        return KeyValue(key=key, value=kept)
+        return KeyValue(key=key, value=attribute_value)
 
-    def add(step: Step) -> None:
-        row = step.row
+    def add(node: SpanNode) -> None:
+        row = node.row
         if row["node"] not in scopes:
             resource = data.resource_spans.add()
             resource.resource.attributes.extend(
@@ -91,22 +91,22 @@
         )
         if row["status"]:
             span.attributes.append(attribute("http.response.status_code", row["status"]))
-        for child in step.children:
+        for child in node.children:
             add(child)
 
     for trace in traces:
         for root in trace.roots:
             add(root)
-    # OTLP wants ids as hexadecimal digits, where plain protobuf JSON has base64.
+    # OTLP requires ids in hexadecimal, while protobuf JSON encodes bytes as base64.
     document = json_format.MessageToDict(data)
     for resource in document.get("resourceSpans", ()):
         for scope in resource["scopeSpans"]:
             for span in scope["spans"]:
-                _write_ids(span)
+                _encode_ids_as_hex(span)
     return json.dumps(document, indent=2)
 
 
-def _write_ids(span: dict) -> None:
+def _encode_ids_as_hex(span: dict) -> None:
     import base64
 
     for name in ("traceId", "spanId", "parentSpanId"):
@@ -114,17 +114,17 @@
             span[name] = base64.b64decode(span[name]).hex()
 
 
-def _lines(step: Step, origin_us: int, depth: int) -> Iterator[str]:
-    row = step.row
+def _render_lines(node: SpanNode, origin_us: int, depth: int) -> Iterator[str]:
+    row = node.row
     outcome = HopOutcome(row["outcome"]).name.lower() if row["outcome"] else "under way"
-    what = {
+    description = {
         SpanKind.REQUEST: f"request {row['attempt_id']} {row['route']}",
         SpanKind.HOP: f"hop {row['attempt']} to {row['target']}",
         SpanKind.SERVE: f"served by {row['target']}",
     }[SpanKind(row["kind"])]
     parts = [
         f"{(row['start_us'] - origin_us) / 1000:+.1f} ms",
-        what,
+        description,
         f"at {row['node']}",
         f"zone {row['zone']}",
         f"{row['duration_us'] / 1000:.1f} ms",
@@ -140,16 +140,16 @@
         parts.append(f"body {row['body_bytes']} bytes")
     if row["inferred"]:
         parts.append("link inferred")
-    if abs(step.skew_us) >= _SHOWN_SKEW_US:
-        parts.append(f"clock off by {step.skew_us / 1000:.1f} ms")
+    if abs(node.skew_us) >= _MIN_SHOWN_SKEW_US:
+        parts.append(f"clock off by {node.skew_us / 1000:.1f} ms")
     yield "  " * depth + ", ".join(parts)
-    for child in step.children:
-        yield from _lines(child, origin_us, depth + 1)
+    for child in node.children:
+        yield from _render_lines(child, origin_us, depth + 1)
 
 
-def _to_object(step: Step) -> dict:
+def _to_json_object(node: SpanNode) -> dict:
     return {
-        **step.row,
-        "skew-us": step.skew_us,
-        "children": [_to_object(child) for child in step.children],
+        **node.row,
+        "skew-us": node.skew_us,
+        "children": [_to_json_object(child) for child in node.children],
     }
--- a/marblefold/tracing/node_tracing.py
+++ b/marblefold/tracing/node_tracing.py
@@ -1,4 +1,4 @@
-"""Sets up the parts of tracing that a proxy runs."""
+"""Assembles the tracing components that a proxy runs."""
 
 import asyncio
 from datetime import timedelta
@@ -18,14 +18,14 @@
 
 __all__ = ["NodeTracing"]
 
-# How often a mark is sent to a peer that cannot be reached.
-_MARK_TRIES = 2
-_MARK_PAUSE = timedelta(milliseconds=500)
+# Attempts to send a mark to a peer that cannot be reached.
+_MARK_ATTEMPTS = 2
+_MARK_RETRY_DELAY = timedelta(milliseconds=500)
 _OUTBOX_SECONDS = 8
 
 
 class NodeTracing:
-    """Recorder, tracer and exporter of one proxy, and the marks between proxies."""
+    """The recorder, tracer and exporter of one proxy, and the exchange of marks with peers."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self._peers = peers
         self._tasks = tasks
         self._address = address
-        # Capacity of the outbox: spans that would wait longer than this are shed.
+        # Limits the time that spans wait: those beyond this capacity are shed.
         outbox = options.spans_per_second * _OUTBOX_SECONDS
         self.recorder = Recorder(RecorderConfig(options.ring, outbox), self._on_mark)
         self.tracer = Tracer(
@@ -55,42 +55,42 @@
             address,
             lambda: view.registries,
             follower.send_to,
-            ExporterConfig(spans=options.spans_per_second),
+            ExporterConfig(spans_per_second=options.spans_per_second),
         )
 
     async def run(self) -> None:
-        """Exports, for ever."""
+        """Exports spans, forever."""
         await self._exporter.run()
 
     def export_remaining(self) -> None:
-        """Sends all waiting spans, as this node is about to end."""
-        while self.recorder.waiting:
-            waiting = self.recorder.waiting
+        """Sends all waiting spans before this node stops."""
+        while self.recorder.waiting_count:
+            waiting_before = self.recorder.waiting_count
             self._exporter.export_now()
-            if self.recorder.waiting >= waiting:
+            if self.recorder.waiting_count >= waiting_before:
                 return
 
     def handle_message(self, message: object) -> None:
-        """Handles a message of a peer, if it marks a trace."""
+        """Marks the trace if the message is a TraceMark; ignores other messages."""
         if isinstance(message, kinds.TraceMark):
             self.recorder.mark(message.trace_id)
 
     def _on_mark(self, trace_id: bytes, peers: list[str]) -> None:
-        """Tells the peers that hops of this trace touched to keep their spans too."""
+        """Asks the peers on the hops of this trace to keep their spans too."""
         if self._peers is None:
             return
         for peer in peers:
             if peer != self._address:
-                self._tasks.start(self._tell(self._peers, peer, trace_id))
+                self._tasks.start(self._send_mark(self._peers, peer, trace_id))
 
-    async def _tell(self, peers: PeerBook, peer: str, trace_id: bytes) -> None:
+    async def _send_mark(self, peers: PeerBook, peer: str, trace_id: bytes) -> None:
         payload = pack_message(kinds.TraceMark(trace_id=trace_id))
-        for _ in range(_MARK_TRIES):
+        for _ in range(_MARK_ATTEMPTS):
             try:
                 connection = await peers.reach(peer)
             except MeshError:
-                # It may be down: its spans are then shown as missing.
-                await asyncio.sleep(_MARK_PAUSE.total_seconds())
+                # If the peer is down, its spans are shown as missing.
+                await asyncio.sleep(_MARK_RETRY_DELAY.total_seconds())
                 continue
             connection.send(FrameKind.TELL, 0, payload)
             return
--- a/marblefold/tracing/span.py
+++ b/marblefold/tracing/span.py
@@ -1,28 +1,28 @@
-"""A span: one step of a request at one node, with a fixed set of fields."""
+"""Spans: each records one step of a request at one node in a fixed set of fields."""
 
 import enum
 
 from marblefold.inner_protocol.messages import kinds
-from marblefold.tracing.context import Keep, TraceContext
+from marblefold.tracing.context import KeepPriority, TraceContext
 
 __all__ = ["Span", "SpanKind", "pack_span"]
 
-_LONGEST_TEXT = 64
+_MAX_TEXT_LENGTH = 64
 
 
 class SpanKind(enum.IntEnum):
     """Which step of a request a span describes."""
 
-    # The request as sent by a client, or by a target during a run.
+    # The request as sent by a client, or by a target while it executes another.
     REQUEST = 1
-    # One hop to a target, as seen by its sender.
+    # A hop to a target, as seen by its sender.
     HOP = 2
-    # The hop at the guard beside the target.
+    # The same hop, as seen by the guard beside the target.
     SERVE = 3
 
 
 class Span:
-    """Filled in while the step is in progress; times in seconds on the steady clock."""
+    """A span in progress or ended; times are in seconds on the steady clock."""
 
     __slots__ = (
         "trace_id",
@@ -79,31 +79,31 @@
 
     @property
     def context(self) -> TraceContext:
-        """The context for child spans."""
+        """The trace context for child spans."""
         return TraceContext(self.trace_id, self.span_id, self.keep)
 
-    def raise_keep(self, keep: Keep) -> None:
-        """Raises the priority of the trace, never lowers it."""
+    def raise_keep(self, keep: KeepPriority) -> None:
+        """Raises the priority to keep the trace; never lowers it."""
         if keep > self.keep:
             self.keep = keep
 
 
 def pack_span(span: Span, epoch_offset: float) -> kinds.Span:
-    """The span as a message; `epoch_offset` is wall clock minus steady clock, in seconds."""
+    """Converts a span to a message; `epoch_offset` is wall clock minus steady clock, in seconds."""
     return kinds.Span(
         trace_id=span.trace_id,
         span_id=span.span_id,
         parent=span.parent,
         kind=span.kind,
-        attempt_id=span.attempt_id[:_LONGEST_TEXT],
-        route=span.route[:_LONGEST_TEXT],
-        upstream=span.upstream[:_LONGEST_TEXT],
-        target=span.target[:_LONGEST_TEXT],
+        attempt_id=span.attempt_id[:_MAX_TEXT_LENGTH],
+        route=span.route[:_MAX_TEXT_LENGTH],
+        upstream=span.upstream[:_MAX_TEXT_LENGTH],
+        target=span.target[:_MAX_TEXT_LENGTH],
         start_us=max(0, int((span.started + epoch_offset) * 1e6)),
         duration_us=max(0, int((span.ended - span.started) * 1e6)) if span.ended else 0,
         outcome=span.outcome,
         status=span.status,
-        step=span.step[:_LONGEST_TEXT],
+        step=span.step[:_MAX_TEXT_LENGTH],
         attempt=span.attempt,
         queued_us=int(span.queued_seconds * 1e6),
         body_bytes=span.body_bytes,
--- a/marblefold/tracing/startup.py
+++ b/marblefold/tracing/startup.py
@@ -1,4 +1,4 @@
-"""Sets up tracing in a program whose flags ask for it."""
+"""Sets up tracing in a program if its flags enable it."""
 
 from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.node_config.model import NodeConfig
@@ -18,7 +18,7 @@
     tasks: TaskKeeper,
     peers: PeerBook | None = None,
 ):
-    """The NodeTracing, or None without --trace, which then imports none of its parts."""
+    """Returns the NodeTracing, or None without --trace, when no other tracing module is imported."""
     options = read_trace_options()
     if options is None:
         return None
--- a/tests/simulated_tracing.py
+++ b/tests/simulated_tracing.py
@@ -71,7 +71,14 @@
         self.steps = {}
 
     def call(
-        self, path, route=ORDER, attempt="a", body=b"order", run_span=None, ends="answered", tries=1
+        self,
+        path,
+        route=ORDER,
+        attempt="a",
+        body=b"order",
+        parent_span=None,
+        ends="answered",
+        tries=1,
     ):
         """One request along the nodes of the path, deeper calls within; its root span."""
         origin = self.nodes[path[0]]
@@ -79,7 +86,7 @@
             headers=(), attempt_id=attempt, arrived=time.monotonic(), path="/x/"
         )
         span = origin.tracer.begin_request(
-            request, route, "orders", run_span, origin.name, body, True
+            request, route, "orders", parent_span, origin.name, body, True
         )
         self.note(span, origin)
         for number in range(1, tries + 1):
@@ -129,7 +136,7 @@
         """The trace as the command puts it together."""
         rows, is_shed = [], False
         for collector in self.collectors.values():
-            rows.extend(_to_row(span) for span in collector.find(trace_id))
+            rows.extend(_to_row(span) for span in collector.find_spans(trace_id))
             is_shed |= collector.is_shed(trace_id)
         return assemble(trace_id.hex(), rows, is_shed), {
             (row["node"], bytes.fromhex(row["span_id"])) for row in rows
@@ -140,7 +147,7 @@
         whole = 0
         for trace_id, steps in self.steps.items():
             trace, held = self.find(trace_id)
-            if trace.is_whole:
+            if trace.is_complete:
                 assert held == steps, (trace_id, steps - held)
                 whole += 1
             else:
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -12,7 +12,7 @@
 from marblefold.http_connections.call_router import Call
 
 
-def opened(folder, **more):
+def open_versions(folder, **more):
     versions = Versions(str(folder), **more)
     versions.open()
     return versions
@@ -27,7 +27,7 @@
 
 
 def test_what_is_put_is_read_again_after_a_start(tmp_path):
-    versions = opened(tmp_path / "history")
+    versions = open_versions(tmp_path / "history")
     assert [versions.add(number, body_of(number)) for number in (3, 7, 7, 5, 12)] == [
         True,
         True,
@@ -35,7 +35,7 @@
         False,
         True,
     ]
-    again = opened(tmp_path / "history")
+    again = open_versions(tmp_path / "history")
     assert numbers(again) == [12, 7, 3] and again.damage == ""
     assert again.read(7) == body_of(7)
     with pytest.raises(MeshError):
@@ -43,17 +43,17 @@
 
 
 def test_old_versions_are_let_go(tmp_path):
-    versions = opened(tmp_path / "history", most=5)
+    versions = open_versions(tmp_path / "history", max_versions=5)
     for number in range(1, 40):
         versions.add(number, body_of(number))
         assert len(numbers(versions)) <= 10
-    kept = numbers(opened(tmp_path / "history"))
+    kept = numbers(open_versions(tmp_path / "history"))
     assert kept[0] == 39 and len(kept) >= 5 and versions.read(kept[-1]) == body_of(kept[-1])
     assert sorted(os.listdir(tmp_path)) == ["history"]
 
 
 def test_a_damaged_history_is_put_aside_and_begun_anew(tmp_path):
-    versions = opened(tmp_path / "history")
+    versions = open_versions(tmp_path / "history")
     versions.add(1, body_of(1))
     for root, _folders, files in os.walk(tmp_path / "history" / "objects"):
         for name in files:
@@ -61,7 +61,7 @@
             os.chmod(path, 0o644)
             with open(path, "wb") as file:
                 file.write(b"torn")
-    again = opened(tmp_path / "history")
+    again = open_versions(tmp_path / "history")
     assert again.damage and numbers(again) == []
     assert again.add(2, body_of(2)) and (tmp_path / "history.damaged").exists()
 
@@ -82,16 +82,16 @@
         # No folder: nothing is kept, nothing waits.
         none = HistoryRecorder("")
         none.record(1, body_of(1))
-        assert none._waiting.qsize() == 0 and (await none._list(Call("", b""))).status == 404
+        assert none._queue.qsize() == 0 and (await none._list(Call("", b""))).status == 404
         # A folder that cannot be made: told, and nothing else.
         (tmp_path / "file").write_text("")
         stuck = HistoryRecorder(str(tmp_path / "file"))
         for number in range(40):
             stuck.record(number, body_of(number))
-        assert stuck._waiting.qsize() <= 16
+        assert stuck._queue.qsize() <= 16
         run = asyncio.create_task(stuck.run())
         async with asyncio.timeout(20):
-            while stuck._waiting.qsize():
+            while stuck._queue.qsize():
                 await asyncio.sleep(0)
         assert not run.done()
         run.cancel()
--- a/tests/test_hung_disks.py
+++ b/tests/test_hung_disks.py
@@ -73,7 +73,7 @@
 
 def test_a_registry_answers_calls_on_its_history_while_the_disk_hangs(tmp_path, monkeypatch):
     released = threading.Event()
-    monkeypatch.setattr(history, "_CALL_SECONDS", 0.01)
+    monkeypatch.setattr(history, "_CALL_TIMEOUT_SECONDS", 0.01)
 
     async def test():
         recorder = history.HistoryRecorder(str(tmp_path))
@@ -86,9 +86,9 @@
         for _ in range(20):
             assert (await recorder._list(Call("", b""))).status == 503
             assert (await recorder._show(Call("r3", b""))).status == 503
-        assert recorder._waiting.qsize() <= 1 and recorder._thread._thread.daemon
+        assert recorder._queue.qsize() <= 1 and recorder._thread._thread.daemon
         released.set()
-        monkeypatch.setattr(history, "_CALL_SECONDS", 20)
+        monkeypatch.setattr(history, "_CALL_TIMEOUT_SECONDS", 20)
         async with asyncio.timeout(20):
             while len(json.loads((await recorder._list(Call("", b""))).body)["versions"]) < 2:
                 await asyncio.sleep(0)
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -11,10 +11,10 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.tracing.collector import Collector
 from marblefold.tracing.context import (
-    Keep,
+    KeepPriority,
     TraceContext,
+    apply_sample_rate,
     format_traceparent,
-    keep_of,
     parse_traceparent,
     shed_order,
 )
@@ -29,7 +29,7 @@
 
 @given(IDS, st.binary(min_size=8, max_size=8).filter(any), st.booleans())
 def test_a_traceparent_is_read_as_it_is_written(trace_id, span_id, is_kept):
-    context = TraceContext(trace_id, span_id, Keep.ORDER if is_kept else Keep.NOT)
+    context = TraceContext(trace_id, span_id, KeepPriority.ORDER if is_kept else KeepPriority.NONE)
     assert parse_traceparent(format_traceparent(context)) == (trace_id, span_id, is_kept)
 
 
@@ -57,10 +57,12 @@
 @given(IDS, st.floats(0.0, 1.0), st.floats(0.0, 1.0))
 def test_the_share_of_lookups_kept_is_told_by_the_trace_id_alone(trace_id, low, high):
     low, high = sorted((low, high))
-    assert keep_of(trace_id, Keep.SAMPLE, low) <= keep_of(trace_id, Keep.SAMPLE, high)
-    assert keep_of(trace_id, Keep.SAMPLE, 0.0) is Keep.NOT
-    assert keep_of(trace_id, Keep.SAMPLE, 1.0) is Keep.SAMPLE
-    assert keep_of(trace_id, Keep.ORDER, 0.0) is Keep.ORDER
+    assert apply_sample_rate(trace_id, KeepPriority.SAMPLE, low) <= apply_sample_rate(
+        trace_id, KeepPriority.SAMPLE, high
+    )
+    assert apply_sample_rate(trace_id, KeepPriority.SAMPLE, 0.0) is KeepPriority.NONE
+    assert apply_sample_rate(trace_id, KeepPriority.SAMPLE, 1.0) is KeepPriority.SAMPLE
+    assert apply_sample_rate(trace_id, KeepPriority.ORDER, 0.0) is KeepPriority.ORDER
 
 
 def make_span(trace_id, keep, number):
@@ -68,15 +70,15 @@
     return Span(context, number.to_bytes(8, "big"), SpanKind.HOP, "a", "u", float(number))
 
 
-@given(st.lists(st.tuples(st.integers(1, 12), st.sampled_from(list(Keep))), max_size=60))
+@given(st.lists(st.tuples(st.integers(1, 12), st.sampled_from(list(KeepPriority))), max_size=60))
 def test_a_recorder_holds_what_the_plain_model_holds(events):
     """The model: every span in a list; the least of the shared order goes, whole."""
-    recorder, model, shed = Recorder(RecorderConfig(ring=8, outbox=10)), [], []
+    recorder, model, shed = Recorder(RecorderConfig(ring_capacity=8, outbox_capacity=10)), [], []
     for number, (trace, keep) in enumerate(events):
         span = make_span(bytes([trace]) * 16, keep, number)
         recorder.begin(span)
         recorder.finish(span, 1.0)
-        if keep is Keep.NOT or span.trace_id in shed:
+        if keep is KeepPriority.NONE or span.trace_id in shed:
             continue
         model.append(span)
         while len(model) > 10:
@@ -90,7 +92,7 @@
             shed.append(least)
     batch = recorder.take_batch(10**6)
     assert {span.span_id for span in batch.spans} == {span.span_id for span in model}
-    assert batch.shed == shed and recorder.waiting == 0
+    assert batch.shed == shed and recorder.waiting_count == 0
     assert recorder.covered_seconds(3.0) in (0.0, 2.0)
 
 
@@ -137,10 +139,10 @@
 @settings(max_examples=40, deadline=None)
 @given(CALLS)
 def test_with_full_outboxes_traces_go_whole(calls):
-    network = TracedNetwork(8, 2, RecorderConfig(ring=4, outbox=6), batch=3)
+    network = TracedNetwork(8, 2, RecorderConfig(ring_capacity=4, outbox_capacity=6), batch=3)
     run_calls(network, [(*call[:4], "") for call in calls])
     network.check()
-    assert all(node.recorder.waiting <= 6 for node in network.nodes.values())
+    assert all(node.recorder.waiting_count <= 6 for node in network.nodes.values())
 
 
 def test_without_trouble_every_order_is_whole_and_no_lookup_is_kept():
@@ -150,7 +152,7 @@
         network.call(["n4", "n1"], LOOKUP, f"l{number}")
     network.export(rounds=20)
     assert network.check() == 30
-    assert sum(node.recorder.lost for node in network.nodes.values()) == 0
+    assert sum(node.recorder.lost_spans for node in network.nodes.values()) == 0
 
 
 def test_the_check_fails_where_a_node_decides_for_itself():
@@ -177,7 +179,7 @@
     network.deliver_marks()
     network.export()
     trace, held = network.find(span.trace_id)
-    assert trace.is_whole and {node for node, _span in held} == {"n0", "n1", "n2"}
+    assert trace.is_complete and {node for node, _span in held} == {"n0", "n1", "n2"}
 
 
 def test_the_same_order_under_another_id_is_found_with_both_paths():
@@ -187,24 +189,28 @@
     network.call(["n0", "n5"], ORDER, "other", b"seeder")
     network.export()
     # Origins differ, and so does what digests are made of.
-    assert not any(list(c.doubled()) for c in network.collectors.values())
+    assert not any(list(c.duplicate_orders()) for c in network.collectors.values())
     again = network.call(["n0", "n5"], ORDER, "try-3", b"bracket")
     network.deliver_marks()
     network.export()
-    doubled = [found for collector in network.collectors.values() for found in collector.doubled()]
+    doubled = [
+        found for collector in network.collectors.values() for found in collector.duplicate_orders()
+    ]
     assert {frozenset(found.tries) for found in doubled} == {frozenset(("try-1", "try-3"))}
     for span in (first, again, second):
-        assert network.find(span.trace_id)[0].is_whole
+        assert network.find(span.trace_id)[0].is_complete
 
 
 def test_records_of_a_burst_stay_within_their_bounds():
     network = TracedNetwork(
-        2, config=RecorderConfig(ring=32, outbox=64), settings=TraceSettings(kept_per_second=5.0)
+        2,
+        config=RecorderConfig(ring_capacity=32, outbox_capacity=64),
+        settings=TraceSettings(kept_per_second=5.0),
     )
     for number in range(500):
         network.call(["n0", "n1"], UPLOAD, f"u{number}", b"%d" % number)
     for node in network.nodes.values():
-        assert node.recorder.waiting <= 64 and len(node.recorder._ring) <= 32
+        assert node.recorder.waiting_count <= 64 and len(node.recorder._ring) <= 32
         assert not node.recorder._open
     network.export(rounds=10)
     # Five seconds' worth were begun as kept; of the rest there is nothing anywhere.
@@ -214,13 +220,17 @@
 def test_a_collector_stays_within_its_bound_and_lets_marked_traces_go_last():
     collector = Collector(100)
     for number in range(300):
-        keep = Keep.MARKED if number % 3 == 0 else Keep.ORDER
+        keep = KeepPriority.MARKED if number % 3 == 0 else KeepPriority.ORDER
         span = make_span(number.to_bytes(16, "big"), keep, number)
         collector.add_batch(kinds.SpanBatch(node="n", lost=2, spans=[pack_span(span, 0.0)]))
-        assert collector.spans <= 100
+        assert collector.span_count <= 100
     held = list(collector.newest())
     marked = sum(1 for trace_id in held if int.from_bytes(trace_id, "big") % 3 == 0)
-    assert marked > len(held) / 2 and collector.dropped == 200 and collector.lost == {"n": 2}
+    assert (
+        marked > len(held) / 2
+        and collector.dropped_traces == 200
+        and collector.lost_spans == {"n": 2}
+    )
 
 
 def test_a_batch_is_sent_small_and_comes_out_whole():
@@ -235,7 +245,7 @@
     )
     spans = []
     for number in range(24):
-        span = make_span(random.Random(number).randbytes(16), Keep.ORDER, number)
+        span = make_span(random.Random(number).randbytes(16), KeepPriority.ORDER, number)
         span.route, span.upstream, span.target = "r-n2ctnfz", "huvo11a", f"i-{number % 5:010x}"
         span.peer = f"10.2.0.{number % 5}:7620"
         spans.append(span)
@@ -251,7 +261,7 @@
         collector.add_batch(kinds.SpanBatch.FromString(batch.SerializeToString()))
         for trace_id in collector.newest():
             held.setdefault(trace_id, []).extend(
-                row.span.target for row in collector.find(trace_id)
+                row.span.target for row in collector.find_spans(trace_id)
             )
     assert {key: set(found) for key, found in held.items()} == {
         span.trace_id: {span.target} for span in spans
@@ -300,4 +310,4 @@
         headers=((b"Traceparent", told),), attempt_id="x", arrived=time.monotonic(), path="/"
     )
     span = tracer.begin_request(request, LOOKUP, "u", None, "c", b"", True)
-    assert span.parent == serve.span_id and span.keep is Keep.ORDER and not span.is_inferred
+    assert span.parent == serve.span_id and span.keep is KeepPriority.ORDER and not span.is_inferred
--- a/tests/test_tracing_on_loopback.py
+++ b/tests/test_tracing_on_loopback.py
@@ -45,12 +45,12 @@
             while recorder._open:
                 await asyncio.sleep(0)
         proxy._tracing.export_remaining()
-    expected = sum(proxy._tracing.recorder.waiting for proxy in mesh.proxies)
+    expected = sum(proxy._tracing.recorder.waiting_count for proxy in mesh.proxies)
     assert expected == 0
     quiet, last = 0, -1
     while quiet < 200:
-        quiet = quiet + 1 if collector.spans == last else 0
-        last = collector.spans
+        quiet = quiet + 1 if collector.span_count == last else 0
+        last = collector.span_count
         await asyncio.sleep(0)
 
 
