--- a/marblefold/tracing/startup.py
+++ b/marblefold/tracing/startup.py
@@ -18,7 +18,7 @@
     tasks: TaskKeeper,
     peers: PeerBook | None = None,
 ):
-    """Returns the NodeTracing, or None without --trace, when no other tracing module is imported."""
+    """Returns the NodeTracing, or None without --trace, which imports no other tracing module."""
     options = read_trace_options()
     if options is None:
         return None
--- a/tests/simulated_tracing.py
+++ b/tests/simulated_tracing.py
@@ -1,4 +1,4 @@
-"""Many nodes that trace, without sockets: real tracers, recorders and collectors."""
+"""Simulates many tracing nodes without sockets: real tracers, recorders and collectors."""
 
 import random
 import time
@@ -21,17 +21,17 @@
 
 
 class Node:
-    """One proxy's tracing; a mark leaves through the network."""
+    """The tracing of one proxy; its marks go through the simulated network."""
 
     def __init__(self, network, name, config, settings):
         self.name, self.network, self.config, self.settings = name, network, config, settings
-        self.is_dark = False
+        self.is_unreachable = False
         self.start()
 
     def start(self):
-        """A fresh start knows nothing of before."""
+        """Starts or restarts the node; a restart loses all recorded spans."""
         self.recorder = Recorder(self.config, self.on_mark)
-        self.tracer = Tracer(self.recorder, self.settings, self.name, self.network.chance.random())
+        self.tracer = Tracer(self.recorder, self.settings, self.name, self.network.random.random())
         self.exporter = Exporter(
             self.recorder,
             self.name,
@@ -39,7 +39,7 @@
             self.name,
             lambda: list(self.network.collectors),
             self.send,
-            # As little at a time as the network says, so that outboxes fill.
+            # The network may limit the batch size, so that outboxes fill up.
             ExporterConfig(timedelta(seconds=1), self.network.batch),
         )
 
@@ -47,7 +47,7 @@
         self.network.marks.extend((peer, trace_id) for peer in peers if peer != self.name)
 
     def send(self, registry, message):
-        if self.is_dark or registry in self.network.dark_registries:
+        if self.is_unreachable or registry in self.network.unreachable_registries:
             return False
         self.network.collectors[registry].add_batch(
             kinds.SpanBatch.FromString(message.SerializeToString())
@@ -56,19 +56,19 @@
 
 
 class TracedNetwork:
-    """Nodes, collectors, and what really happened to each trace."""
+    """Nodes, collectors, and a model of the spans that each trace really had."""
 
     def __init__(self, count, seed=1, config=RecorderConfig(), settings=TraceSettings(), batch=64):
-        self.chance = random.Random(seed)
+        self.random = random.Random(seed)
         self.batch = batch
         self.collectors = {f"registry-{index}": Collector() for index in range(3)}
-        self.dark_registries = set()
+        self.unreachable_registries = set()
         self.marks = []
         self.nodes = {
             f"n{index}": Node(self, f"n{index}", config, settings) for index in range(count)
         }
-        # The plain model: the steps that each trace really had, by node.
-        self.steps = {}
+        # The model: node name and span id of every span, by trace id.
+        self.span_keys = {}
 
     def call(
         self,
@@ -77,10 +77,10 @@
         attempt="a",
         body=b"order",
         parent_span=None,
-        ends="answered",
-        tries=1,
+        outcome_name="answered",
+        attempts=1,
     ):
-        """One request along the nodes of the path, deeper calls within; its root span."""
+        """Sends a request along the nodes of the path, in nested calls; returns its root span."""
         origin = self.nodes[path[0]]
         request = SimpleNamespace(
             headers=(), attempt_id=attempt, arrived=time.monotonic(), path="/x/"
@@ -88,43 +88,53 @@
         span = origin.tracer.begin_request(
             request, route, "orders", parent_span, origin.name, body, True
         )
-        self.note(span, origin)
-        for number in range(1, tries + 1):
-            is_last = number == tries
-            self.hop(origin, span, path[1:], route, attempt, number, ends if is_last else "unknown")
-        status = {"answered": 200, "unknown": 504, "refused": 503}[ends]
-        origin.tracer.finish_request(span, status, ends, ends != "refused")
+        self.record_span(span, origin)
+        for number in range(1, attempts + 1):
+            is_last = number == attempts
+            self.hop(
+                origin,
+                span,
+                path[1:],
+                route,
+                attempt,
+                number,
+                outcome_name if is_last else "unknown",
+            )
+        status = {"answered": 200, "unknown": 504, "refused": 503}[outcome_name]
+        origin.tracer.finish_request(span, status, outcome_name, outcome_name != "refused")
         return span
 
-    def hop(self, origin, span, path, route, attempt, number, ends):
+    def hop(self, origin, span, path, route, attempt, number, outcome_name):
         head = kinds.RequestHead(attempt_id=attempt, attempt_number=number, upstream="orders")
         peer = self.nodes[path[0]]
         hop = origin.tracer.begin_hop(span, head, "i-" + peer.name, peer.name, number)
-        self.note(hop, origin)
+        self.record_span(hop, origin)
         head = kinds.RequestHead.FromString(head.SerializeToString())
         serve = peer.tracer.begin_serve(head)
-        self.note(serve, peer)
+        self.record_span(serve, peer)
         if len(path) > 1:
-            # The target calls on: the link is inferred from the running work.
+            # The target makes a further call; its link is inferred from the execution.
             self.call(path, LOOKUP, attempt + ".1", b"", serve)
         outcome = {
             "answered": HopOutcome.ANSWERED,
             "unknown": HopOutcome.UNKNOWN,
             "refused": HopOutcome.NEVER_OFFERED,
-        }[ends]
+        }[outcome_name]
         peer.tracer.finish_serve(serve, kinds.AnswerHead(outcome=outcome, status=200), 5)
-        answer = ANSWER if ends == "answered" else None
-        origin.tracer.finish_hop(hop, HopResult(outcome, answer, step="" if answer else ends))
+        answer = ANSWER if outcome_name == "answered" else None
+        origin.tracer.finish_hop(
+            hop, HopResult(outcome, answer, step="" if answer else outcome_name)
+        )
 
-    def note(self, span, node):
-        self.steps.setdefault(span.trace_id, set()).add((node.name, span.span_id))
+    def record_span(self, span, node):
+        self.span_keys.setdefault(span.trace_id, set()).add((node.name, span.span_id))
 
-    def deliver_marks(self, loses=0.0):
-        """Marks go along the hops until none is under way."""
+    def deliver_marks(self, loss_rate=0.0):
+        """Delivers marks along the hops until none is left; drops them at the given rate."""
         while self.marks:
-            peer, trace_id = self.marks.pop(self.chance.randrange(len(self.marks)))
+            peer, trace_id = self.marks.pop(self.random.randrange(len(self.marks)))
             node = self.nodes.get(peer)
-            if node is not None and not node.is_dark and self.chance.random() >= loses:
+            if node is not None and not node.is_unreachable and self.random.random() >= loss_rate:
                 node.recorder.mark(trace_id)
 
     def export(self, rounds=1):
@@ -133,7 +143,7 @@
                 node.exporter.export(0.0)
 
     def find(self, trace_id):
-        """The trace as the command puts it together."""
+        """Assembles a trace as the `trace` command does; also returns the spans held."""
         rows, is_shed = [], False
         for collector in self.collectors.values():
             rows.extend(_to_row(span) for span in collector.find_spans(trace_id))
@@ -143,14 +153,14 @@
         }
 
     def check(self):
-        """Kept at every node that the trace touched or not kept at all; how many are whole."""
-        whole = 0
-        for trace_id, steps in self.steps.items():
+        """Checks that each trace is complete or says what is missing; counts the complete ones."""
+        complete_count = 0
+        for trace_id, expected in self.span_keys.items():
             trace, held = self.find(trace_id)
             if trace.is_complete:
-                assert held == steps, (trace_id, steps - held)
-                whole += 1
+                assert held == expected, (trace_id, expected - held)
+                complete_count += 1
             else:
-                # What is short says so.
-                assert not held or trace.missing or trace.is_shed, steps - held
-        return whole
+                # A partial trace must not look complete.
+                assert not held or trace.missing or trace.is_shed, expected - held
+        return complete_count
--- a/tests/test_history.py
+++ b/tests/test_history.py
@@ -1,4 +1,4 @@
-"""The history of configurations: kept in order, bounded, and never in the way."""
+"""Tests that the configuration history is ordered, bounded and cannot stop a registry."""
 
 import asyncio
 import json
@@ -12,8 +12,8 @@
 from marblefold.http_connections.call_router import Call
 
 
-def open_versions(folder, **more):
-    versions = Versions(str(folder), **more)
+def open_versions(folder, **options):
+    versions = Versions(str(folder), **options)
     versions.open()
     return versions
 
@@ -26,7 +26,7 @@
     return [version.number for version in versions.newest_first()]
 
 
-def test_what_is_put_is_read_again_after_a_start(tmp_path):
+def test_versions_are_read_back_after_a_restart(tmp_path):
     versions = open_versions(tmp_path / "history")
     assert [versions.add(number, body_of(number)) for number in (3, 7, 7, 5, 12)] == [
         True,
@@ -35,14 +35,14 @@
         False,
         True,
     ]
-    again = open_versions(tmp_path / "history")
-    assert numbers(again) == [12, 7, 3] and again.damage == ""
-    assert again.read(7) == body_of(7)
+    reopened = open_versions(tmp_path / "history")
+    assert numbers(reopened) == [12, 7, 3] and reopened.damage == ""
+    assert reopened.read(7) == body_of(7)
     with pytest.raises(MeshError):
-        again.read(5)
+        reopened.read(5)
 
 
-def test_old_versions_are_let_go(tmp_path):
+def test_old_versions_are_dropped(tmp_path):
     versions = open_versions(tmp_path / "history", max_versions=5)
     for number in range(1, 40):
         versions.add(number, body_of(number))
@@ -52,7 +52,7 @@
     assert sorted(os.listdir(tmp_path)) == ["history"]
 
 
-def test_a_damaged_history_is_put_aside_and_begun_anew(tmp_path):
+def test_a_damaged_history_is_moved_aside_and_restarted(tmp_path):
     versions = open_versions(tmp_path / "history")
     versions.add(1, body_of(1))
     for root, _folders, files in os.walk(tmp_path / "history" / "objects"):
@@ -61,12 +61,12 @@
             os.chmod(path, 0o644)
             with open(path, "wb") as file:
                 file.write(b"torn")
-    again = open_versions(tmp_path / "history")
-    assert again.damage and numbers(again) == []
-    assert again.add(2, body_of(2)) and (tmp_path / "history.damaged").exists()
+    reopened = open_versions(tmp_path / "history")
+    assert reopened.damage and numbers(reopened) == []
+    assert reopened.add(2, body_of(2)) and (tmp_path / "history.damaged").exists()
 
 
-def test_a_registry_answers_from_it_and_serves_on_without_it(tmp_path):
+def test_calls_are_answered_and_disk_errors_do_not_stop_the_recorder(tmp_path):
     async def test():
         recorder = HistoryRecorder(str(tmp_path))
         run = asyncio.create_task(recorder.run())
@@ -79,19 +79,19 @@
         assert (await recorder._show(Call("9", b""))).status == 404
         assert (await recorder._show(Call("two", b""))).status == 400
         run.cancel()
-        # No folder: nothing is kept, nothing waits.
-        none = HistoryRecorder("")
-        none.record(1, body_of(1))
-        assert none._queue.qsize() == 0 and (await none._list(Call("", b""))).status == 404
-        # A folder that cannot be made: told, and nothing else.
+        # Without a data directory nothing is recorded or queued.
+        disabled = HistoryRecorder("")
+        disabled.record(1, body_of(1))
+        assert disabled._queue.qsize() == 0 and (await disabled._list(Call("", b""))).status == 404
+        # If the folder cannot be created, the error is only logged.
         (tmp_path / "file").write_text("")
-        stuck = HistoryRecorder(str(tmp_path / "file"))
+        failing = HistoryRecorder(str(tmp_path / "file"))
         for number in range(40):
-            stuck.record(number, body_of(number))
-        assert stuck._queue.qsize() <= 16
-        run = asyncio.create_task(stuck.run())
+            failing.record(number, body_of(number))
+        assert failing._queue.qsize() <= 16
+        run = asyncio.create_task(failing.run())
         async with asyncio.timeout(20):
-            while stuck._queue.qsize():
+            while failing._queue.qsize():
                 await asyncio.sleep(0)
         assert not run.done()
         run.cancel()
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -1,4 +1,4 @@
-"""Tracing: kept at every node that a request touched, or at none; bounded."""
+"""Tests that traces are kept at all nodes of a request or at none, in bounded memory."""
 
 import random
 import time
@@ -28,7 +28,7 @@
 
 
 @given(IDS, st.binary(min_size=8, max_size=8).filter(any), st.booleans())
-def test_a_traceparent_is_read_as_it_is_written(trace_id, span_id, is_kept):
+def test_traceparent_round_trips(trace_id, span_id, is_kept):
     context = TraceContext(trace_id, span_id, KeepPriority.ORDER if is_kept else KeepPriority.NONE)
     assert parse_traceparent(format_traceparent(context)) == (trace_id, span_id, is_kept)
 
@@ -46,16 +46,16 @@
         "00-" + "1" * 31 + "-" + "1" * 16 + "-01",
     ),
 )
-def test_a_traceparent_that_is_not_valid_is_ignored(text):
+def test_invalid_traceparent_is_ignored(text):
     assert parse_traceparent(text) is None
 
 
-def test_a_later_version_may_say_more():
+def test_later_traceparent_versions_may_have_more_fields():
     assert parse_traceparent("01-" + "1" * 32 + "-" + "2" * 16 + "-00-more") is not None
 
 
 @given(IDS, st.floats(0.0, 1.0), st.floats(0.0, 1.0))
-def test_the_share_of_lookups_kept_is_told_by_the_trace_id_alone(trace_id, low, high):
+def test_sampling_of_lookups_depends_on_the_trace_id_alone(trace_id, low, high):
     low, high = sorted((low, high))
     assert apply_sample_rate(trace_id, KeepPriority.SAMPLE, low) <= apply_sample_rate(
         trace_id, KeepPriority.SAMPLE, high
@@ -71,8 +71,8 @@
 
 
 @given(st.lists(st.tuples(st.integers(1, 12), st.sampled_from(list(KeepPriority))), max_size=60))
-def test_a_recorder_holds_what_the_plain_model_holds(events):
-    """The model: every span in a list; the least of the shared order goes, whole."""
+def test_recorder_matches_a_simple_model(events):
+    """The model lists all spans, and drops the whole trace that comes first in shed order."""
     recorder, model, shed = Recorder(RecorderConfig(ring_capacity=8, outbox_capacity=10)), [], []
     for number, (trace, keep) in enumerate(events):
         span = make_span(bytes([trace]) * 16, keep, number)
@@ -82,14 +82,14 @@
             continue
         model.append(span)
         while len(model) > 10:
-            least = min(
-                {held.trace_id for held in model},
+            lowest = min(
+                {kept.trace_id for kept in model},
                 key=lambda trace_id: shed_order(
-                    max(held.keep for held in model if held.trace_id == trace_id), trace_id
+                    max(kept.keep for kept in model if kept.trace_id == trace_id), trace_id
                 ),
             )
-            model = [held for held in model if held.trace_id != least]
-            shed.append(least)
+            model = [kept for kept in model if kept.trace_id != lowest]
+            shed.append(lowest)
     batch = recorder.take_batch(10**6)
     assert {span.span_id for span in batch.spans} == {span.span_id for span in model}
     assert batch.shed == shed and recorder.waiting_count == 0
@@ -103,7 +103,7 @@
         st.sampled_from((ORDER, LOOKUP, UPLOAD)),
         st.sampled_from(("answered", "unknown", "refused")),
         st.integers(1, 2),
-        st.sampled_from(("", "restart", "dark", "registry", "lose", "export")),
+        st.sampled_from(("", "restart", "unreachable", "registry", "lose", "export")),
     ),
     min_size=1,
     max_size=25,
@@ -111,26 +111,33 @@
 
 
 def run_calls(network, calls):
-    for number, (path, route, ends, tries, trouble) in enumerate(calls):
+    for number, (path, route, outcome_name, attempts, fault) in enumerate(calls):
         names = [f"n{index}" for index in path]
         node = network.nodes[names[-1]]
-        node.is_dark = trouble == "dark"
-        network.dark_registries = {"registry-1"} if trouble == "registry" else set()
-        network.call(names, route, f"a{number}", b"body%d" % number, ends=ends, tries=tries)
-        network.deliver_marks(0.5 if trouble == "lose" else 0.0)
-        if trouble == "export":
+        node.is_unreachable = fault == "unreachable"
+        network.unreachable_registries = {"registry-1"} if fault == "registry" else set()
+        network.call(
+            names,
+            route,
+            f"a{number}",
+            b"body%d" % number,
+            outcome_name=outcome_name,
+            attempts=attempts,
+        )
+        network.deliver_marks(0.5 if fault == "lose" else 0.0)
+        if fault == "export":
             network.export()
-        if trouble == "restart":
+        if fault == "restart":
             node.start()
     for node in network.nodes.values():
-        node.is_dark = False
-    network.dark_registries = set()
+        node.is_unreachable = False
+    network.unreachable_registries = set()
     network.export(rounds=40)
 
 
 @settings(max_examples=60, deadline=None)
 @given(CALLS, st.integers(0, 3))
-def test_a_trace_is_kept_at_every_node_it_touched_or_says_what_is_missing(calls, seed):
+def test_traces_are_complete_or_report_what_is_missing(calls, seed):
     network = TracedNetwork(8, seed)
     run_calls(network, calls)
     network.check()
@@ -138,14 +145,14 @@
 
 @settings(max_examples=40, deadline=None)
 @given(CALLS)
-def test_with_full_outboxes_traces_go_whole(calls):
+def test_full_outboxes_shed_whole_traces(calls):
     network = TracedNetwork(8, 2, RecorderConfig(ring_capacity=4, outbox_capacity=6), batch=3)
     run_calls(network, [(*call[:4], "") for call in calls])
     network.check()
     assert all(node.recorder.waiting_count <= 6 for node in network.nodes.values())
 
 
-def test_without_trouble_every_order_is_whole_and_no_lookup_is_kept():
+def test_without_faults_every_order_is_complete_and_no_lookup_is_kept():
     network = TracedNetwork(6)
     for number in range(30):
         network.call(["n0", "n1", "n2", "n3"], ORDER, f"o{number}", b"%d" % number)
@@ -155,7 +162,7 @@
     assert sum(node.recorder.lost_spans for node in network.nodes.values()) == 0
 
 
-def test_the_check_fails_where_a_node_decides_for_itself():
+def test_check_detects_a_node_that_decides_for_itself():
     network = TracedNetwork(6)
     begin = network.nodes["n2"].tracer.begin_serve
 
@@ -166,42 +173,42 @@
     network.nodes["n2"].tracer.begin_serve = decide_for_itself
     network.call(["n0", "n1", "n2", "n3"], ORDER, "o")
     network.export()
-    # Such a trace is not taken for a whole one: the check sees that it is short.
+    # The trace is not taken for a complete one, and the missing node is named.
     assert network.check() == 0
-    (trace_id,) = network.steps
+    (trace_id,) = network.span_keys
     trace, held = network.find(trace_id)
-    assert held and any("n2" in what for what in trace.missing)
+    assert held and any("n2" in description for description in trace.missing)
 
 
-def test_a_lookup_that_goes_out_twice_is_kept_afterwards_at_all_nodes():
+def test_a_retried_lookup_is_kept_at_all_nodes():
     network = TracedNetwork(6)
-    span = network.call(["n0", "n1", "n2"], LOOKUP, "l", tries=2)
+    span = network.call(["n0", "n1", "n2"], LOOKUP, "l", attempts=2)
     network.deliver_marks()
     network.export()
     trace, held = network.find(span.trace_id)
     assert trace.is_complete and {node for node, _span in held} == {"n0", "n1", "n2"}
 
 
-def test_the_same_order_under_another_id_is_found_with_both_paths():
+def test_an_order_sent_under_two_ids_is_reported_with_both_traces():
     network = TracedNetwork(6)
-    first = network.call(["n0", "n1", "n2"], ORDER, "try-1", b"bracket", ends="unknown")
+    first = network.call(["n0", "n1", "n2"], ORDER, "try-1", b"bracket", outcome_name="unknown")
     second = network.call(["n3", "n4", "n2"], ORDER, "try-2", b"bracket")
     network.call(["n0", "n5"], ORDER, "other", b"seeder")
     network.export()
-    # Origins differ, and so does what digests are made of.
+    # The origin is part of the digest, so orders of two origins do not match.
     assert not any(list(c.duplicate_orders()) for c in network.collectors.values())
     again = network.call(["n0", "n5"], ORDER, "try-3", b"bracket")
     network.deliver_marks()
     network.export()
-    doubled = [
+    duplicates = [
         found for collector in network.collectors.values() for found in collector.duplicate_orders()
     ]
-    assert {frozenset(found.tries) for found in doubled} == {frozenset(("try-1", "try-3"))}
+    assert {frozenset(found.tries) for found in duplicates} == {frozenset(("try-1", "try-3"))}
     for span in (first, again, second):
         assert network.find(span.trace_id)[0].is_complete
 
 
-def test_records_of_a_burst_stay_within_their_bounds():
+def test_memory_is_bounded_in_a_burst():
     network = TracedNetwork(
         2,
         config=RecorderConfig(ring_capacity=32, outbox_capacity=64),
@@ -213,11 +220,11 @@
         assert node.recorder.waiting_count <= 64 and len(node.recorder._ring) <= 32
         assert not node.recorder._open
     network.export(rounds=10)
-    # Five seconds' worth were begun as kept; of the rest there is nothing anywhere.
+    # The rate limit keeps 5 seconds' worth of traces; the rest leave no spans anywhere.
     assert 20 <= network.check() <= 30
 
 
-def test_a_collector_stays_within_its_bound_and_lets_marked_traces_go_last():
+def test_collector_is_bounded_and_evicts_marked_traces_last():
     collector = Collector(100)
     for number in range(300):
         keep = KeepPriority.MARKED if number % 3 == 0 else KeepPriority.ORDER
@@ -233,7 +240,7 @@
     )
 
 
-def test_a_batch_is_sent_small_and_comes_out_whole():
+def test_batches_are_compressed_without_loss():
     recorder, sent = Recorder(), {}
     exporter = Exporter(
         recorder,
@@ -269,11 +276,11 @@
     assert all(len(found) >= 2 for found in held.values())
 
 
-def test_what_a_digest_joins_and_what_it_does_not():
-    def digest(key=b"", **more):
+def test_digest_depends_on_origin_route_and_body():
+    def digest(key=b"", **changes):
         tracer = Tracer(Recorder(), TraceSettings(digest_key=key), "n", 1)
-        told = {"caller": "shop", "route": "book", "path": "/x/1", "body": b"oak", **more}
-        return tracer._digest(*told.values())
+        fields = {"caller": "shop", "route": "book", "path": "/x/1", "body": b"oak", **changes}
+        return tracer._digest(*fields.values())
 
     assert digest() == digest() == digest(path="/x/2") and len(digest()) == 8
     assert (
@@ -291,7 +298,7 @@
     assert digest(body=b"") != digest(body=b"", path="/x/2")
 
 
-def test_a_header_told_by_the_target_joins_its_call_to_the_run():
+def test_traceparent_sent_by_the_target_links_its_call_to_the_execution():
     tracer = Tracer(Recorder(), TraceSettings(), "n", 1)
     head = kinds.RequestHead(
         attempt_id="a",
@@ -305,9 +312,9 @@
         head.header_block.startswith(b"Host: h\r\ntraceparent: 00-")
         and b"old" not in head.header_block
     )
-    told = head.header_block.split(b"traceparent: ")[1].strip()
+    traceparent = head.header_block.split(b"traceparent: ")[1].strip()
     request = SimpleNamespace(
-        headers=((b"Traceparent", told),), attempt_id="x", arrived=time.monotonic(), path="/"
+        headers=((b"Traceparent", traceparent),), attempt_id="x", arrived=time.monotonic(), path="/"
     )
     span = tracer.begin_request(request, LOOKUP, "u", None, "c", b"", True)
     assert span.parent == serve.span_id and span.keep is KeepPriority.ORDER and not span.is_inferred
--- a/tests/test_tracing_on_loopback.py
+++ b/tests/test_tracing_on_loopback.py
@@ -1,4 +1,4 @@
-"""Tracing through the real programs: calls within runs, a doubled order, a stalled upload."""
+"""Tests tracing in the real programs: nested calls, duplicate orders and stalled uploads."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 
 
 def run(test, folder, monkeypatch):
-    async def whole():
+    async def run_test():
         monkeypatch.setattr(
             marblefold.tracing.startup, "read_trace_options", lambda: TraceOptions()
         )
@@ -21,7 +21,7 @@
         finally:
             await mesh.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run_test())
 
 
 def request(mesh, path, attempt, method="POST", body=b"", side=0, headers=()):
@@ -36,32 +36,32 @@
 
 
 async def collect(mesh):
-    """What the proxies keep goes out, and has come to the registry."""
+    """Exports all kept spans of the proxies and waits until the registry has them."""
     collector = mesh.registry._collector
     for proxy in mesh.proxies:
         recorder = proxy._tracing.recorder
         async with asyncio.timeout(10):
-            # A guard's span ends a moment after the answer has left.
+            # A guard's span ends shortly after its answer was sent.
             while recorder._open:
                 await asyncio.sleep(0)
         proxy._tracing.export_remaining()
     expected = sum(proxy._tracing.recorder.waiting_count for proxy in mesh.proxies)
     assert expected == 0
-    quiet, last = 0, -1
-    while quiet < 200:
-        quiet = quiet + 1 if collector.span_count == last else 0
+    unchanged_rounds, last = 0, -1
+    while unchanged_rounds < 200:
+        unchanged_rounds = unchanged_rounds + 1 if collector.span_count == last else 0
         last = collector.span_count
         await asyncio.sleep(0)
 
 
-async def trace(mesh, *words):
+async def trace(mesh, *arguments):
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "marblefold",
         "trace",
         f"--registry={CORE}:{mesh.control}",
-        *words,
+        *arguments,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
@@ -69,11 +69,11 @@
     return process.returncode, output.decode(), errors.decode()
 
 
-def test_an_order_and_the_call_made_for_it_are_one_whole_trace(tmp_path, monkeypatch):
+def test_an_order_and_its_nested_call_form_one_complete_trace(tmp_path, monkeypatch):
     async def test(mesh):
         answers = []
 
-        async def call_on(headers):
+        async def send_nested_call(headers):
             if headers["Attempt-Id"] == "order-1":
                 answers.append(
                     await request(
@@ -84,18 +84,18 @@
                         side=next(
                             n
                             for n, target in enumerate(mesh.targets)
-                            if target.in_run and target.host == running[0]
+                            if target.in_run and target.host == executing_hosts[0]
                         ),
                     )
                 )
 
-        running = []
+        executing_hosts = []
         for target in mesh.targets:
 
             async def in_run(headers, target=target):
                 if headers["Attempt-Id"] == "order-1":
-                    running.append(target.host)
-                await call_on(headers)
+                    executing_hosts.append(target.host)
+                await send_nested_call(headers)
 
             target.in_run = in_run
         assert (await request(mesh, "/book/x", "order-1", body=b"oak"))[0] == 200
@@ -125,11 +125,11 @@
     run(test, tmp_path, monkeypatch)
 
 
-def test_a_doubled_order_shows_the_whole_path_of_both(tmp_path, monkeypatch):
+def test_a_duplicate_order_shows_the_complete_traces_of_both(tmp_path, monkeypatch):
     async def test(mesh):
         for target in mesh.targets:
             target.spoil = "garble"
-        # It ran, and its answer is lost; the customer orders again.
+        # The target executes it, but its answer is lost, so the client orders again.
         assert (await request(mesh, "/book/x", "try-1", body=b"oak"))[0] == 502
         for target in mesh.targets:
             target.spoil = None
@@ -146,7 +146,7 @@
     run(test, tmp_path, monkeypatch)
 
 
-def test_an_upload_that_stalls_midway_tells_how_far_it_came(tmp_path, monkeypatch):
+def test_a_stalled_upload_reports_the_bytes_received(tmp_path, monkeypatch):
     async def test(mesh):
         await mesh.put_configuration(
             {
@@ -172,16 +172,16 @@
         _status, shown, _errors = await trace(mesh, "show", "photos", "--format=json")
         (found,) = json.loads(shown)
         assert found["whole"], found["missing"]
-        steps = [found["roots"][0]]
-        for step in steps:
-            steps.extend(step["children"])
-        assert any(0 < step["body_bytes"] < size for step in steps)
+        nodes = [found["roots"][0]]
+        for node in nodes:
+            nodes.extend(node["children"])
+        assert any(0 < node["body_bytes"] < size for node in nodes)
 
     run(test, tmp_path, monkeypatch)
 
 
 def test_without_the_flag_nothing_is_recorded(tmp_path):
-    async def whole():
+    async def run_test():
         mesh = Mesh(tmp_path)
         await mesh.start()
         try:
@@ -191,4 +191,4 @@
         finally:
             await mesh.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run_test())
