--- a/marblefold/rehearsal/calls.py
+++ b/marblefold/rehearsal/calls.py
@@ -67,8 +67,8 @@
     async def _play(self, regions: list[str], zones: list[str], clients: list[str]) -> Answer:
         # Imported here, as nothing else in a registry needs them.
         from marblefold.rehearsal.forecast import find_lost, rehearse_slowly
-        from marblefold.rehearsal.play_config import PlayConfig
         from marblefold.rehearsal.reporting import to_plain
+        from marblefold.rehearsal.simulation_config import SimulationConfig
         from marblefold.rehearsal.snapshot import read_snapshot
 
         if clients not in (["move"], ["gone"]):
@@ -81,7 +81,7 @@
             lost = find_lost(snapshot, regions, zones)
         except ExceptionGroup as group:
             return faults_answer(group)
-        config = PlayConfig(
+        config = SimulationConfig(
             warm_seconds=1.5,
             after_seconds=5.0,
             most_requests=_MOST_REQUESTS,
--- a/marblefold/rehearsal/command.py
+++ b/marblefold/rehearsal/command.py
@@ -11,8 +11,8 @@
 from marblefold.errors import MeshError
 from marblefold.registry_client import ask_one
 from marblefold.rehearsal.forecast import find_lost, rehearse
-from marblefold.rehearsal.play_config import PlayConfig
 from marblefold.rehearsal.reporting import to_plain, to_text
+from marblefold.rehearsal.simulation_config import SimulationConfig
 from marblefold.rehearsal.snapshot import is_old, read_snapshot
 
 __all__ = ["run_rehearsal"]
@@ -62,7 +62,7 @@
             return _CARRIED
         lost = find_lost(snapshot, FLAGS.lose_region, FLAGS.lose_zone)
         forecast = rehearse(
-            snapshot, lost, PlayConfig(seed=FLAGS.seed, clients_move=FLAGS.clients == "move")
+            snapshot, lost, SimulationConfig(seed=FLAGS.seed, clients_move=FLAGS.clients == "move")
         )
     except MeshError as error:
         return _complain([str(error)])
--- a/marblefold/rehearsal/forecast.py
+++ b/marblefold/rehearsal/forecast.py
@@ -5,10 +5,10 @@
 from marblefold.errors import MeshError
 from marblefold.rehearsal.forecast_model import Forecast
 from marblefold.rehearsal.forecast_summary import summarize
-from marblefold.rehearsal.play_config import PlayConfig
-from marblefold.rehearsal.playing import Play
+from marblefold.rehearsal.outcome_statistics import OutcomeStatistics
+from marblefold.rehearsal.simulation import Simulation
+from marblefold.rehearsal.simulation_config import SimulationConfig
 from marblefold.rehearsal.snapshot import Snapshot
-from marblefold.rehearsal.tally import Tally
 
 __all__ = ["find_lost", "rehearse", "rehearse_slowly"]
 
@@ -43,7 +43,7 @@
 def rehearse(
     snapshot: Snapshot,
     lost: frozenset[str],
-    config: PlayConfig = PlayConfig(),
+    config: SimulationConfig = SimulationConfig(),
 ) -> Forecast:
     """The forecast: a pure function of snapshot, lost zones and configuration, seed included."""
     steps = rehearse_slowly(snapshot, lost, config)
@@ -57,10 +57,10 @@
 def rehearse_slowly(
     snapshot: Snapshot,
     lost: frozenset[str],
-    config: PlayConfig = PlayConfig(),
+    config: SimulationConfig = SimulationConfig(),
 ) -> Generator[None, None, Forecast]:
     """The same in slices: yields after each hundred events and returns the forecast at its end."""
-    expected = Play(snapshot, lost, config).expected_requests
+    expected = Simulation(snapshot, lost, config).expected_requests
     # One play of many requests is as exact as several of few. Above the limit
     # a shorter time is played, down to the least that still shows the effect.
     plays = max(1, min(config.plays, int(config.most_requests / max(1.0, expected))))
@@ -70,8 +70,8 @@
             warm_seconds=max(1.0, config.warm_seconds * factor),
             after_seconds=max(4.0, config.after_seconds * factor),
         )
-    tally = Tally()
+    tally = OutcomeStatistics()
     for number in range(plays):
-        play = Play(snapshot, lost, config._replace(seed=config.seed + 1000 * number), tally)
+        play = Simulation(snapshot, lost, config._replace(seed=config.seed + 1000 * number), tally)
         yield from play.run()
     return summarize(snapshot, lost, play, plays)
--- a/marblefold/rehearsal/forecast_summary.py
+++ b/marblefold/rehearsal/forecast_summary.py
@@ -7,9 +7,9 @@
 from marblefold.leases.held_leases import LEASE_SECONDS
 from marblefold.planner.comparing import count_slots
 from marblefold.rehearsal.forecast_model import Capacity, Control, Forecast, Kind
-from marblefold.rehearsal.playing import Play
+from marblefold.rehearsal.outcome_statistics import OutcomeCounts, Phase
+from marblefold.rehearsal.simulation import Simulation
 from marblefold.rehearsal.snapshot import Snapshot
-from marblefold.rehearsal.tally import Phase, Row
 from marblefold.request_path.eligibility import is_eligible
 from marblefold.request_path.outcome import NO_SLOT
 
@@ -19,7 +19,7 @@
 def summarize(
     snapshot: Snapshot,
     lost: frozenset[str],
-    play: Play,
+    play: Simulation,
     plays: int,
 ) -> Forecast:
     """The forecast that the tally of so many plays adds up to; `play` is any one of them."""
@@ -27,7 +27,9 @@
     pairs = sorted({(route, upstream) for route, upstream, _phase in play.tally.rows})
     kinds = []
     for name, upstream in pairs:
-        rows = {phase: play.tally.rows.get((name, upstream, phase), Row()) for phase in Phase}
+        rows = {
+            phase: play.tally.rows.get((name, upstream, phase), OutcomeCounts()) for phase in Phase
+        }
         kinds.append(_make_kind(snapshot, lost, play, plays, kinds_of[name], upstream, rows))
     return Forecast(
         tuple(sorted(lost)),
@@ -42,11 +44,11 @@
 def _make_kind(
     snapshot: Snapshot,
     lost: frozenset[str],
-    play: Play,
+    play: Simulation,
     plays: int,
     route: Route,
     upstream: str,
-    rows: dict[Phase, Row],
+    rows: dict[Phase, OutcomeCounts],
 ) -> Kind:
     def rate(phase: Phase, count: int) -> float:
         return count / play.phase_seconds(phase) / plays
@@ -114,7 +116,7 @@
 
 
 def _find_capacity(
-    snapshot: Snapshot, lost: frozenset[str], play: Play, kinds: list[Kind]
+    snapshot: Snapshot, lost: frozenset[str], play: Simulation, kinds: list[Kind]
 ) -> Iterator[Capacity]:
     facts = snapshot.facts
     after = facts._replace(
@@ -137,7 +139,7 @@
         )
 
 
-def _find_control(snapshot: Snapshot, lost: frozenset[str], play: Play) -> Control:
+def _find_control(snapshot: Snapshot, lost: frozenset[str], play: Simulation) -> Control:
     count = len(snapshot.registries)
     left = sum(1 for zone in snapshot.registries.values() if zone not in lost)
     has_majority = not count or left * 2 > count
--- a/marblefold/rehearsal/tally.py
+++ b/marblefold/rehearsal/outcome_statistics.py
@@ -3,7 +3,7 @@
 import enum
 from typing import NamedTuple
 
-__all__ = ["Ending", "Phase", "Row", "Tally"]
+__all__ = ["RequestOutcome", "Phase", "OutcomeCounts", "OutcomeStatistics"]
 
 
 class Phase(enum.Enum):
@@ -15,7 +15,7 @@
     AFTER = "after"
 
 
-class Ending(NamedTuple):
+class RequestOutcome(NamedTuple):
     """How one request ended."""
 
     route: str
@@ -31,7 +31,7 @@
     was_dark: bool
 
 
-class Row:
+class OutcomeCounts:
     """The requests of one route to one service in one phase."""
 
     def __init__(self) -> None:
@@ -42,7 +42,7 @@
         self.late = 0
         self.repeated = 0
 
-    def add(self, ending: Ending) -> None:
+    def add(self, ending: RequestOutcome) -> None:
         """Counts one request."""
         self.count += 1
         self.endings[ending.what] = self.endings.get(ending.what, 0) + 1
@@ -54,18 +54,18 @@
             self.steps[ending.step] = self.steps.get(ending.step, 0) + 1
 
 
-class Tally:
+class OutcomeStatistics:
     """The rows of one or more runs."""
 
     def __init__(self) -> None:
-        self.rows: dict[tuple[str, str, Phase], Row] = {}
+        self.rows: dict[tuple[str, str, Phase], OutcomeCounts] = {}
         # Requests that must not be repeated and whose outcome is unknown, because
         # they were in progress at, or sent to, a lost zone.
         self.may_double: dict[tuple[str, str], int] = {}
 
-    def add(self, ending: Ending, phase: Phase, is_repeatable: bool) -> None:
+    def add(self, ending: RequestOutcome, phase: Phase, is_repeatable: bool) -> None:
         """Counts how a request ended."""
         key = (ending.route, ending.upstream)
-        self.rows.setdefault((*key, phase), Row()).add(ending)
+        self.rows.setdefault((*key, phase), OutcomeCounts()).add(ending)
         if not is_repeatable and ending.was_dark and ending.what in ("unknown", "gone"):
             self.may_double[key] = self.may_double.get(key, 0) + 1
--- a/marblefold/rehearsal/guards.py
+++ b/marblefold/rehearsal/simulated_guard.py
@@ -9,10 +9,10 @@
 from marblefold.request_path.outcome import TargetLoad
 from marblefold.request_path.slot_queue import QueuePriority
 
-__all__ = ["RehearsedGuard"]
+__all__ = ["SimulatedGuard"]
 
 
-class RehearsedGuard:
+class SimulatedGuard:
     """Slots and queue of one target; `service_seconds` is its mean time for a request."""
 
     def __init__(self, target: KnownTarget, service_seconds: float) -> None:
--- a/marblefold/rehearsal/flight.py
+++ b/marblefold/rehearsal/simulated_request.py
@@ -6,16 +6,16 @@
 from marblefold.circuit_breaker.in_flight_tracker import Permit
 from marblefold.configuration.rows import Route
 from marblefold.http_connections.answer import Answer
-from marblefold.rehearsal.guards import RehearsedGuard
 from marblefold.rehearsal.origins import Origin
-from marblefold.rehearsal.stage import Stage
-from marblefold.rehearsal.tally import Ending
+from marblefold.rehearsal.outcome_statistics import RequestOutcome
+from marblefold.rehearsal.simulated_guard import SimulatedGuard
+from marblefold.rehearsal.simulation_context import SimulationContext
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult
 from marblefold.request_path.slot_queue import QueuePriority
 from marblefold.request_path.upstream_limits import cold_rate_limit, find_cold_limits
 
-__all__ = ["Flight"]
+__all__ = ["SimulatedRequest"]
 
 _DONE = Answer(200)
 _REFUSED_RETRY = 0.1
@@ -28,12 +28,12 @@
     permit: Permit
 
 
-class Flight:
+class SimulatedRequest:
     """Runs the real RequestDecision on the clock of the play."""
 
     def __init__(
         self,
-        play: Stage,
+        play: SimulationContext,
         origin: Origin,
         route: Route,
         upstream: str,
@@ -117,7 +117,7 @@
         elif number >= 0:
             play.after(offer.queue_seconds, lambda: self._leave_queue(hop, guard, number))
 
-    def _leave_queue(self, hop: _Hop, guard: RehearsedGuard, number: int) -> None:
+    def _leave_queue(self, hop: _Hop, guard: SimulatedGuard, number: int) -> None:
         if guard.leave(number) and hop is self._hop:
             self._refuse(hop, NO_SLOT, _REFUSED_RETRY)
 
@@ -139,7 +139,7 @@
         seconds *= play.random.uniform(1 - spread, 1 + spread)
         play.after(seconds, lambda: self._finish(hop, guard, seconds))
 
-    def _finish(self, hop: _Hop, guard: RehearsedGuard, seconds: float) -> None:
+    def _finish(self, hop: _Hop, guard: SimulatedGuard, seconds: float) -> None:
         """The target has finished, whether or not anybody still waits."""
         guard.give_back()
         if hop is not self._hop:
@@ -211,7 +211,7 @@
             return
         late = play.now - self._arrived > self._route.target_latency.total_seconds()
         play.tally.add(
-            Ending(
+            RequestOutcome(
                 self._route.name,
                 self._upstream,
                 zone,
--- a/marblefold/rehearsal/playing.py
+++ b/marblefold/rehearsal/simulation.py
@@ -16,32 +16,32 @@
 from marblefold.leases.held_leases import LEASE_SECONDS
 from marblefold.membership.prober import ProberConfig
 from marblefold.registry.traffic_rates import Flow
-from marblefold.rehearsal.flight import Flight
-from marblefold.rehearsal.guards import RehearsedGuard
 from marblefold.rehearsal.origins import make_origins, make_view
-from marblefold.rehearsal.play_config import PlayConfig
+from marblefold.rehearsal.outcome_statistics import OutcomeStatistics, Phase
+from marblefold.rehearsal.simulated_guard import SimulatedGuard
+from marblefold.rehearsal.simulated_request import SimulatedRequest
+from marblefold.rehearsal.simulation_config import SimulationConfig
+from marblefold.rehearsal.simulation_context import LossListener
 from marblefold.rehearsal.snapshot import ASSUMED_KILOBYTES, Snapshot
-from marblefold.rehearsal.stage import LossListener
-from marblefold.rehearsal.tally import Phase, Tally
 from marblefold.request_path.mesh_view import KnownTarget
 
-__all__ = ["Play", "detection_seconds"]
+__all__ = ["Simulation", "detection_seconds"]
 
 _PASS_ON_SECONDS = 0.2
 
 
-class Play:
+class Simulation:
     """One simulated run; times in seconds on its own clock, which starts at the real one's time."""
 
     def __init__(
         self,
         snapshot: Snapshot,
         lost: frozenset[str],
-        config: PlayConfig = PlayConfig(),
-        tally: Tally | None = None,
+        config: SimulationConfig = SimulationConfig(),
+        tally: OutcomeStatistics | None = None,
     ) -> None:
         self.config = config
-        self.tally = tally if tally is not None else Tally()
+        self.tally = tally if tally is not None else OutcomeStatistics()
         self.now = time.monotonic()
         self.view = make_view(snapshot)
         self.random = random.Random(config.seed)
@@ -59,7 +59,7 @@
         self._routes = {route.name: route for route in snapshot.facts.rows.routes}
         self._works = self._find_works()
         self.guards = {
-            target.node: RehearsedGuard(target, self._service_seconds(target.upstream))
+            target.node: SimulatedGuard(target, self._service_seconds(target.upstream))
             for name in {target.upstream for target in snapshot.facts.targets}
             for target in self.view.targets(name)
         }
@@ -182,7 +182,7 @@
         upstream = self.random.choices(route.upstreams, route.weights)[0]
         origin = self.random.choice(self._origins[zone])
         kilobytes = ASSUMED_KILOBYTES if flow.kilobytes is None else flow.kilobytes
-        Flight(self, origin, route, upstream, kilobytes).begin()
+        SimulatedRequest(self, origin, route, upstream, kilobytes).begin()
 
     def _move(self, flow: Flow) -> str:
         """The zone that a client of a lost zone moves to: as the other clients of its route."""
--- a/marblefold/rehearsal/play_config.py
+++ b/marblefold/rehearsal/simulation_config.py
@@ -2,10 +2,10 @@
 
 from typing import NamedTuple
 
-__all__ = ["PlayConfig"]
+__all__ = ["SimulationConfig"]
 
 
-class PlayConfig(NamedTuple):
+class SimulationConfig(NamedTuple):
     """Times and delays in seconds."""
 
     warm_seconds: float = 3.0
--- a/marblefold/rehearsal/stage.py
+++ b/marblefold/rehearsal/simulation_context.py
@@ -4,12 +4,12 @@
 from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from marblefold.rehearsal.guards import RehearsedGuard
-from marblefold.rehearsal.play_config import PlayConfig
-from marblefold.rehearsal.tally import Phase, Tally
+from marblefold.rehearsal.outcome_statistics import OutcomeStatistics, Phase
+from marblefold.rehearsal.simulated_guard import SimulatedGuard
+from marblefold.rehearsal.simulation_config import SimulationConfig
 from marblefold.request_path.mesh_view import KnownTarget, MeshView
 
-__all__ = ["LossListener", "Stage"]
+__all__ = ["LossListener", "SimulationContext"]
 
 
 class LossListener(Protocol):
@@ -19,11 +19,11 @@
         """The lost zones have just been lost."""
 
 
-class Stage(Protocol):
-    """What a Flight uses of the Play it is part of; times in seconds on the play's clock."""
+class SimulationContext(Protocol):
+    """What a SimulatedRequest uses of its Simulation; times in seconds on the simulated clock."""
 
-    config: PlayConfig
-    tally: Tally
+    config: SimulationConfig
+    tally: OutcomeStatistics
     view: MeshView
     random: random.Random
     now: float
@@ -34,7 +34,7 @@
     lapsed: set[str]
 
     @property
-    def guards(self) -> Mapping[str, RehearsedGuard]:
+    def guards(self) -> Mapping[str, SimulatedGuard]:
         """The guard beside each target, by node name."""
 
     def after(self, seconds: float, act: Callable[[], None]) -> None:
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -19,7 +19,7 @@
 from marblefold.registry.snapshot_parts import describe_flows
 from marblefold.registry.traffic_rates import TrafficRates
 from marblefold.rehearsal.origins import _make_bounds
-from marblefold.rehearsal.playing import detection_seconds
+from marblefold.rehearsal.simulation import detection_seconds
 from marblefold.rehearsal.snapshot import read_snapshot
 from marblefold.request_path.cold_limit import ColdLimit
 from marblefold.request_path.executor import RequestExecutor
--- a/tests/test_region_loss.py
+++ b/tests/test_region_loss.py
@@ -6,8 +6,8 @@
 import pytest
 
 from marblefold.rehearsal.forecast import rehearse
-from marblefold.rehearsal.play_config import PlayConfig
-from marblefold.rehearsal.playing import detection_seconds
+from marblefold.rehearsal.simulation import detection_seconds
+from marblefold.rehearsal.simulation_config import SimulationConfig
 from marblefold.rehearsal.snapshot import read_snapshot
 from tests.region_document import EAST, make_document
 from tests.simulated_clock import run_simulated
@@ -44,7 +44,9 @@
     return rehearse(
         snapshot,
         lost,
-        PlayConfig(warm_seconds=4.0, after_seconds=AFTER, plays=PLAYS, clients_move=clients_move),
+        SimulationConfig(
+            warm_seconds=4.0, after_seconds=AFTER, plays=PLAYS, clients_move=clients_move
+        ),
     )
 
 
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -5,9 +5,9 @@
 import json
 
 from marblefold.rehearsal.forecast import find_lost, rehearse, rehearse_slowly
-from marblefold.rehearsal.play_config import PlayConfig
-from marblefold.rehearsal.playing import Play
 from marblefold.rehearsal.reporting import to_plain, to_text
+from marblefold.rehearsal.simulation import Simulation
+from marblefold.rehearsal.simulation_config import SimulationConfig
 from marblefold.rehearsal.snapshot import read_snapshot
 from tests.region_document import EAST, make_document
 
@@ -48,7 +48,7 @@
     document["partners"] = True
     document["registries"] = {"a1:1": "a1", "a2:1": "a2", "b1:1": "b1"}
     snapshot = read_snapshot(json.dumps(document).encode())
-    forecast = rehearse(snapshot, EAST, PlayConfig(clients_move=False))
+    forecast = rehearse(snapshot, EAST, SimulationConfig(clients_move=False))
     text = to_text(forecast)
     assert "homes or owner forbid what is left" in text and "may go through twice" in text
     assert "1 of 3 stores left, NO MAJORITY" in text and "partner routes lapse" in text
@@ -63,7 +63,7 @@
     for row in document["traffic"]:
         row["seconds"] = 0.1 if row["route"] == "look" else 0.5
     document["service-seconds"] = {"quotes": 0.24}
-    play = Play(read_snapshot(json.dumps(document).encode()), EAST)
+    play = Simulation(read_snapshot(json.dumps(document).encode()), EAST)
     assert abs(play.work_seconds("look", "quotes") - 0.08) < 1e-9
     assert abs(play.work_seconds("book", "quotes") - 0.40) < 1e-9
     # A route nobody counted takes what the service takes.
