--- a/marblefold/planner/command.py
+++ b/marblefold/planner/command.py
@@ -9,9 +9,14 @@
 from marblefold import wire_names
 from marblefold.configuration.reading import InvalidConfiguration
 from marblefold.errors import MeshError
-from marblefold.planner.comparing import compare
-from marblefold.planner.facts import Facts, read_configuration_rows, read_floors, read_state
-from marblefold.planner.proposing import Proposal, propose
+from marblefold.planner.comparison import compare
+from marblefold.planner.mesh_state import (
+    MeshState,
+    read_configuration_rows,
+    read_floors,
+    read_state,
+)
+from marblefold.planner.proposal import Proposal, propose
 from marblefold.planner.reporting import to_json, to_text
 from marblefold.registry_client import RegistryCall, call_registry
 
@@ -55,18 +60,18 @@
         return _complain([str(fault) for fault in group.exceptions], _HARMFUL)
     except MeshError as error:
         return _complain([str(error)], _USAGE)
-    moved = compare(before, after, floors, traffic)
-    print(to_json(moved) if FLAGS.json else to_text(moved), end="")
-    return _HARMFUL if moved.faults else _HARMLESS
+    differences = compare(before, after, floors, traffic)
+    print(to_json(differences) if FLAGS.json else to_text(differences), end="")
+    return _HARMFUL if differences.faults else _HARMLESS
 
 
-def _gather() -> Facts:
+def _gather() -> MeshState:
     if FLAGS.from_system:
         configuration, state = asyncio.run(_ask_system(FLAGS.from_system))
     else:
         configuration = _read_file(FLAGS.current)
         state = _read_file(FLAGS.state) if FLAGS.state else b"{}"
-    return Facts(read_configuration_rows(configuration), *read_state(state))
+    return MeshState(read_configuration_rows(configuration), *read_state(state))
 
 
 async def _ask_system(address: str) -> tuple[bytes, bytes]:
--- a/marblefold/planner/comparing.py
+++ b/marblefold/planner/comparison.py
@@ -5,11 +5,11 @@
 from typing import NamedTuple
 
 from marblefold.configuration.rows import Route, Rows
-from marblefold.planner.facts import Facts
+from marblefold.planner.mesh_state import MeshState
 from marblefold.request_path.eligibility import is_eligible, is_last_resort
 from marblefold.request_path.mesh_view import KnownTarget
 
-__all__ = ["Capacity", "RouteChange", "Moved", "Share", "compare"]
+__all__ = ["Capacity", "RouteChange", "Differences", "Share", "compare"]
 
 
 class RouteChange(NamedTuple):
@@ -38,12 +38,12 @@
     floor: int
 
     @property
-    def is_below(self) -> bool:
+    def is_below_floor(self) -> bool:
         """Whether the change takes it below the floor."""
         return self.after < self.floor
 
 
-class Moved(NamedTuple):
+class Differences(NamedTuple):
     """All differences, and as `faults` what would be harmful."""
 
     added: tuple[str, ...]
@@ -56,11 +56,11 @@
 
 
 def compare(
-    before: Facts,
-    after: Facts,
+    before: MeshState,
+    after: MeshState,
     floors: dict[str, int],
     traffic: dict[str, float],
-) -> Moved:
+) -> Differences:
     """Compares two states of the mesh.
 
     `floors` are slots by upstream, `traffic` requests per second by route; without
@@ -69,7 +69,7 @@
     old = {(route.host, route.prefix): route for route in before.rows.routes}
     new = {(route.host, route.prefix): route for route in after.rows.routes}
     capacity = _compare_capacity(before, after, floors)
-    return Moved(
+    return Differences(
         added=tuple(new[key].name for key in new if key not in old),
         removed=tuple(old[key].name for key in old if key not in new),
         changed=tuple(
@@ -114,11 +114,11 @@
     return shares
 
 
-def _share_zones(facts: Facts, traffic: dict[str, float]) -> dict[str, float]:
+def _share_zones(mesh_state: MeshState, traffic: dict[str, float]) -> dict[str, float]:
     """Traffic by zone, spread evenly over the slots."""
     shares: dict[str, float] = defaultdict(float)
-    for route, upstream, part in _flows(facts.rows, traffic):
-        targets = _selectable(facts, upstream, route.allowed_regions)
+    for route, upstream, part in _flows(mesh_state.rows, traffic):
+        targets = _selectable(mesh_state, upstream, route.allowed_regions)
         slots = sum(target.slots for target in targets)
         for target in targets:
             shares[target.zone] += part * target.slots / slots
@@ -127,29 +127,29 @@
     return shares
 
 
-def _selectable(facts: Facts, upstream: str, homes: Collection[str]) -> list[KnownTarget]:
+def _selectable(mesh_state: MeshState, upstream: str, homes: Collection[str]) -> list[KnownTarget]:
     """The targets that proxies would select, by the rules of the request path."""
     eligible = [
         target
-        for target in facts.targets
-        if target.upstream == upstream and is_eligible(target, facts.evacuated, homes)
+        for target in mesh_state.targets
+        if target.upstream == upstream and is_eligible(target, mesh_state.evacuated, homes)
     ]
     return [target for target in eligible if not is_last_resort(target)] or eligible
 
 
-def count_slots(facts: Facts, upstream: str) -> int:
+def count_slots(mesh_state: MeshState, upstream: str) -> int:
     """The slots of an upstream, without those of cold, draining and leaving targets."""
     return sum(
         target.slots
-        for target in facts.targets
+        for target in mesh_state.targets
         if target.upstream == upstream
-        and is_eligible(target, facts.evacuated, None)
+        and is_eligible(target, mesh_state.evacuated, None)
         and not is_last_resort(target)
         and not target.cold_until
     )
 
 
-def _compare_capacity(before: Facts, after: Facts, floors: dict[str, int]):
+def _compare_capacity(before: MeshState, after: MeshState, floors: dict[str, int]):
     names = {target.upstream for target in before.targets + after.targets} | set(floors)
     names |= {upstream.name for upstream in after.rows.upstreams}
     return tuple(
@@ -158,9 +158,9 @@
     )
 
 
-def _find_faults(after: Facts, capacity: tuple[Capacity, ...]):
+def _find_faults(after: MeshState, capacity: tuple[Capacity, ...]):
     for row in capacity:
-        if row.is_below:
+        if row.is_below_floor:
             yield f"{row.upstream}: {row.after} slots left, the floor is {row.floor}"
     for route in after.rows.routes:
         for upstream in route.upstreams:
--- a/marblefold/planner/facts.py
+++ b/marblefold/planner/mesh_state.py
@@ -10,10 +10,10 @@
 from marblefold.errors import MeshError
 from marblefold.request_path.mesh_view import KnownTarget
 
-__all__ = ["Facts", "read_floors", "read_configuration_rows", "read_state"]
+__all__ = ["MeshState", "read_floors", "read_configuration_rows", "read_state"]
 
 
-class Facts(NamedTuple):
+class MeshState(NamedTuple):
     """The mesh as it is, or as it would be."""
 
     rows: Rows
--- a/marblefold/planner/proposing.py
+++ b/marblefold/planner/proposal.py
@@ -4,7 +4,7 @@
 
 from marblefold.configuration.rows import Rows
 from marblefold.errors import MeshError
-from marblefold.planner.facts import Facts
+from marblefold.planner.mesh_state import MeshState
 
 __all__ = ["Proposal", "propose"]
 
@@ -18,21 +18,21 @@
     swaps: tuple[str, ...] = ()
 
 
-def propose(facts: Facts, proposal: Proposal) -> Facts:
+def propose(mesh_state: MeshState, proposal: Proposal) -> MeshState:
     """The mesh after the change.
 
     Raises an ExceptionGroup of MeshError, one for each part that is not possible.
     """
     faults: list[MeshError] = []
-    instances = {target.instance for target in facts.targets}
-    zones = {target.zone for target in facts.targets}
+    instances = {target.instance for target in mesh_state.targets}
+    zones = {target.zone for target in mesh_state.targets}
     for instance in proposal.drains:
         if instance not in instances:
             faults.append(MeshError("drain", f"no target {instance!r}"))
     for zone in proposal.evacuations:
         if zone not in zones:
             faults.append(MeshError("evacuate", f"no target stands in zone {zone!r}"))
-    members = facts.members
+    members = mesh_state.members
     for swap in proposal.swaps:
         gone, sign, newcomer = swap.partition("=")
         if not sign or not newcomer:
@@ -43,20 +43,20 @@
             faults.append(MeshError("swap", f"{newcomer!r} is a member already"))
         else:
             members = tuple(newcomer if member == gone else member for member in members)
-    rows = proposal.rows or facts.rows
+    rows = proposal.rows or mesh_state.rows
     # A number that is not above the one held would be acknowledged and do nothing.
-    if proposal.rows is not None and rows.number <= facts.rows.number:
+    if proposal.rows is not None and rows.number <= mesh_state.rows.number:
         faults.append(
             MeshError(
                 "configuration",
-                f"number {rows.number} is not above the one held, {facts.rows.number}",
+                f"number {rows.number} is not above the one held, {mesh_state.rows.number}",
             )
         )
     if faults:
         raise ExceptionGroup("proposal", faults)
-    return Facts(
+    return MeshState(
         rows,
-        tuple(target for target in facts.targets if target.instance not in proposal.drains),
-        facts.evacuated | set(proposal.evacuations),
+        tuple(target for target in mesh_state.targets if target.instance not in proposal.drains),
+        mesh_state.evacuated | set(proposal.evacuations),
         members,
     )
--- a/marblefold/planner/reporting.py
+++ b/marblefold/planner/reporting.py
@@ -4,21 +4,21 @@
 from collections.abc import Iterator
 from datetime import timedelta
 
-from marblefold.planner.comparing import Moved
+from marblefold.planner.comparison import Differences
 
 __all__ = ["to_json", "to_text"]
 
 _LEAST_SHOWN = 0.0005
 
 
-def to_json(moved: Moved) -> str:
+def to_json(differences: Differences) -> str:
     """The plan as one JSON object."""
     return json.dumps(
         {
-            "harmful": bool(moved.faults),
+            "harmful": bool(differences.faults),
             "routes": {
-                "added": moved.added,
-                "removed": moved.removed,
+                "added": differences.added,
+                "removed": differences.removed,
                 "changed": [
                     {
                         "route": change.route,
@@ -26,41 +26,41 @@
                         "before": _plain(change.before),
                         "after": _plain(change.after),
                     }
-                    for change in moved.changed
+                    for change in differences.changed
                 ],
             },
-            "upstreams": [share._asdict() for share in moved.upstreams],
-            "zones": [share._asdict() for share in moved.zones],
-            "capacity": [row._asdict() for row in moved.capacity],
-            "faults": moved.faults,
+            "upstreams": [share._asdict() for share in differences.upstreams],
+            "zones": [share._asdict() for share in differences.zones],
+            "capacity": [row._asdict() for row in differences.capacity],
+            "faults": differences.faults,
         },
         indent=2,
     )
 
 
-def to_text(moved: Moved) -> str:
+def to_text(differences: Differences) -> str:
     """The plan as lines of text."""
-    return "\n".join(_lines(moved)) + "\n"
+    return "\n".join(_lines(differences)) + "\n"
 
 
-def _lines(moved: Moved) -> Iterator[str]:
-    for name in moved.added:
+def _lines(differences: Differences) -> Iterator[str]:
+    for name in differences.added:
         yield f"route {name}: added"
-    for name in moved.removed:
+    for name in differences.removed:
         yield f"route {name}: removed"
-    for change in moved.changed:
+    for change in differences.changed:
         field = change.field.replace("_", "-")
         yield f"route {change.route}: {field} {_plain(change.before)} -> {_plain(change.after)}"
-    for title, shares in (("upstream", moved.upstreams), ("zone", moved.zones)):
+    for title, shares in (("upstream", differences.upstreams), ("zone", differences.zones)):
         for share in shares:
             mark = "" if abs(share.before - share.after) < _LEAST_SHOWN else "  *"
             yield f"{title} {share.name}: {share.before:.1%} -> {share.after:.1%} of traffic{mark}"
-    for row in moved.capacity:
+    for row in differences.capacity:
         floor = f", floor {row.floor}" if row.floor else ""
         yield f"capacity {row.upstream}: {row.before} -> {row.after} slots{floor}"
-    for fault in moved.faults:
+    for fault in differences.faults:
         yield f"HARMFUL {fault}"
-    if not moved.faults:
+    if not differences.faults:
         yield "nothing harmful"
 
 
--- a/marblefold/rehearsal/forecast_summary.py
+++ b/marblefold/rehearsal/forecast_summary.py
@@ -5,7 +5,7 @@
 
 from marblefold.configuration.rows import Route
 from marblefold.leases.held_leases import LEASE_SECONDS
-from marblefold.planner.comparing import count_slots
+from marblefold.planner.comparison import count_slots
 from marblefold.rehearsal.forecast_model import Capacity, Control, Forecast, Kind
 from marblefold.rehearsal.outcome_statistics import OutcomeCounts, Phase
 from marblefold.rehearsal.simulation import Simulation
@@ -23,7 +23,7 @@
     plays: int,
 ) -> Forecast:
     """The forecast that the tally of so many plays adds up to; `play` is any one of them."""
-    kinds_of = {route.name: route for route in snapshot.facts.rows.routes}
+    kinds_of = {route.name: route for route in snapshot.mesh_state.rows.routes}
     pairs = sorted({(route, upstream) for route, upstream, _phase in play.tally.rows})
     kinds = []
     for name, upstream in pairs:
@@ -93,7 +93,7 @@
     """The reason shown to the operator for a request that was not carried."""
     left = [
         target
-        for target in snapshot.facts.targets
+        for target in snapshot.mesh_state.targets
         if target.upstream == upstream and target.zone not in lost
     ]
     owner = snapshot.owners.get(upstream)
@@ -104,7 +104,7 @@
     # Whichever step it ended at: no target was eligible.
     if not [target for target in left if is_eligible(target, (), route.allowed_regions, owner)]:
         return "homes or owner forbid what is left"
-    if all(target.zone in snapshot.facts.evacuated for target in left):
+    if all(target.zone in snapshot.mesh_state.evacuated for target in left):
         return "what is left is evacuated"
     return {
         "select": "no target that was not tried",
@@ -118,12 +118,12 @@
 def _find_capacity(
     snapshot: Snapshot, lost: frozenset[str], play: Simulation, kinds: list[Kind]
 ) -> Iterator[Capacity]:
-    facts = snapshot.facts
-    after = facts._replace(
-        targets=tuple(target for target in facts.targets if target.zone not in lost)
+    mesh_state = snapshot.mesh_state
+    after = mesh_state._replace(
+        targets=tuple(target for target in mesh_state.targets if target.zone not in lost)
     )
     service = {guard.target.upstream: guard.service_seconds for guard in play.guards.values()}
-    for upstream in sorted({target.upstream for target in facts.targets}):
+    for upstream in sorted({target.upstream for target in mesh_state.targets}):
         rates = [
             (sum(kind.zones_before.values()), sum(kind.zones_after.values()))
             for kind in kinds
@@ -132,7 +132,7 @@
         seconds = service.get(upstream, 0.0)
         yield Capacity(
             upstream,
-            count_slots(facts, upstream),
+            count_slots(mesh_state, upstream),
             count_slots(after, upstream),
             seconds * sum(before for before, _after in rates),
             seconds * sum(left for _before, left in rates),
--- a/marblefold/rehearsal/origins.py
+++ b/marblefold/rehearsal/origins.py
@@ -29,8 +29,8 @@
 def make_view(snapshot: Snapshot) -> MeshView:
     """The MeshView that all nodes share, built from real catalogue entries."""
     view = MeshView("rehearsal")
-    view.table = RouteTable(snapshot.facts.rows)
-    for target in snapshot.facts.targets:
+    view.table = RouteTable(snapshot.mesh_state.rows)
+    for target in snapshot.mesh_state.targets:
         notice = kinds.TargetNotice(
             node=target.node,
             node_life=1,
@@ -52,7 +52,7 @@
                 kind="target", key=target.node, life=1, number=1, value=notice.SerializeToString()
             )
         )
-    view.evacuated = set(snapshot.facts.evacuated)
+    view.evacuated = set(snapshot.mesh_state.evacuated)
     view.owners = dict(snapshot.owners)
     return view
 
--- a/marblefold/rehearsal/simulation.py
+++ b/marblefold/rehearsal/simulation.py
@@ -56,11 +56,11 @@
         self._origins = make_origins(snapshot, self.view, lambda: self.now, config.seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
-        self._routes = {route.name: route for route in snapshot.facts.rows.routes}
+        self._routes = {route.name: route for route in snapshot.mesh_state.rows.routes}
         self._works = self._find_works()
         self.guards = {
             target.node: SimulatedGuard(target, self._service_seconds(target.upstream))
-            for name in {target.upstream for target in snapshot.facts.targets}
+            for name in {target.upstream for target in snapshot.mesh_state.targets}
             for target in self.view.targets(name)
         }
         # In order of arrival, so that one seed always gives the same run.
@@ -132,7 +132,9 @@
             return known
         # Without the targets' own figure the whole time of a request is used.
         routes = {
-            route.name for route in self._snapshot.facts.rows.routes if upstream in route.upstreams
+            route.name
+            for route in self._snapshot.mesh_state.rows.routes
+            if upstream in route.upstreams
         }
         flows = [flow for flow in self._snapshot.flows if flow.route in routes]
         rate = sum(flow.per_second for flow in flows)
--- a/marblefold/rehearsal/snapshot.py
+++ b/marblefold/rehearsal/snapshot.py
@@ -10,7 +10,7 @@
 
 from marblefold.configuration.reading import InvalidConfiguration
 from marblefold.errors import MeshError
-from marblefold.planner.facts import Facts, read_configuration_rows, read_state
+from marblefold.planner.mesh_state import MeshState, read_configuration_rows, read_state
 from marblefold.registry.traffic_rates import Flow
 from marblefold.request_path.mesh_view import KnownOwner
 
@@ -35,7 +35,7 @@
     """A checked snapshot; `service_seconds` by upstream, `registries` address to zone."""
 
     taken_at: datetime
-    facts: Facts
+    mesh_state: MeshState
     zone_regions: dict[str, str]
     # Where requests begin: nodes and their zones.
     origins: dict[str, str]
@@ -87,7 +87,7 @@
             [MeshError("snapshot", f"version: {document.get('version')!r}, this reads {VERSION}")]
         )
     fields = _Fields(document)
-    facts = _read_facts(fields)
+    mesh_state = _read_mesh_state(fields)
     taken_at = _read_time(fields)
     zone_regions = fields.texts("zones")
     flows = _read_flows(fields, zone_regions)
@@ -110,14 +110,14 @@
         owners[str(name)] = KnownOwner(str(row.get("site", "")), str(row.get("agent", "")), 1)
     if not zone_regions:
         fields.fault("zones", "none")
-    elif facts is not None and not facts.targets:
+    elif mesh_state is not None and not mesh_state.targets:
         fields.fault("state.targets", "none: there is nothing to rehearse with")
-    # Facts are missing only where a fault says why.
-    if fields.faults or facts is None:
+    # MeshState are missing only where a fault says why.
+    if fields.faults or mesh_state is None:
         raise _refuse(fields.faults)
     return Snapshot(
         taken_at,
-        facts,
+        mesh_state,
         zone_regions,
         fields.texts("origins"),
         flows,
@@ -126,7 +126,7 @@
         owners,
         bool(document.get("partners")),
         retry,
-        tuple(_find_gaps(document, facts, flows, service)),
+        tuple(_find_gaps(document, mesh_state, flows, service)),
     )
 
 
@@ -134,12 +134,12 @@
     return ExceptionGroup("snapshot", faults)
 
 
-def _read_facts(fields: _Fields) -> Facts | None:
+def _read_mesh_state(fields: _Fields) -> MeshState | None:
     configuration, state = fields.get("configuration", dict), fields.get("state", dict)
     if configuration is None or state is None:
         return None
     try:
-        return Facts(
+        return MeshState(
             read_configuration_rows(json.dumps(configuration).encode()),
             *read_state(json.dumps(state).encode()),
         )
@@ -204,7 +204,7 @@
         return RetryBounds(0.0, timedelta(seconds=10), 0.0)
 
 
-def _find_gaps(document: dict, facts: Facts, flows, service: dict[str, float]):
+def _find_gaps(document: dict, mesh_state: MeshState, flows, service: dict[str, float]):
     heard, nodes = document.get("nodes-heard"), document.get("nodes")
     if not flows:
         yield "no traffic is known: no figure of requests rests on anything"
@@ -219,9 +219,9 @@
             f"{name}: how much its requests move is not known; {ASSUMED_KILOBYTES:g} kB is "
             "assumed, so what stays in its zone may be off"
         )
-    for upstream in sorted({target.upstream for target in facts.targets} - set(service)):
+    for upstream in sorted({target.upstream for target in mesh_state.targets} - set(service)):
         yield f"{upstream}: how long its targets take is not known, and taken from the whole time"
-    known = {route.name for route in facts.rows.routes}
+    known = {route.name for route in mesh_state.rows.routes}
     for name in sorted({flow.route for flow in flows} - known):
         shown = name or "routes counted as one"
         yield f"traffic of {shown} belongs to no route of the configuration"
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -15,7 +15,7 @@
 from marblefold.inner_protocol.messages import kinds
 from marblefold.leases.held_leases import LEASE_SECONDS
 from marblefold.node_config.model import Limits
-from marblefold.planner.facts import read_configuration_rows
+from marblefold.planner.mesh_state import read_configuration_rows
 from marblefold.registry.snapshot_parts import describe_flows
 from marblefold.registry.traffic_rates import TrafficRates
 from marblefold.rehearsal.origins import _make_bounds
--- a/tests/test_lean_imports.py
+++ b/tests/test_lean_imports.py
@@ -31,7 +31,8 @@
     code = (
         "from marblefold.lean_imports import leave_out; leave_out()\n"
         "import sys, marblefold.proxy.program, marblefold.registry.program\n"
-        "names = ('tracing.tracer', 'tracing.recorder', 'rehearsal.simulation', 'planner.facts')\n"
+        "names = ('tracing.tracer', 'tracing.recorder', 'rehearsal.simulation',"
+        " 'planner.mesh_state')\n"
         "print([name for name in names if 'marblefold.' + name in sys.modules]\n"
         "      + [name for name in ('opentelemetry',) if name in sys.modules])\n"
     )
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marblefold.planner.comparing import compare
-from marblefold.planner.facts import Facts, read_configuration_rows
-from marblefold.planner.proposing import Proposal, propose
+from marblefold.planner.comparison import compare
+from marblefold.planner.mesh_state import MeshState, read_configuration_rows
+from marblefold.planner.proposal import Proposal, propose
 from marblefold.request_path.mesh_view import KnownTarget
 
 
@@ -54,8 +54,8 @@
 )
 
 
-def make_facts(targets=TARGETS, **routes):
-    return Facts(
+def make_mesh_state(targets=TARGETS, **routes):
+    return MeshState(
         read_configuration_rows(make_configuration(1, **(routes or {"m": {"a": 1.0}}))),
         targets,
         frozenset(),
@@ -64,18 +64,18 @@
 
 
 def test_routes_and_shares_that_move_are_shown():
-    before = make_facts(m={"a": 1}, gone={"a": 1})
+    before = make_mesh_state(m={"a": 1}, gone={"a": 1})
     rows = read_configuration_rows(make_configuration(2, m={"a": 1, "b": 3}, new={"b": 1}))
-    moved = compare(before, propose(before, Proposal(rows)), {}, {"m": 30.0, "new": 10.0})
-    assert (moved.added, moved.removed) == (("new",), ("gone",))
-    assert {change.field for change in moved.changed} == {"upstreams", "weights"}
-    shares = {share.name: (share.before, share.after) for share in moved.upstreams}
+    differences = compare(before, propose(before, Proposal(rows)), {}, {"m": 30.0, "new": 10.0})
+    assert (differences.added, differences.removed) == (("new",), ("gone",))
+    assert {change.field for change in differences.changed} == {"upstreams", "weights"}
+    shares = {share.name: (share.before, share.after) for share in differences.upstreams}
     assert shares["a"][0] == 1.0 and abs(shares["b"][1] - (0.75 * 30 + 10) / 40) < 1e-9
-    assert moved.faults == ()
+    assert differences.faults == ()
 
 
 def test_a_drain_that_goes_below_the_floor_is_harmful():
-    before = make_facts()
+    before = make_mesh_state()
     fine = compare(before, propose(before, Proposal(drains=("a1",))), {"a": 10}, {})
     assert fine.faults == ()
     # Cold and draining targets count for nothing.
@@ -85,10 +85,10 @@
 
 
 def test_an_evacuation_that_leaves_a_route_without_targets_is_harmful():
-    before = make_facts(m={"b": 1})
-    moved = compare(before, propose(before, Proposal(evacuations=("y",))), {}, {})
-    assert "route m: no target of b is left" in moved.faults
-    assert [share for share in moved.zones if share.name == "(nowhere)"][0].after == 1.0
+    before = make_mesh_state(m={"b": 1})
+    differences = compare(before, propose(before, Proposal(evacuations=("y",))), {}, {})
+    assert "route m: no target of b is left" in differences.faults
+    assert [share for share in differences.zones if share.name == "(nowhere)"][0].after == 1.0
 
 
 @pytest.mark.parametrize(
@@ -104,7 +104,7 @@
 )
 def test_a_proposal_that_cannot_be_is_refused_with_its_place(proposal, fault):
     with pytest.raises(ExceptionGroup) as caught:
-        propose(make_facts(), proposal)
+        propose(make_mesh_state(), proposal)
     assert fault in str(caught.value.exceptions[0])
 
 
@@ -128,16 +128,16 @@
         make_target(f"t{index}", upstream, zone, slots, draining, float(cold))
         for index, (upstream, zone, slots, draining, cold) in enumerate(targets)
     )
-    before = make_facts(known)
+    before = make_mesh_state(known)
     drains = tuple(f"t{index}" for index in drained if index < len(known))
     zones = tuple(zone for zone in evacuated if any(target.zone == zone for target in known))
-    moved = compare(before, propose(before, Proposal(None, drains, zones)), {"a": floor}, {})
+    differences = compare(before, propose(before, Proposal(None, drains, zones)), {"a": floor}, {})
     left = 0
     for index, (upstream, zone, slots, draining, cold) in enumerate(targets):
         if upstream == "a" and zone not in evacuated and f"t{index}" not in drains:
             left += 0 if draining or cold else slots
-    assert {row.upstream: row.after for row in moved.capacity}["a"] == left
-    assert any("floor" in fault for fault in moved.faults) == (left < floor)
+    assert {row.upstream: row.after for row in differences.capacity}["a"] == left
+    assert any("floor" in fault for fault in differences.faults) == (left < floor)
 
 
 def plan(folder, *arguments, **files):
