--- a/marblefold/rehearsal/calls.py
+++ b/marblefold/rehearsal/calls.py
@@ -66,8 +66,8 @@
 
     async def _play(self, regions: list[str], zones: list[str], clients: list[str]) -> Answer:
         # Imported here, as nothing else in a registry needs them.
-        from marblefold.rehearsal.forecast import find_lost, rehearse_slowly
-        from marblefold.rehearsal.reporting import to_plain
+        from marblefold.rehearsal.forecast import find_lost_zones, rehearse_in_slices
+        from marblefold.rehearsal.reporting import to_json_object
         from marblefold.rehearsal.simulation_config import SimulationConfig
         from marblefold.rehearsal.snapshot import read_snapshot
 
@@ -78,22 +78,22 @@
             return document
         try:
             snapshot = read_snapshot(json.dumps(document).encode())
-            lost = find_lost(snapshot, regions, zones)
+            lost = find_lost_zones(snapshot, regions, zones)
         except ExceptionGroup as group:
             return faults_answer(group)
         config = SimulationConfig(
-            warm_seconds=1.5,
-            after_seconds=5.0,
-            most_requests=_MOST_REQUESTS,
-            plays=2,
+            before_loss_seconds=1.5,
+            after_loss_seconds=5.0,
+            max_requests=_MOST_REQUESTS,
+            runs=2,
             clients_move=clients == ["move"],
         )
-        steps = rehearse_slowly(snapshot, lost, config)
+        steps = rehearse_in_slices(snapshot, lost, config)
         while True:
             try:
                 next(steps)
             except StopIteration as end:
-                return json_answer(200, to_plain(end.value))
+                return json_answer(200, to_json_object(end.value))
             await asyncio.sleep(_PAUSE_SECONDS)
 
     async def _take(self) -> dict | Answer:
--- a/marblefold/rehearsal/command.py
+++ b/marblefold/rehearsal/command.py
@@ -10,10 +10,10 @@
 from marblefold import wire_names
 from marblefold.errors import MeshError
 from marblefold.registry_client import ask_one
-from marblefold.rehearsal.forecast import find_lost, rehearse
-from marblefold.rehearsal.reporting import to_plain, to_text
+from marblefold.rehearsal.forecast import find_lost_zones, rehearse
+from marblefold.rehearsal.reporting import to_json_object, to_text
 from marblefold.rehearsal.simulation_config import SimulationConfig
-from marblefold.rehearsal.snapshot import is_old, read_snapshot
+from marblefold.rehearsal.snapshot import is_stale, read_snapshot
 
 __all__ = ["run_rehearsal"]
 
@@ -31,7 +31,7 @@
     "What becomes of clients of the lost "
     "place: the platform moves them elsewhere, or they are lost with it.",
 )
-flags.DEFINE_integer("seed", 1, "Another seed plays other traffic of the same rates.")
+flags.DEFINE_integer("seed", 1, "Another seed runs other traffic of the same rates.")
 flags.DEFINE_bool("as_json", False, "Print JSON instead of text.")
 
 _CARRIED, _HARMED, _USAGE = 0, 1, 2
@@ -60,7 +60,7 @@
             _write(FLAGS.save, body)
         if not loses:
             return _CARRIED
-        lost = find_lost(snapshot, FLAGS.lose_region, FLAGS.lose_zone)
+        lost = find_lost_zones(snapshot, FLAGS.lose_region, FLAGS.lose_zone)
         forecast = rehearse(
             snapshot, lost, SimulationConfig(seed=FLAGS.seed, clients_move=FLAGS.clients == "move")
         )
@@ -69,9 +69,13 @@
     except ExceptionGroup as group:
         return _complain([str(fault) for fault in group.exceptions])
     now = datetime.now(UTC)
-    if is_old(snapshot, now):
+    if is_stale(snapshot, now):
         print(f"the snapshot is {snapshot.age(now)} old", file=sys.stderr)
-    text = json.dumps(to_plain(forecast), indent=2) + "\n" if FLAGS.as_json else to_text(forecast)
+    text = (
+        json.dumps(to_json_object(forecast), indent=2) + "\n"
+        if FLAGS.as_json
+        else to_text(forecast)
+    )
     print(text, end="")
     return _CARRIED if forecast.is_harmless else _HARMED
 
--- a/marblefold/rehearsal/forecast.py
+++ b/marblefold/rehearsal/forecast.py
@@ -10,10 +10,10 @@
 from marblefold.rehearsal.simulation_config import SimulationConfig
 from marblefold.rehearsal.snapshot import Snapshot
 
-__all__ = ["find_lost", "rehearse", "rehearse_slowly"]
+__all__ = ["find_lost_zones", "rehearse", "rehearse_in_slices"]
 
 
-def find_lost(snapshot: Snapshot, regions: list[str], zones: list[str]) -> frozenset[str]:
+def find_lost_zones(snapshot: Snapshot, regions: list[str], zones: list[str]) -> frozenset[str]:
     """The zones that would be lost.
 
     Raises an ExceptionGroup of MeshError, one for each region or zone that is
@@ -46,7 +46,7 @@
     config: SimulationConfig = SimulationConfig(),
 ) -> Forecast:
     """The forecast: a pure function of snapshot, lost zones and configuration, seed included."""
-    steps = rehearse_slowly(snapshot, lost, config)
+    steps = rehearse_in_slices(snapshot, lost, config)
     while True:
         try:
             next(steps)
@@ -54,7 +54,7 @@
             return end.value
 
 
-def rehearse_slowly(
+def rehearse_in_slices(
     snapshot: Snapshot,
     lost: frozenset[str],
     config: SimulationConfig = SimulationConfig(),
@@ -63,15 +63,15 @@
     expected = Simulation(snapshot, lost, config).expected_requests
     # One play of many requests is as exact as several of few. Above the limit
     # a shorter time is played, down to the least that still shows the effect.
-    plays = max(1, min(config.plays, int(config.most_requests / max(1.0, expected))))
-    if expected > config.most_requests:
-        factor = config.most_requests / expected
+    runs = max(1, min(config.runs, int(config.max_requests / max(1.0, expected))))
+    if expected > config.max_requests:
+        factor = config.max_requests / expected
         config = config._replace(
-            warm_seconds=max(1.0, config.warm_seconds * factor),
-            after_seconds=max(4.0, config.after_seconds * factor),
+            before_loss_seconds=max(1.0, config.before_loss_seconds * factor),
+            after_loss_seconds=max(4.0, config.after_loss_seconds * factor),
         )
     tally = OutcomeStatistics()
-    for number in range(plays):
+    for number in range(runs):
         play = Simulation(snapshot, lost, config._replace(seed=config.seed + 1000 * number), tally)
         yield from play.run()
-    return summarize(snapshot, lost, play, plays)
+    return summarize(snapshot, lost, play, runs)
--- a/marblefold/rehearsal/forecast_model.py
+++ b/marblefold/rehearsal/forecast_model.py
@@ -2,10 +2,10 @@
 
 from typing import NamedTuple
 
-__all__ = ["Capacity", "Control", "Forecast", "Kind"]
+__all__ = ["Capacity", "ControlPlane", "Forecast", "RouteForecast"]
 
 
-class Kind(NamedTuple):
+class RouteForecast(NamedTuple):
     """The requests of one route to one service; rates per second, `late_*` as shares."""
 
     route: str
@@ -38,7 +38,7 @@
     used_after: float
 
 
-class Control(NamedTuple):
+class ControlPlane(NamedTuple):
     """The stores: how many are left, and what follows for control."""
 
     stores: int
@@ -48,13 +48,13 @@
 
 
 class Forecast(NamedTuple):
-    """The forecast; `settles_after` is the time until all nodes know of the loss."""
+    """The forecast; `settled_after_seconds` is the time until all nodes know of the loss."""
 
     lost: tuple[str, ...]
-    settles_after: float
-    kinds: tuple[Kind, ...]
+    settled_after_seconds: float
+    kinds: tuple[RouteForecast, ...]
     capacity: tuple[Capacity, ...]
-    control: Control
+    control: ControlPlane
     gaps: tuple[str, ...]
 
     @property
--- a/marblefold/rehearsal/forecast_summary.py
+++ b/marblefold/rehearsal/forecast_summary.py
@@ -1,4 +1,4 @@
-"""Makes the forecast out of the tally of the plays."""
+"""Makes the forecast out of the tally of the runs."""
 
 import math
 from collections.abc import Iterator
@@ -6,7 +6,7 @@
 from marblefold.configuration.rows import Route
 from marblefold.leases.held_leases import LEASE_SECONDS
 from marblefold.planner.comparison import count_slots
-from marblefold.rehearsal.forecast_model import Capacity, Control, Forecast, Kind
+from marblefold.rehearsal.forecast_model import Capacity, ControlPlane, Forecast, RouteForecast
 from marblefold.rehearsal.outcome_statistics import OutcomeCounts, Phase
 from marblefold.rehearsal.simulation import Simulation
 from marblefold.rehearsal.snapshot import Snapshot
@@ -20,9 +20,9 @@
     snapshot: Snapshot,
     lost: frozenset[str],
     play: Simulation,
-    plays: int,
+    runs: int,
 ) -> Forecast:
-    """The forecast that the tally of so many plays adds up to; `play` is any one of them."""
+    """The forecast that the tally of so many runs adds up to; `play` is any one of them."""
     kinds_of = {route.name: route for route in snapshot.mesh_state.rows.routes}
     pairs = sorted({(route, upstream) for route, upstream, _phase in play.tally.rows})
     kinds = []
@@ -30,7 +30,7 @@
         rows = {
             phase: play.tally.rows.get((name, upstream, phase), OutcomeCounts()) for phase in Phase
         }
-        kinds.append(_make_kind(snapshot, lost, play, plays, kinds_of[name], upstream, rows))
+        kinds.append(_make_kind(snapshot, lost, play, runs, kinds_of[name], upstream, rows))
     return Forecast(
         tuple(sorted(lost)),
         play.settled_at - play.loss_at,
@@ -45,13 +45,13 @@
     snapshot: Snapshot,
     lost: frozenset[str],
     play: Simulation,
-    plays: int,
+    runs: int,
     route: Route,
     upstream: str,
     rows: dict[Phase, OutcomeCounts],
-) -> Kind:
+) -> RouteForecast:
     def rate(phase: Phase, count: int) -> float:
-        return count / play.phase_seconds(phase) / plays
+        return count / play.phase_seconds(phase) / runs
 
     before, unsettled, after = (rows[phase] for phase in Phase)
     zones_before = {zone: rate(Phase.BEFORE, n) for zone, n in sorted(before.zones.items())}
@@ -66,8 +66,8 @@
     for row in (unsettled, after):
         for step, count in row.steps.items():
             reason = _explain(snapshot, lost, route, upstream, step)
-            reasons[reason] = reasons.get(reason, 0) + math.ceil(count / plays)
-    return Kind(
+            reasons[reason] = reasons.get(reason, 0) + math.ceil(count / runs)
+    return RouteForecast(
         route.name,
         upstream,
         route.kind,
@@ -82,8 +82,8 @@
         reasons,
         before.late / max(1, before.count),
         after.late / max(1, after.count),
-        math.ceil((unsettled.repeated + after.repeated) / plays),
-        math.ceil(play.tally.may_double.get((route.name, upstream), 0) / plays),
+        math.ceil((unsettled.repeated + after.repeated) / runs),
+        math.ceil(play.tally.possible_duplicates.get((route.name, upstream), 0) / runs),
     )
 
 
@@ -116,7 +116,7 @@
 
 
 def _find_capacity(
-    snapshot: Snapshot, lost: frozenset[str], play: Simulation, kinds: list[Kind]
+    snapshot: Snapshot, lost: frozenset[str], play: Simulation, kinds: list[RouteForecast]
 ) -> Iterator[Capacity]:
     mesh_state = snapshot.mesh_state
     after = mesh_state._replace(
@@ -139,7 +139,7 @@
         )
 
 
-def _find_control(snapshot: Snapshot, lost: frozenset[str], play: Simulation) -> Control:
+def _find_control(snapshot: Snapshot, lost: frozenset[str], play: Simulation) -> ControlPlane:
     count = len(snapshot.registries)
     left = sum(1 for zone in snapshot.registries.values() if zone not in lost)
     has_majority = not count or left * 2 > count
@@ -157,4 +157,4 @@
                 f"{upstream}: the agent of its owner {owner.site} is lost; after "
                 f"{LEASE_SECONDS:g} s it is refused until a site takes it over"
             )
-    return Control(count, left, has_majority, tuple(notes))
+    return ControlPlane(count, left, has_majority, tuple(notes))
--- a/marblefold/rehearsal/outcome_statistics.py
+++ b/marblefold/rehearsal/outcome_statistics.py
@@ -28,7 +28,7 @@
     is_late: bool
     is_repeated: bool
     # Whether it had been sent to a target that is now lost.
-    was_dark: bool
+    reached_lost_zone: bool
 
 
 class OutcomeCounts:
@@ -61,11 +61,11 @@
         self.rows: dict[tuple[str, str, Phase], OutcomeCounts] = {}
         # Requests that must not be repeated and whose outcome is unknown, because
         # they were in progress at, or sent to, a lost zone.
-        self.may_double: dict[tuple[str, str], int] = {}
+        self.possible_duplicates: dict[tuple[str, str], int] = {}
 
     def add(self, ending: RequestOutcome, phase: Phase, is_repeatable: bool) -> None:
         """Counts how a request ended."""
         key = (ending.route, ending.upstream)
         self.rows.setdefault((*key, phase), OutcomeCounts()).add(ending)
-        if not is_repeatable and ending.was_dark and ending.what in ("unknown", "gone"):
-            self.may_double[key] = self.may_double.get(key, 0) + 1
+        if not is_repeatable and ending.reached_lost_zone and ending.what in ("unknown", "gone"):
+            self.possible_duplicates[key] = self.possible_duplicates.get(key, 0) + 1
--- a/marblefold/rehearsal/reporting.py
+++ b/marblefold/rehearsal/reporting.py
@@ -2,19 +2,19 @@
 
 from collections.abc import Iterator
 
-from marblefold.rehearsal.forecast_model import Forecast, Kind
+from marblefold.rehearsal.forecast_model import Forecast, RouteForecast
 
-__all__ = ["to_plain", "to_text"]
+__all__ = ["to_json_object", "to_text"]
 
 _LEAST_RATE = 0.05
 
 
-def to_plain(forecast: Forecast) -> dict:
+def to_json_object(forecast: Forecast) -> dict:
     """The forecast as one JSON object."""
     return {
         "lost": list(forecast.lost),
         "harmless": forecast.is_harmless,
-        "settles-after-s": round(forecast.settles_after, 2),
+        "settles-after-s": round(forecast.settled_after_seconds, 2),
         "services": [_plain(kind._asdict()) for kind in forecast.kinds],
         "capacity": [_plain(row._asdict()) for row in forecast.capacity],
         "control": _plain(forecast.control._asdict()),
@@ -28,7 +28,7 @@
 
 
 def _lines(forecast: Forecast) -> Iterator[str]:
-    yield f"losing {', '.join(forecast.lost)}; all nodes know after {forecast.settles_after:.1f} s"
+    yield f"losing {', '.join(forecast.lost)}; all nodes know after {forecast.settled_after_seconds:.1f} s"
     upstream = None
     for kind in sorted(forecast.kinds, key=lambda kind: (kind.upstream, kind.route)):
         if kind.upstream != upstream:
@@ -51,7 +51,7 @@
     yield "all carried" if forecast.is_harmless else "NOT all carried"
 
 
-def _kind_lines(kind: Kind) -> Iterator[str]:
+def _kind_lines(kind: RouteForecast) -> Iterator[str]:
     yield f"  {kind.route} ({kind.kind}): {kind.before:.1f}/s before"
     if kind.gone_with_clients >= _LEAST_RATE:
         yield f"    {kind.gone_with_clients:.1f}/s no longer come: their clients' machines are lost"
--- a/marblefold/rehearsal/simulated_request.py
+++ b/marblefold/rehearsal/simulated_request.py
@@ -60,20 +60,20 @@
         self._deadline = deadline
         self._hop: _Hop | None = None
         self._offers = 0
-        self._was_dark = False
+        self._reached_lost_zone = False
         self._is_slot_held = False
 
     def begin(self) -> None:
         """The request arrives."""
-        self._play.flights[self] = None
+        self._play.active_requests[self] = None
         self._origin.routing_state.note_request(self._upstream, self._play.now)
         self._step()
 
-    def note_loss(self) -> None:
+    def note_zone_loss(self) -> None:
         """The lost zones were lost while this request was in progress."""
         if self._play.is_lost(self._origin.zone):
             # The client lost its node: it does not know whether the request ran.
-            self._was_dark = self._decision.may_have_run or self._is_slot_held
+            self._reached_lost_zone = self._decision.may_have_run or self._is_slot_held
             self._end("gone", "origin lost", "")
         elif self._hop is not None and self._play.is_lost(self._hop.offer.target.zone):
             self._go_dark(self._hop)
@@ -134,8 +134,8 @@
                 self._refuse(hop, "cold", guard.cold.retry_after(play.now))
             return
         self._is_slot_held = True
-        spread = play.config.spread
-        seconds = play.work_seconds(self._route.name, self._upstream)
+        spread = play.config.service_time_spread
+        seconds = play.route_service_seconds(self._route.name, self._upstream)
         seconds *= play.random.uniform(1 - spread, 1 + spread)
         play.after(seconds, lambda: self._finish(hop, guard, seconds))
 
@@ -163,19 +163,19 @@
         """No answer will come: schedules how and when the sender notices."""
         play = self._play
         self._is_slot_held = False
-        is_first = not self._was_dark
-        self._was_dark = True
+        is_first = not self._reached_lost_zone
+        self._reached_lost_zone = True
         hop, target = self._begin_hop(lost.offer, lost.permit), lost.offer.target
         routing_state = self._origin.routing_state
-        if play.now > play.loss_at + play.config.unheard_seconds:
+        if play.now > play.loss_at + play.config.connection_loss_seconds:
             # The connection has been closed by now and a new one cannot be opened.
-            self._was_dark = not is_first
+            self._reached_lost_zone = not is_first
             result = HopResult(HopOutcome.NEVER_OFFERED, step="connect")
-            play.after(play.config.connect_seconds, lambda: self._take(hop, result))
+            play.after(play.config.connect_timeout_seconds, lambda: self._take(hop, result))
             return
-        silent = play.config.silent_seconds
+        silent = play.config.unresponsive_seconds
         play.after(silent, lambda: routing_state.selector.note_unresponsive(target.peer, play.now))
-        wait = silent if self._is_repeatable else play.config.unheard_seconds
+        wait = silent if self._is_repeatable else play.config.connection_loss_seconds
         left = max(0.0, self._deadline - play.now)
         step = "silent" if self._is_repeatable else "connection"
         if left < wait:
@@ -204,7 +204,7 @@
 
     def _end(self, what: str, step: str, zone: str) -> None:
         play = self._play
-        play.flights.pop(self, None)
+        play.active_requests.pop(self, None)
         self._hop = None
         phase = play.phase(self._arrived)
         if phase is None:
@@ -219,7 +219,7 @@
                 step,
                 late and what == "carried",
                 self._offers > 1,
-                self._was_dark,
+                self._reached_lost_zone,
             ),
             phase,
             self._is_repeatable,
--- a/marblefold/rehearsal/simulation.py
+++ b/marblefold/rehearsal/simulation.py
@@ -48,8 +48,8 @@
         self._snapshot = snapshot
         self._lost = lost
         self._began = self.now
-        self.loss_at = self.now + config.warm_seconds
-        self.is_dark = False
+        self.loss_at = self.now + config.before_loss_seconds
+        self.is_loss_past = False
         # Services whose owner's agent is lost and whose lease has expired.
         self.lapsed: set[str] = set()
         self.settled_at = self.loss_at + detection_seconds(len(snapshot.origins))
@@ -57,20 +57,20 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._order = itertools.count()
         self._routes = {route.name: route for route in snapshot.mesh_state.rows.routes}
-        self._works = self._find_works()
+        self._route_service_seconds = self._find_route_service_seconds()
         self.guards = {
             target.node: SimulatedGuard(target, self._service_seconds(target.upstream))
             for name in {target.upstream for target in snapshot.mesh_state.targets}
             for target in self.view.targets(name)
         }
         # In order of arrival, so that one seed always gives the same run.
-        self.flights: dict[LossListener, None] = {}
+        self.active_requests: dict[LossListener, None] = {}
 
     @property
     def expected_requests(self) -> float:
         """The expected number of requests of the run."""
         rate = sum(flow.per_second for flow in self._snapshot.flows)
-        return rate * (self.config.warm_seconds + self.config.after_seconds)
+        return rate * (self.config.before_loss_seconds + self.config.after_loss_seconds)
 
     def run(self, slice_events: int = 100) -> Iterator[None]:
         """Runs to the end; yields after each slice of events."""
@@ -79,7 +79,7 @@
             if route is not None and flow.per_second > 0:
                 self.after(self._pause(flow), partial(self._arrive, flow, route))
         self.at(self.loss_at, self._lose)
-        end = self.loss_at + self.config.after_seconds
+        end = self.loss_at + self.config.after_loss_seconds
         played = 0
         while self._events and self._events[0][0] <= end:
             self.now, _number, act = heapq.heappop(self._events)
@@ -98,11 +98,11 @@
 
     def is_lost(self, zone: str) -> bool:
         """Whether the zone is lost."""
-        return self.is_dark and zone in self._lost
+        return self.is_loss_past and zone in self._lost
 
     def phase(self, arrived: float) -> Phase | None:
         """The phase of a request by its arrival; None for the warm-up, which is not counted."""
-        if arrived < self._began + self.config.warm_seconds / 3:
+        if arrived < self._began + self.config.before_loss_seconds / 3:
             return None
         if arrived < self.loss_at:
             return Phase.BEFORE
@@ -112,19 +112,19 @@
         """Length of the phase in seconds."""
         unsettled = self.settled_at - self.loss_at
         return {
-            Phase.BEFORE: self.config.warm_seconds * 2 / 3,
+            Phase.BEFORE: self.config.before_loss_seconds * 2 / 3,
             Phase.UNSETTLED: unsettled,
-            Phase.AFTER: max(0.1, self.config.after_seconds - unsettled),
+            Phase.AFTER: max(0.1, self.config.after_loss_seconds - unsettled),
         }[phase]
 
     def delay(self, zone: str, target: KnownTarget) -> float:
         """One-way delay in seconds from a zone to a target."""
         if zone == target.zone:
-            return self.config.in_zone
+            return self.config.in_zone_seconds
         regions = self._snapshot.zone_regions
         if regions.get(zone) == regions.get(target.zone):
-            return self.config.cross_zone
-        return self.config.cross_region
+            return self.config.cross_zone_seconds
+        return self.config.cross_region_seconds
 
     def _service_seconds(self, upstream: str) -> float:
         known = self._snapshot.service_seconds.get(upstream)
@@ -142,11 +142,11 @@
             return 0.05
         return max(1e-4, sum(flow.per_second * flow.seconds for flow in flows) / rate)
 
-    def work_seconds(self, route: str, upstream: str) -> float:
+    def route_service_seconds(self, route: str, upstream: str) -> float:
         """Mean service time in seconds of a request of the route at the service."""
-        return self._works.get((route, upstream)) or self._service_seconds(upstream)
+        return self._route_service_seconds.get((route, upstream)) or self._service_seconds(upstream)
 
-    def _find_works(self) -> dict[tuple[str, str], float]:
+    def _find_route_service_seconds(self) -> dict[tuple[str, str], float]:
         """Service times by route: a service's mean, scaled by the whole times of its routes."""
         sums: dict[tuple[str, str], list[float]] = {}
         for flow in self._snapshot.flows:
@@ -199,9 +199,9 @@
 
     def _lose(self) -> None:
         """The lost zones are lost, with all that is in progress there."""
-        self.is_dark = True
-        for flight in list(self.flights):
-            flight.note_loss()
+        self.is_loss_past = True
+        for flight in list(self.active_requests):
+            flight.note_zone_loss()
         self.at(self.settled_at, self._learn_of_loss)
         for upstream, owner in self._snapshot.owners.items():
             zone = self._snapshot.registries.get(owner.agent)
--- a/marblefold/rehearsal/simulation_config.py
+++ b/marblefold/rehearsal/simulation_config.py
@@ -8,23 +8,23 @@
 class SimulationConfig(NamedTuple):
     """Times and delays in seconds."""
 
-    warm_seconds: float = 3.0
-    after_seconds: float = 6.0
-    most_requests: int = 60_000
+    before_loss_seconds: float = 3.0
+    after_loss_seconds: float = 6.0
+    max_requests: int = 60_000
     # The forecast is the mean of so many runs.
-    plays: int = 4
+    runs: int = 4
     seed: int = 1
     # One-way delays.
-    in_zone: float = 0.0002
-    cross_zone: float = 0.001
-    cross_region: float = 0.012
+    in_zone_seconds: float = 0.0002
+    cross_zone_seconds: float = 0.001
+    cross_region_seconds: float = 0.012
     # Service times are spread evenly over this share below and above their mean.
-    spread: float = 0.5
+    service_time_spread: float = 0.5
     # When a silent machine is noticed: a read is repeated, a connection is closed,
     # an attempt to connect is given up.
-    silent_seconds: float = 0.45
-    unheard_seconds: float = 2.0
-    connect_seconds: float = 0.5
+    unresponsive_seconds: float = 0.45
+    connection_loss_seconds: float = 2.0
+    connect_timeout_seconds: float = 0.5
     # Clients of a lost zone move to others after this time; else they are lost too.
     clients_move: bool = True
     clients_move_seconds: float = 2.0
--- a/marblefold/rehearsal/simulation_context.py
+++ b/marblefold/rehearsal/simulation_context.py
@@ -15,7 +15,7 @@
 class LossListener(Protocol):
     """A request in progress."""
 
-    def note_loss(self) -> None:
+    def note_zone_loss(self) -> None:
         """The lost zones have just been lost."""
 
 
@@ -29,7 +29,7 @@
     now: float
     loss_at: float
     # Requests in progress, in order of arrival.
-    flights: dict[LossListener, None]
+    active_requests: dict[LossListener, None]
     # Services whose owner's lease has run out.
     lapsed: set[str]
 
@@ -46,7 +46,7 @@
     def delay(self, zone: str, target: KnownTarget) -> float:
         """One-way delay from the zone to the target."""
 
-    def work_seconds(self, route: str, upstream: str) -> float:
+    def route_service_seconds(self, route: str, upstream: str) -> float:
         """How long a target of the service works on a request of the route."""
 
     def phase(self, arrived: float) -> Phase | None:
--- a/marblefold/rehearsal/snapshot.py
+++ b/marblefold/rehearsal/snapshot.py
@@ -14,7 +14,14 @@
 from marblefold.registry.traffic_rates import Flow
 from marblefold.request_path.mesh_view import KnownOwner
 
-__all__ = ["ASSUMED_KILOBYTES", "FORMAT", "RetryBounds", "Snapshot", "VERSION", "read_snapshot"]
+__all__ = [
+    "ASSUMED_KILOBYTES",
+    "FORMAT",
+    "RetryBudgetSettings",
+    "Snapshot",
+    "VERSION",
+    "read_snapshot",
+]
 
 FORMAT = "marblefold-snapshot"
 VERSION = 1
@@ -23,7 +30,7 @@
 _OLD_FLOW_SECONDS = 30.0
 
 
-class RetryBounds(NamedTuple):
+class RetryBudgetSettings(NamedTuple):
     """The retry budget that all nodes share."""
 
     ratio: float
@@ -44,7 +51,7 @@
     registries: dict[str, str]
     owners: dict[str, KnownOwner]
     has_partners: bool
-    retry: RetryBounds
+    retry: RetryBudgetSettings
     gaps: tuple[str, ...]
 
     def age(self, now: datetime) -> timedelta:
@@ -191,17 +198,17 @@
     return tuple(flows)
 
 
-def _read_retry(fields: _Fields) -> RetryBounds:
+def _read_retry(fields: _Fields) -> RetryBudgetSettings:
     row = fields.get("retry-budget", dict, {}) or {}
     try:
-        return RetryBounds(
+        return RetryBudgetSettings(
             float(row.get("ratio", 0.2)),
             timedelta(seconds=float(row.get("window-s", 10))),
             float(row.get("slack", 0)),
         )
     except (TypeError, ValueError, OverflowError) as error:
         fields.fault("retry-budget", str(error))
-        return RetryBounds(0.0, timedelta(seconds=10), 0.0)
+        return RetryBudgetSettings(0.0, timedelta(seconds=10), 0.0)
 
 
 def _find_gaps(document: dict, mesh_state: MeshState, flows, service: dict[str, float]):
@@ -227,6 +234,6 @@
         yield f"traffic of {shown} belongs to no route of the configuration"
 
 
-def is_old(snapshot: Snapshot, now: datetime) -> bool:
+def is_stale(snapshot: Snapshot, now: datetime) -> bool:
     """Whether the snapshot is too old to describe the present state."""
     return snapshot.age(now) > _OLD
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -184,13 +184,13 @@
         try:
             status = (await node.executor.serve(request)).status
         finally:
-            was_dark = any(row["zone"] in self.dark for row in request.offered)
+            reached_lost_zone = any(row["zone"] in self.dark for row in request.offered)
             self.endings.append(
                 SimpleNamespace(
                     route=name,
                     arrived=arrived,
                     status=status,
-                    was_dark=was_dark,
+                    reached_lost_zone=reached_lost_zone,
                     zone=request.reached,
                 )
             )
--- a/tests/test_region_loss.py
+++ b/tests/test_region_loss.py
@@ -25,7 +25,7 @@
 # targets the callers found fast just before, and differs by 0.06 of the share
 # (standard deviation) from one loss to the next. A forecast is of their mean.
 LOSSES = 4
-PLAYS = 8
+RUNS = 8
 
 
 def darken(monkeypatch, document, lost, rate, clients_move=False):
@@ -45,7 +45,7 @@
         snapshot,
         lost,
         SimulationConfig(
-            warm_seconds=4.0, after_seconds=AFTER, plays=PLAYS, clients_move=clients_move
+            before_loss_seconds=4.0, after_loss_seconds=AFTER, runs=RUNS, clients_move=clients_move
         ),
     )
 
@@ -109,7 +109,11 @@
         doubles = (
             0
             if is_read
-            else sum(1 for e, at in ended if e.was_dark and e.status in (0, 502, 504) and at > -5)
+            else sum(
+                1
+                for e, at in ended
+                if e.reached_lost_zone and e.status in (0, 502, 504) and at > -5
+            )
         )
         compare(
             f"{name} may go twice",
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -4,8 +4,8 @@
 import copy
 import json
 
-from marblefold.rehearsal.forecast import find_lost, rehearse, rehearse_slowly
-from marblefold.rehearsal.reporting import to_plain, to_text
+from marblefold.rehearsal.forecast import find_lost_zones, rehearse, rehearse_in_slices
+from marblefold.rehearsal.reporting import to_json_object, to_text
 from marblefold.rehearsal.simulation import Simulation
 from marblefold.rehearsal.simulation_config import SimulationConfig
 from marblefold.rehearsal.snapshot import read_snapshot
@@ -27,17 +27,17 @@
     before = json.dumps(document)
     snapshot = read_snapshot(before.encode())
     kept = copy.deepcopy(snapshot)
-    first = to_plain(rehearse(snapshot, EAST))
+    first = to_json_object(rehearse(snapshot, EAST))
     assert json.dumps(document) == before and snapshot == kept
-    assert to_plain(rehearse(snapshot, EAST)) == first
-    steps = rehearse_slowly(snapshot, EAST)
+    assert to_json_object(rehearse(snapshot, EAST)) == first
+    steps = rehearse_in_slices(snapshot, EAST)
     slices = 0
     while True:
         try:
             next(steps)
             slices += 1
         except StopIteration as end:
-            assert to_plain(end.value) == first and slices > 5
+            assert to_json_object(end.value) == first and slices > 5
             break
     # Breakers open in it; the log of whoever rehearses says nothing of that.
     assert capsys.readouterr().out == ""
@@ -64,15 +64,15 @@
         row["seconds"] = 0.1 if row["route"] == "look" else 0.5
     document["service-seconds"] = {"quotes": 0.24}
     play = Simulation(read_snapshot(json.dumps(document).encode()), EAST)
-    assert abs(play.work_seconds("look", "quotes") - 0.08) < 1e-9
-    assert abs(play.work_seconds("book", "quotes") - 0.40) < 1e-9
+    assert abs(play.route_service_seconds("look", "quotes") - 0.08) < 1e-9
+    assert abs(play.route_service_seconds("book", "quotes") - 0.40) < 1e-9
     # A route nobody counted takes what the service takes.
-    assert play.work_seconds("other", "quotes") == 0.24
+    assert play.route_service_seconds("other", "quotes") == 0.24
 
 
 def faults_of(body, regions=(), zones=()):
     try:
-        find_lost(read_snapshot(body), list(regions), list(zones))
+        find_lost_zones(read_snapshot(body), list(regions), list(zones))
     except ExceptionGroup as group:
         return " ".join(str(fault) for fault in group.exceptions)
     return ""
