--- a/marblefold/rehearsal/calls.py
+++ b/marblefold/rehearsal/calls.py
@@ -54,7 +54,7 @@
         self._is_busy = True
         try:
             async with asyncio.timeout(_LONGEST_SECONDS):
-                return await self._play(
+                return await self._simulate(
                     asked.get("region", []), asked.get("zone", []), asked.get("clients", ["move"])
                 )
         except TimeoutError:
@@ -64,7 +64,7 @@
         finally:
             self._is_busy = False
 
-    async def _play(self, regions: list[str], zones: list[str], clients: list[str]) -> Answer:
+    async def _simulate(self, regions: list[str], zones: list[str], clients: list[str]) -> Answer:
         # Imported here, as nothing else in a registry needs them.
         from marblefold.rehearsal.forecast import find_lost_zones, rehearse_in_slices
         from marblefold.rehearsal.reporting import to_json_object
--- a/marblefold/rehearsal/command.py
+++ b/marblefold/rehearsal/command.py
@@ -31,7 +31,7 @@
     "What becomes of clients of the lost "
     "place: the platform moves them elsewhere, or they are lost with it.",
 )
-flags.DEFINE_integer("seed", 1, "Another seed runs other traffic of the same rates.")
+flags.DEFINE_integer("seed", 1, "Another seed simulates other traffic of the same rates.")
 flags.DEFINE_bool("as_json", False, "Print JSON instead of text.")
 
 _CARRIED, _HARMED, _USAGE = 0, 1, 2
--- a/marblefold/rehearsal/forecast.py
+++ b/marblefold/rehearsal/forecast.py
@@ -70,8 +70,10 @@
             before_loss_seconds=max(1.0, config.before_loss_seconds * factor),
             after_loss_seconds=max(4.0, config.after_loss_seconds * factor),
         )
-    tally = OutcomeStatistics()
+    statistics = OutcomeStatistics()
     for number in range(runs):
-        play = Simulation(snapshot, lost, config._replace(seed=config.seed + 1000 * number), tally)
-        yield from play.run()
-    return summarize(snapshot, lost, play, runs)
+        simulation = Simulation(
+            snapshot, lost, config._replace(seed=config.seed + 1000 * number), statistics
+        )
+        yield from simulation.run()
+    return summarize(snapshot, lost, simulation, runs)
--- a/marblefold/rehearsal/forecast_model.py
+++ b/marblefold/rehearsal/forecast_model.py
@@ -52,7 +52,7 @@
 
     lost: tuple[str, ...]
     settled_after_seconds: float
-    kinds: tuple[RouteForecast, ...]
+    routes: tuple[RouteForecast, ...]
     capacity: tuple[Capacity, ...]
     control: ControlPlane
     gaps: tuple[str, ...]
@@ -63,10 +63,10 @@
         of the stores is left."""
         return (
             not any(
-                kind.may_go_twice
-                or kind.stalls_after > kind.stalls_before + 0.005 * kind.before
-                or kind.stalls_unsettled > kind.stalls_before + 0.02 * kind.before
-                for kind in self.kinds
+                route.may_go_twice
+                or route.stalls_after > route.stalls_before + 0.005 * route.before
+                or route.stalls_unsettled > route.stalls_before + 0.02 * route.before
+                for route in self.routes
             )
             and self.control.has_majority
         )
--- a/marblefold/rehearsal/forecast_summary.py
+++ b/marblefold/rehearsal/forecast_summary.py
@@ -1,4 +1,4 @@
-"""Makes the forecast out of the tally of the runs."""
+"""Makes the forecast out of the statistics of the runs."""
 
 import math
 from collections.abc import Iterator
@@ -19,39 +19,44 @@
 def summarize(
     snapshot: Snapshot,
     lost: frozenset[str],
-    play: Simulation,
+    simulation: Simulation,
     runs: int,
 ) -> Forecast:
-    """The forecast that the tally of so many runs adds up to; `play` is any one of them."""
-    kinds_of = {route.name: route for route in snapshot.mesh_state.rows.routes}
-    pairs = sorted({(route, upstream) for route, upstream, _phase in play.tally.rows})
-    kinds = []
+    """The forecast that the statistics of `runs` runs add up to; `simulation` is any of them."""
+    routes_by_name = {route.name: route for route in snapshot.mesh_state.rows.routes}
+    pairs = sorted({(route, upstream) for route, upstream, _phase in simulation.statistics.rows})
+    route_forecasts = []
     for name, upstream in pairs:
         rows = {
-            phase: play.tally.rows.get((name, upstream, phase), OutcomeCounts()) for phase in Phase
+            phase: simulation.statistics.rows.get((name, upstream, phase), OutcomeCounts())
+            for phase in Phase
         }
-        kinds.append(_make_kind(snapshot, lost, play, runs, kinds_of[name], upstream, rows))
+        route_forecasts.append(
+            _make_route_forecast(
+                snapshot, lost, simulation, runs, routes_by_name[name], upstream, rows
+            )
+        )
     return Forecast(
         tuple(sorted(lost)),
-        play.settled_at - play.loss_at,
-        tuple(kinds),
-        tuple(_find_capacity(snapshot, lost, play, kinds)),
-        _find_control(snapshot, lost, play),
+        simulation.settled_at - simulation.loss_at,
+        tuple(route_forecasts),
+        tuple(_find_capacity(snapshot, lost, simulation, route_forecasts)),
+        _find_control(snapshot, lost, simulation),
         snapshot.gaps,
     )
 
 
-def _make_kind(
+def _make_route_forecast(
     snapshot: Snapshot,
     lost: frozenset[str],
-    play: Simulation,
+    simulation: Simulation,
     runs: int,
     route: Route,
     upstream: str,
     rows: dict[Phase, OutcomeCounts],
 ) -> RouteForecast:
     def rate(phase: Phase, count: int) -> float:
-        return count / play.phase_seconds(phase) / runs
+        return count / simulation.phase_seconds(phase) / runs
 
     before, unsettled, after = (rows[phase] for phase in Phase)
     zones_before = {zone: rate(Phase.BEFORE, n) for zone, n in sorted(before.zones.items())}
@@ -61,7 +66,7 @@
     lost_share = sum(zones_before.get(zone, 0.0) for zone in lost) / max(
         1e-9, sum(zones_before.values())
     )
-    stalls = {phase: rate(phase, rows[phase].endings.get("stalled", 0)) for phase in Phase}
+    stalls = {phase: rate(phase, rows[phase].results.get("stalled", 0)) for phase in Phase}
     reasons: dict[str, int] = {}
     for row in (unsettled, after):
         for step, count in row.steps.items():
@@ -83,7 +88,7 @@
         before.late / max(1, before.count),
         after.late / max(1, after.count),
         math.ceil((unsettled.repeated + after.repeated) / runs),
-        math.ceil(play.tally.possible_duplicates.get((route.name, upstream), 0) / runs),
+        math.ceil(simulation.statistics.possible_duplicates.get((route.name, upstream), 0) / runs),
     )
 
 
@@ -116,18 +121,21 @@
 
 
 def _find_capacity(
-    snapshot: Snapshot, lost: frozenset[str], play: Simulation, kinds: list[RouteForecast]
+    snapshot: Snapshot,
+    lost: frozenset[str],
+    simulation: Simulation,
+    route_forecasts: list[RouteForecast],
 ) -> Iterator[Capacity]:
     mesh_state = snapshot.mesh_state
     after = mesh_state._replace(
         targets=tuple(target for target in mesh_state.targets if target.zone not in lost)
     )
-    service = {guard.target.upstream: guard.service_seconds for guard in play.guards.values()}
+    service = {guard.target.upstream: guard.service_seconds for guard in simulation.guards.values()}
     for upstream in sorted({target.upstream for target in mesh_state.targets}):
         rates = [
-            (sum(kind.zones_before.values()), sum(kind.zones_after.values()))
-            for kind in kinds
-            if kind.upstream == upstream
+            (sum(route_forecast.zones_before.values()), sum(route_forecast.zones_after.values()))
+            for route_forecast in route_forecasts
+            if route_forecast.upstream == upstream
         ]
         seconds = service.get(upstream, 0.0)
         yield Capacity(
@@ -139,7 +147,7 @@
         )
 
 
-def _find_control(snapshot: Snapshot, lost: frozenset[str], play: Simulation) -> ControlPlane:
+def _find_control(snapshot: Snapshot, lost: frozenset[str], simulation: Simulation) -> ControlPlane:
     count = len(snapshot.registries)
     left = sum(1 for zone in snapshot.registries.values() if zone not in lost)
     has_majority = not count or left * 2 > count
--- a/marblefold/rehearsal/outcome_statistics.py
+++ b/marblefold/rehearsal/outcome_statistics.py
@@ -23,7 +23,7 @@
     # Where it was answered, if it was.
     zone: str
     # carried, stalled, unknown (it may have run), or gone with its origin.
-    what: str
+    result: str
     step: str
     is_late: bool
     is_repeated: bool
@@ -37,21 +37,21 @@
     def __init__(self) -> None:
         self.count = 0
         self.zones: dict[str, int] = {}
-        self.endings: dict[str, int] = {}
+        self.results: dict[str, int] = {}
         self.steps: dict[str, int] = {}
         self.late = 0
         self.repeated = 0
 
-    def add(self, ending: RequestOutcome) -> None:
+    def add(self, outcome: RequestOutcome) -> None:
         """Counts one request."""
         self.count += 1
-        self.endings[ending.what] = self.endings.get(ending.what, 0) + 1
-        self.late += ending.is_late
-        self.repeated += ending.is_repeated
-        if ending.zone:
-            self.zones[ending.zone] = self.zones.get(ending.zone, 0) + 1
-        elif ending.step:
-            self.steps[ending.step] = self.steps.get(ending.step, 0) + 1
+        self.results[outcome.result] = self.results.get(outcome.result, 0) + 1
+        self.late += outcome.is_late
+        self.repeated += outcome.is_repeated
+        if outcome.zone:
+            self.zones[outcome.zone] = self.zones.get(outcome.zone, 0) + 1
+        elif outcome.step:
+            self.steps[outcome.step] = self.steps.get(outcome.step, 0) + 1
 
 
 class OutcomeStatistics:
@@ -63,9 +63,13 @@
         # they were in progress at, or sent to, a lost zone.
         self.possible_duplicates: dict[tuple[str, str], int] = {}
 
-    def add(self, ending: RequestOutcome, phase: Phase, is_repeatable: bool) -> None:
+    def add(self, outcome: RequestOutcome, phase: Phase, is_repeatable: bool) -> None:
         """Counts how a request ended."""
-        key = (ending.route, ending.upstream)
-        self.rows.setdefault((*key, phase), OutcomeCounts()).add(ending)
-        if not is_repeatable and ending.reached_lost_zone and ending.what in ("unknown", "gone"):
+        key = (outcome.route, outcome.upstream)
+        self.rows.setdefault((*key, phase), OutcomeCounts()).add(outcome)
+        if (
+            not is_repeatable
+            and outcome.reached_lost_zone
+            and outcome.result in ("unknown", "gone")
+        ):
             self.possible_duplicates[key] = self.possible_duplicates.get(key, 0) + 1
--- a/marblefold/rehearsal/reporting.py
+++ b/marblefold/rehearsal/reporting.py
@@ -15,7 +15,7 @@
         "lost": list(forecast.lost),
         "harmless": forecast.is_harmless,
         "settles-after-s": round(forecast.settled_after_seconds, 2),
-        "services": [_plain(kind._asdict()) for kind in forecast.kinds],
+        "services": [_plain(route._asdict()) for route in forecast.routes],
         "capacity": [_plain(row._asdict()) for row in forecast.capacity],
         "control": _plain(forecast.control._asdict()),
         "gaps": list(forecast.gaps),
@@ -28,13 +28,16 @@
 
 
 def _lines(forecast: Forecast) -> Iterator[str]:
-    yield f"losing {', '.join(forecast.lost)}; all nodes know after {forecast.settled_after_seconds:.1f} s"
+    yield (
+        f"losing {', '.join(forecast.lost)}; "
+        f"all nodes know after {forecast.settled_after_seconds:.1f} s"
+    )
     upstream = None
-    for kind in sorted(forecast.kinds, key=lambda kind: (kind.upstream, kind.route)):
-        if kind.upstream != upstream:
-            upstream = kind.upstream
+    for route in sorted(forecast.routes, key=lambda route: (route.upstream, route.route)):
+        if route.upstream != upstream:
+            upstream = route.upstream
             yield f"service {upstream}"
-        yield from _kind_lines(kind)
+        yield from _route_lines(route)
     for row in forecast.capacity:
         yield (
             f"capacity {row.upstream}: {row.slots_before} -> {row.slots_after} slots, in use "
@@ -51,30 +54,33 @@
     yield "all carried" if forecast.is_harmless else "NOT all carried"
 
 
-def _kind_lines(kind: RouteForecast) -> Iterator[str]:
-    yield f"  {kind.route} ({kind.kind}): {kind.before:.1f}/s before"
-    if kind.gone_with_clients >= _LEAST_RATE:
-        yield f"    {kind.gone_with_clients:.1f}/s no longer come: their clients' machines are lost"
-    yield f"    carried elsewhere: {kind.carried_elsewhere:.1f}/s; answered in " + (
+def _route_lines(forecast: RouteForecast) -> Iterator[str]:
+    yield f"  {forecast.route} ({forecast.kind}): {forecast.before:.1f}/s before"
+    if forecast.gone_with_clients >= _LEAST_RATE:
+        yield (
+            f"    {forecast.gone_with_clients:.1f}/s no longer come: "
+            f"their clients' machines are lost"
+        )
+    yield f"    carried elsewhere: {forecast.carried_elsewhere:.1f}/s; answered in " + (
         ", ".join(
-            f"{zone} {kind.zones_before.get(zone, 0.0):.1f}"
-            f" -> {kind.zones_after.get(zone, 0.0):.1f}/s"
-            for zone in sorted(kind.zones_before.keys() | kind.zones_after.keys())
+            f"{zone} {forecast.zones_before.get(zone, 0.0):.1f}"
+            f" -> {forecast.zones_after.get(zone, 0.0):.1f}/s"
+            for zone in sorted(forecast.zones_before.keys() | forecast.zones_after.keys())
         )
         or "no zone"
     )
     yield (
-        f"    stalls: {kind.stalls_before:.1f}/s before, {kind.stalls_unsettled:.1f}/s until all "
-        f"know, {kind.stalls_after:.1f}/s after"
+        f"    stalls: {forecast.stalls_before:.1f}/s before, {forecast.stalls_unsettled:.1f}/s "
+        f"until all know, {forecast.stalls_after:.1f}/s after"
     )
-    for reason, count in sorted(kind.reasons.items()):
+    for reason, count in sorted(forecast.reasons.items()):
         yield f"      {reason}: {count} in all"
-    yield f"    late: {kind.late_before:.1%} before, {kind.late_after:.1%} after"
-    if kind.repeated_reads:
-        yield f"    repeated: {kind.repeated_reads} in all"
-    if kind.may_go_twice:
+    yield f"    late: {forecast.late_before:.1%} before, {forecast.late_after:.1%} after"
+    if forecast.repeated_reads:
+        yield f"    repeated: {forecast.repeated_reads} in all"
+    if forecast.may_go_twice:
         yield (
-            f"    may go through twice: {kind.may_go_twice} in all (outcome unknown, answered 502 "
+            f"    may go through twice: {forecast.may_go_twice} in all (outcome unknown, answered 502 "
             f"or 504 and never sent again by the mesh; the customer may)"
         )
 
--- a/marblefold/rehearsal/simulated_guard.py
+++ b/marblefold/rehearsal/simulated_guard.py
@@ -23,7 +23,7 @@
         self.cold.cold_until = target.cold_until
         self._order = itertools.count()
         self._waiting: list[tuple[QueuePriority, int, Callable[[], None]]] = []
-        self._left: set[int] = set()
+        self._cancelled: set[int] = set()
 
     @property
     def load(self) -> TargetLoad:
@@ -33,50 +33,52 @@
     @property
     def waiting(self) -> int:
         """How many requests wait for a slot."""
-        return len(self._waiting) - len(self._left)
+        return len(self._waiting) - len(self._cancelled)
 
-    def expected_wait(self, turn: QueuePriority) -> float:
-        """Expected wait in seconds of a request with that turn."""
+    def expected_wait(self, priority: QueuePriority) -> float:
+        """Expected wait in seconds of a request with that priority."""
         if self.running < self.target.slots:
             return 0.0
         ahead = sum(
             1
             for other, number, _start in self._waiting
-            if other <= turn and number not in self._left
+            if other <= priority and number not in self._cancelled
         )
         return (ahead + 1) * self.service_seconds / self.target.slots
 
-    def take(self, turn: QueuePriority, longest: float, start: Callable[[], None]) -> int | None:
+    def submit(
+        self, priority: QueuePriority, max_wait_seconds: float, start: Callable[[], None]
+    ) -> int | None:
         """Starts the request now (-1), queues it (its number), or refuses it (None).
 
-        `longest` is the longest acceptable wait in seconds.
+        `max_wait_seconds` is the max_wait_seconds acceptable wait in seconds.
         """
         if self.running < self.target.slots:
             self.running += 1
             start()
             return -1
-        if longest <= 0 or self.expected_wait(turn) > longest:
+        if max_wait_seconds <= 0 or self.expected_wait(priority) > max_wait_seconds:
             return None
         number = next(self._order)
-        heapq.heappush(self._waiting, (turn, number, start))
+        heapq.heappush(self._waiting, (priority, number, start))
         return number
 
-    def leave(self, number: int) -> bool:
+    def cancel(self, number: int) -> bool:
         """Takes a request out of the queue; whether it was still there."""
-        if any(number == other for _turn, other, _start in self._waiting) and (
-            number not in self._left
+        if any(number == other for _priority, other, _start in self._waiting) and (
+            number not in self._cancelled
         ):
-            self._left.add(number)
+            self._cancelled.add(number)
             return True
         return False
 
-    def give_back(self) -> None:
+    def release(self) -> None:
         """Frees a slot and starts the next request in order."""
         self.running -= 1
         while self._waiting and self.running < self.target.slots:
-            _turn, number, start = heapq.heappop(self._waiting)
-            if number in self._left:
-                self._left.discard(number)
+            _priority, number, start = heapq.heappop(self._waiting)
+            if number in self._cancelled:
+                self._cancelled.discard(number)
                 continue
             self.running += 1
             start()
--- a/marblefold/rehearsal/simulated_request.py
+++ b/marblefold/rehearsal/simulated_request.py
@@ -29,28 +29,28 @@
 
 
 class SimulatedRequest:
-    """Runs the real RequestDecision on the clock of the play."""
+    """Runs the real RequestDecision on the clock of the simulation."""
 
     def __init__(
         self,
-        play: SimulationContext,
+        simulation: SimulationContext,
         origin: Origin,
         route: Route,
         upstream: str,
         kilobytes: float,
     ) -> None:
-        self._play = play
+        self._simulation = simulation
         self._origin = origin
         self._route = route
         self._upstream = upstream
         self._is_repeatable = route.kind == wire_names.READ_ONLY
-        self._arrived = play.now
-        deadline = play.now + route.time_limit.total_seconds()
+        self._arrived = simulation.now
+        deadline = simulation.now + route.time_limit.total_seconds()
         self._decision = RequestDecision(
             route,
             upstream,
             "rehearsed",
-            play.now,
+            simulation.now,
             deadline,
             True,
             kilobytes,
@@ -63,134 +63,146 @@
         self._reached_lost_zone = False
         self._is_slot_held = False
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """The request arrives."""
-        self._play.active_requests[self] = None
-        self._origin.routing_state.note_request(self._upstream, self._play.now)
-        self._step()
+        self._simulation.active_requests[self] = None
+        self._origin.routing_state.note_request(self._upstream, self._simulation.now)
+        self._advance()
 
     def note_zone_loss(self) -> None:
         """The lost zones were lost while this request was in progress."""
-        if self._play.is_lost(self._origin.zone):
+        if self._simulation.is_lost(self._origin.zone):
             # The client lost its node: it does not know whether the request ran.
             self._reached_lost_zone = self._decision.may_have_run or self._is_slot_held
             self._end("gone", "origin lost", "")
-        elif self._hop is not None and self._play.is_lost(self._hop.offer.target.zone):
-            self._go_dark(self._hop)
+        elif self._hop is not None and self._simulation.is_lost(self._hop.offer.target.zone):
+            self._lose_hop(self._hop)
 
-    def _step(self) -> None:
-        step = self._decision.next_step(self._play.now)
+    def _advance(self) -> None:
+        step = self._decision.next_step(self._simulation.now)
         if isinstance(step, Conclude):
             self._conclude(step)
             return
         routing_state = self._origin.routing_state
         self._offers = step.attempt_number
         if step.attempt_number > 1:
-            routing_state.note_retry(self._upstream, self._play.now)
+            routing_state.note_retry(self._upstream, self._simulation.now)
         permit = routing_state.begin(step.target, self._decision.latency_target, "rehearsed")
         hop = self._begin_hop(step, permit)
-        delay = self._play.delay(self._origin.zone, step.target)
-        self._play.after(delay, lambda: self._reach(hop))
+        delay = self._simulation.delay_seconds(self._origin.zone, step.target)
+        self._simulation.schedule_after(delay, lambda: self._reach_guard(hop))
 
     def _begin_hop(self, offer: Offer, permit: Permit) -> _Hop:
         """Makes a hop the one under way: callbacks of earlier ones do nothing from now on."""
         self._hop = _Hop(offer, permit)
         return self._hop
 
-    def _reach(self, hop: _Hop) -> None:
+    def _reach_guard(self, hop: _Hop) -> None:
         """The hop arrives at the guard, unless its zone is lost."""
         if hop is not self._hop:
             return
-        play, offer = self._play, hop.offer
-        if play.is_lost(offer.target.zone):
-            self._go_dark(hop)
+        simulation, offer = self._simulation, hop.offer
+        if simulation.is_lost(offer.target.zone):
+            self._lose_hop(hop)
             return
-        guard = play.guards[offer.target.node]
-        if self._upstream in play.lapsed:
+        guard = simulation.guards[offer.target.node]
+        if self._upstream in simulation.lapsed:
             self._refuse(hop, "another owner", _REFUSED_RETRY)
             return
         end = self._arrived + self._route.target_latency.total_seconds()
-        turn = QueuePriority(1 + max(0, self._route.priority), end)
-        number = guard.take(turn, offer.queue_seconds, lambda: self._start(hop))
+        priority = QueuePriority(1 + max(0, self._route.priority), end)
+        number = guard.submit(priority, offer.queue_seconds, lambda: self._start_work(hop))
         if number is None:
-            self._refuse(hop, NO_SLOT, max(_REFUSED_RETRY, guard.expected_wait(turn)))
+            self._refuse(hop, NO_SLOT, max(_REFUSED_RETRY, guard.expected_wait(priority)))
         elif number >= 0:
-            play.after(offer.queue_seconds, lambda: self._leave_queue(hop, guard, number))
+            simulation.schedule_after(
+                offer.queue_seconds, lambda: self._leave_queue(hop, guard, number)
+            )
 
     def _leave_queue(self, hop: _Hop, guard: SimulatedGuard, number: int) -> None:
-        if guard.leave(number) and hop is self._hop:
+        if guard.cancel(number) and hop is self._hop:
             self._refuse(hop, NO_SLOT, _REFUSED_RETRY)
 
-    def _start(self, hop: _Hop) -> None:
+    def _start_work(self, hop: _Hop) -> None:
         """A slot was obtained."""
-        play, target = self._play, hop.offer.target
-        guard = play.guards[target.node]
-        limits = find_cold_limits(play.view, target.upstream)
+        simulation, target = self._simulation, hop.offer.target
+        guard = simulation.guards[target.node]
+        limits = find_cold_limits(simulation.view, target.upstream)
         most = cold_rate_limit(limits, self._origin.routing_state.bounds)
-        if hop is not self._hop or not guard.cold.may_offer(play.now, most):
+        if hop is not self._hop or not guard.cold.may_offer(simulation.now, most):
             # Returned after this call, as the guard is still assigning slots.
-            play.after(0.0, guard.give_back)
+            simulation.schedule_after(0.0, guard.release)
             if hop is self._hop:
-                self._refuse(hop, "cold", guard.cold.retry_after(play.now))
+                self._refuse(hop, "cold", guard.cold.retry_after(simulation.now))
             return
         self._is_slot_held = True
-        spread = play.config.service_time_spread
-        seconds = play.route_service_seconds(self._route.name, self._upstream)
-        seconds *= play.random.uniform(1 - spread, 1 + spread)
-        play.after(seconds, lambda: self._finish(hop, guard, seconds))
+        spread = simulation.config.service_time_spread
+        seconds = simulation.route_service_seconds(self._route.name, self._upstream)
+        seconds *= simulation.random.uniform(1 - spread, 1 + spread)
+        simulation.schedule_after(seconds, lambda: self._finish(hop, guard, seconds))
 
     def _finish(self, hop: _Hop, guard: SimulatedGuard, seconds: float) -> None:
         """The target has finished, whether or not anybody still waits."""
-        guard.give_back()
+        guard.release()
         if hop is not self._hop:
             return
-        play, target = self._play, guard.target
+        simulation, target = self._simulation, guard.target
         self._is_slot_held = False
         result = HopResult(HopOutcome.ANSWERED, _DONE, load=guard.load, service_seconds=seconds)
-        play.after(play.delay(self._origin.zone, target), lambda: self._take(hop, result))
+        simulation.schedule_after(
+            simulation.delay_seconds(self._origin.zone, target),
+            lambda: self._receive_result(hop, result),
+        )
 
     def _refuse(self, hop: _Hop, step: str, retry_after: float) -> None:
-        play, target = self._play, hop.offer.target
+        simulation, target = self._simulation, hop.offer.target
         result = HopResult(
             HopOutcome.NEVER_OFFERED,
             retry_after=retry_after,
             step=step,
-            load=play.guards[target.node].load,
+            load=simulation.guards[target.node].load,
+        )
+        simulation.schedule_after(
+            simulation.delay_seconds(self._origin.zone, target),
+            lambda: self._receive_result(hop, result),
         )
-        play.after(play.delay(self._origin.zone, target), lambda: self._take(hop, result))
 
-    def _go_dark(self, lost: _Hop) -> None:
+    def _lose_hop(self, lost: _Hop) -> None:
         """No answer will come: schedules how and when the sender notices."""
-        play = self._play
+        simulation = self._simulation
         self._is_slot_held = False
         is_first = not self._reached_lost_zone
         self._reached_lost_zone = True
         hop, target = self._begin_hop(lost.offer, lost.permit), lost.offer.target
         routing_state = self._origin.routing_state
-        if play.now > play.loss_at + play.config.connection_loss_seconds:
+        if simulation.now > simulation.loss_at + simulation.config.connection_loss_seconds:
             # The connection has been closed by now and a new one cannot be opened.
             self._reached_lost_zone = not is_first
             result = HopResult(HopOutcome.NEVER_OFFERED, step="connect")
-            play.after(play.config.connect_timeout_seconds, lambda: self._take(hop, result))
+            simulation.schedule_after(
+                simulation.config.connect_timeout_seconds, lambda: self._receive_result(hop, result)
+            )
             return
-        silent = play.config.unresponsive_seconds
-        play.after(silent, lambda: routing_state.selector.note_unresponsive(target.peer, play.now))
-        wait = silent if self._is_repeatable else play.config.connection_loss_seconds
-        left = max(0.0, self._deadline - play.now)
+        silent = simulation.config.unresponsive_seconds
+        simulation.schedule_after(
+            silent, lambda: routing_state.selector.note_unresponsive(target.peer, simulation.now)
+        )
+        wait = silent if self._is_repeatable else simulation.config.connection_loss_seconds
+        left = max(0.0, self._deadline - simulation.now)
         step = "silent" if self._is_repeatable else "connection"
         if left < wait:
             wait, step = left, "deadline"
         result = HopResult(HopOutcome.UNKNOWN, step=step)
-        play.after(wait, lambda: self._take(hop, result))
+        simulation.schedule_after(wait, lambda: self._receive_result(hop, result))
 
-    def _take(self, hop: _Hop, result: HopResult) -> None:
+    def _receive_result(self, hop: _Hop, result: HopResult) -> None:
         """The result of the hop arrives at the sender."""
-        if hop is not self._hop or self._play.is_lost(self._origin.zone):
+        if hop is not self._hop or self._simulation.is_lost(self._origin.zone):
             return
         target = hop.offer.target
         self._origin.routing_state.end(target, hop.permit, result, self._decision.latency_target)
         self._decision.note(target, result)
-        self._step()
+        self._advance()
 
     def _conclude(self, step: Conclude) -> None:
         status = step.answer.status
@@ -203,14 +215,14 @@
             self._end("stalled" if self._is_repeatable else "unknown", step.step, "")
 
     def _end(self, what: str, step: str, zone: str) -> None:
-        play = self._play
-        play.active_requests.pop(self, None)
+        simulation = self._simulation
+        simulation.active_requests.pop(self, None)
         self._hop = None
-        phase = play.phase(self._arrived)
+        phase = simulation.phase(self._arrived)
         if phase is None:
             return
-        late = play.now - self._arrived > self._route.target_latency.total_seconds()
-        play.tally.add(
+        late = simulation.now - self._arrived > self._route.target_latency.total_seconds()
+        simulation.statistics.add(
             RequestOutcome(
                 self._route.name,
                 self._upstream,
--- a/marblefold/rehearsal/simulation.py
+++ b/marblefold/rehearsal/simulation.py
@@ -27,7 +27,7 @@
 
 __all__ = ["Simulation", "detection_seconds"]
 
-_PASS_ON_SECONDS = 0.2
+_GOSSIP_ROUND_SECONDS = 0.2
 
 
 class Simulation:
@@ -38,16 +38,16 @@
         snapshot: Snapshot,
         lost: frozenset[str],
         config: SimulationConfig = SimulationConfig(),
-        tally: OutcomeStatistics | None = None,
+        statistics: OutcomeStatistics | None = None,
     ) -> None:
         self.config = config
-        self.tally = tally if tally is not None else OutcomeStatistics()
+        self.statistics = statistics if statistics is not None else OutcomeStatistics()
         self.now = time.monotonic()
         self.view = make_view(snapshot)
         self.random = random.Random(config.seed)
         self._snapshot = snapshot
         self._lost = lost
-        self._began = self.now
+        self._started_at = self.now
         self.loss_at = self.now + config.before_loss_seconds
         self.is_loss_past = False
         # Services whose owner's agent is lost and whose lease has expired.
@@ -77,24 +77,26 @@
         for flow in self._snapshot.flows:
             route = self._routes.get(flow.route)
             if route is not None and flow.per_second > 0:
-                self.after(self._pause(flow), partial(self._arrive, flow, route))
-        self.at(self.loss_at, self._lose)
+                self.schedule_after(
+                    self._interarrival_seconds(flow), partial(self._arrive, flow, route)
+                )
+        self.schedule_at(self.loss_at, self._lose_zones)
         end = self.loss_at + self.config.after_loss_seconds
-        played = 0
+        processed = 0
         while self._events and self._events[0][0] <= end:
             self.now, _number, act = heapq.heappop(self._events)
             act()
-            played += 1
-            if played % slice_events == 0:
+            processed += 1
+            if processed % slice_events == 0:
                 yield
 
-    def at(self, when: float, act: Callable[[], None]) -> None:
+    def schedule_at(self, when: float, act: Callable[[], None]) -> None:
         """Schedules a callback at a time."""
         heapq.heappush(self._events, (max(when, self.now), next(self._order), act))
 
-    def after(self, seconds: float, act: Callable[[], None]) -> None:
+    def schedule_after(self, seconds: float, act: Callable[[], None]) -> None:
         """Schedules a callback in so many seconds."""
-        self.at(self.now + seconds, act)
+        self.schedule_at(self.now + seconds, act)
 
     def is_lost(self, zone: str) -> bool:
         """Whether the zone is lost."""
@@ -102,7 +104,7 @@
 
     def phase(self, arrived: float) -> Phase | None:
         """The phase of a request by its arrival; None for the warm-up, which is not counted."""
-        if arrived < self._began + self.config.before_loss_seconds / 3:
+        if arrived < self._started_at + self.config.before_loss_seconds / 3:
             return None
         if arrived < self.loss_at:
             return Phase.BEFORE
@@ -117,7 +119,7 @@
             Phase.AFTER: max(0.1, self.config.after_loss_seconds - unsettled),
         }[phase]
 
-    def delay(self, zone: str, target: KnownTarget) -> float:
+    def delay_seconds(self, zone: str, target: KnownTarget) -> float:
         """One-way delay in seconds from a zone to a target."""
         if zone == target.zone:
             return self.config.in_zone_seconds
@@ -168,25 +170,25 @@
                 )
         return works
 
-    def _pause(self, flow: Flow) -> float:
+    def _interarrival_seconds(self, flow: Flow) -> float:
         # Poisson arrivals: near full capacity the randomness matters.
         return self.random.expovariate(flow.per_second)
 
     def _arrive(self, flow: Flow, route: Route) -> None:
-        self.after(self._pause(flow), lambda: self._arrive(flow, route))
+        self.schedule_after(self._interarrival_seconds(flow), lambda: self._arrive(flow, route))
         zone = flow.zone
         if self.is_lost(zone):
             # Clients of a lost zone are lost too, until the platform moves them.
             since = self.now - self.loss_at
             if not self.config.clients_move or since < self.config.clients_move_seconds:
                 return
-            zone = self._move(flow)
+            zone = self._choose_new_zone(flow)
         upstream = self.random.choices(route.upstreams, route.weights)[0]
         origin = self.random.choice(self._origins[zone])
         kilobytes = ASSUMED_KILOBYTES if flow.kilobytes is None else flow.kilobytes
-        SimulatedRequest(self, origin, route, upstream, kilobytes).begin()
+        SimulatedRequest(self, origin, route, upstream, kilobytes).start()
 
-    def _move(self, flow: Flow) -> str:
+    def _choose_new_zone(self, flow: Flow) -> str:
         """The zone that a client of a lost zone moves to: as the other clients of its route."""
         left = [
             other
@@ -197,16 +199,16 @@
             return self.random.choice(sorted(set(self._origins) - self._lost))
         return self.random.choices(left, [other.per_second for other in left])[0].zone
 
-    def _lose(self) -> None:
+    def _lose_zones(self) -> None:
         """The lost zones are lost, with all that is in progress there."""
         self.is_loss_past = True
-        for flight in list(self.active_requests):
-            flight.note_zone_loss()
-        self.at(self.settled_at, self._learn_of_loss)
+        for request in list(self.active_requests):
+            request.note_zone_loss()
+        self.schedule_at(self.settled_at, self._learn_of_loss)
         for upstream, owner in self._snapshot.owners.items():
             zone = self._snapshot.registries.get(owner.agent)
             if zone in self._lost:
-                self.after(LEASE_SECONDS, partial(self.lapsed.add, upstream))
+                self.schedule_after(LEASE_SECONDS, partial(self.lapsed.add, upstream))
 
     def _learn_of_loss(self) -> None:
         # By now membership has spread the suspicion to every node.
@@ -223,5 +225,5 @@
         config.probe_interval_seconds
         + config.direct_timeout_seconds
         + config.indirect_timeout_seconds
-        + hops * _PASS_ON_SECONDS
+        + hops * _GOSSIP_ROUND_SECONDS
     )
--- a/marblefold/rehearsal/simulation_context.py
+++ b/marblefold/rehearsal/simulation_context.py
@@ -1,4 +1,4 @@
-"""What a request of a rehearsal uses of the play, so that neither imports the other."""
+"""What a request of a rehearsal uses of the simulation, so that neither imports the other."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -23,7 +23,7 @@
     """What a SimulatedRequest uses of its Simulation; times in seconds on the simulated clock."""
 
     config: SimulationConfig
-    tally: OutcomeStatistics
+    statistics: OutcomeStatistics
     view: MeshView
     random: random.Random
     now: float
@@ -37,13 +37,13 @@
     def guards(self) -> Mapping[str, SimulatedGuard]:
         """The guard beside each target, by node name."""
 
-    def after(self, seconds: float, act: Callable[[], None]) -> None:
+    def schedule_after(self, seconds: float, act: Callable[[], None]) -> None:
         """Runs the callback that many seconds from now."""
 
     def is_lost(self, zone: str) -> bool:
         """Whether the zone is lost."""
 
-    def delay(self, zone: str, target: KnownTarget) -> float:
+    def delay_seconds(self, zone: str, target: KnownTarget) -> float:
         """One-way delay from the zone to the target."""
 
     def route_service_seconds(self, route: str, upstream: str) -> float:
--- a/tests/test_region_loss.py
+++ b/tests/test_region_loss.py
@@ -68,14 +68,14 @@
     def scatter(*counts_and_spans):
         return FLOOR + DEVIATIONS * sum(count / span**2 for count, span in counts_and_spans) ** 0.5
 
-    for kind in forecast.kinds:
-        ended = [(e, at) for e, at in endings if e.route == kind.route]
+    for route in forecast.routes:
+        ended = [(e, at) for e, at in endings if e.route == route.route]
         before = [e for e, at in ended if -WARM * 2 / 3 <= at < -0.5]
         after = [e for e, at in ended if settled <= at < known_until]
-        name = kind.route
+        name = route.route
         compare(
             f"{name} before",
-            kind.before,
+            route.before,
             len(before) / spans[0],
             SHARE,
             scatter((len(before), spans[0])),
@@ -83,28 +83,28 @@
         gone = len(before) / spans[0] - len(after) / spans[1]
         compare(
             f"{name} gone",
-            kind.gone_with_clients,
+            route.gone_with_clients,
             max(0.0, gone),
             SHARE,
             scatter((len(before), spans[0]), (len(after), spans[1])),
         )
-        is_read = kind.kind == "read_only"
+        is_read = route.kind == "read_only"
         stalled = sum(
             1 for e in after if e.status in (429, 503) or (is_read and e.status in (502, 504))
         )
         compare(
             f"{name} stalls",
-            kind.stalls_after,
+            route.stalls_after,
             stalled / spans[1],
             SHARE,
             scatter((stalled, spans[1])),
         )
         carried = [e for e in after if e.status == 200]
-        total = sum(kind.zones_after.values())
-        for zone in set(kind.zones_after) | {e.zone for e in carried}:
+        total = sum(route.zones_after.values())
+        for zone in set(route.zones_after) | {e.zone for e in carried}:
             if len(carried) > 20 and total:
                 share = sum(1 for e in carried if e.zone == zone) / len(carried)
-                told = kind.zones_after.get(zone, 0.0) / total
+                told = route.zones_after.get(zone, 0.0) / total
                 compare(f"{name} share of {zone}", told, share, 0.0, ZONE_SHARE)
         doubles = (
             0
@@ -117,7 +117,7 @@
         )
         compare(
             f"{name} may go twice",
-            kind.may_go_twice,
+            route.may_go_twice,
             doubles / len(meshes),
             DOUBLES_SHARE,
             scatter((doubles, len(meshes))),
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -53,7 +53,7 @@
     assert "homes or owner forbid what is left" in text and "may go through twice" in text
     assert "1 of 3 stores left, NO MAJORITY" in text and "partner routes lapse" in text
     assert "the agent of its owner north is lost" in text and not forecast.is_harmless
-    assert sum(kind.gone_with_clients for kind in forecast.kinds) > 10
+    assert sum(route.gone_with_clients for route in forecast.routes) > 10
 
 
 def test_work_is_divided_over_routes_as_their_whole_times_are():
@@ -63,11 +63,11 @@
     for row in document["traffic"]:
         row["seconds"] = 0.1 if row["route"] == "look" else 0.5
     document["service-seconds"] = {"quotes": 0.24}
-    play = Simulation(read_snapshot(json.dumps(document).encode()), EAST)
-    assert abs(play.route_service_seconds("look", "quotes") - 0.08) < 1e-9
-    assert abs(play.route_service_seconds("book", "quotes") - 0.40) < 1e-9
+    simulation = Simulation(read_snapshot(json.dumps(document).encode()), EAST)
+    assert abs(simulation.route_service_seconds("look", "quotes") - 0.08) < 1e-9
+    assert abs(simulation.route_service_seconds("book", "quotes") - 0.40) < 1e-9
     # A route nobody counted takes what the service takes.
-    assert play.route_service_seconds("other", "quotes") == 0.24
+    assert simulation.route_service_seconds("other", "quotes") == 0.24
 
 
 def faults_of(body, regions=(), zones=()):
