--- a/marblefold/rehearsal/reporting.py
+++ b/marblefold/rehearsal/reporting.py
@@ -80,8 +80,8 @@
         yield f"    repeated: {forecast.repeated_reads} in all"
     if forecast.may_go_twice:
         yield (
-            f"    may go through twice: {forecast.may_go_twice} in all (outcome unknown, answered 502 "
-            f"or 504 and never sent again by the mesh; the customer may)"
+            f"    may go through twice: {forecast.may_go_twice} in all (outcome unknown, "
+            f"answered 502 or 504 and never sent again by the mesh; the customer may)"
         )
 
 
--- a/marblefold/rehearsal/simulated_guard.py
+++ b/marblefold/rehearsal/simulated_guard.py
@@ -51,7 +51,7 @@
     ) -> int | None:
         """Starts the request now (-1), queues it (its number), or refuses it (None).
 
-        `max_wait_seconds` is the max_wait_seconds acceptable wait in seconds.
+        `max_wait_seconds` is the longest acceptable wait.
         """
         if self.running < self.target.slots:
             self.running += 1
