--- a/marblefold/planner/command.py
+++ b/marblefold/planner/command.py
@@ -1,4 +1,4 @@
-"""The tool `plan`: shows the effects of a change before it is made."""
+"""The command `plan`: shows the effects of a change before it is made."""
 
 import asyncio
 import json
@@ -31,23 +31,23 @@
 flags.DEFINE_string("proposed", "", "File with the proposed configuration.")
 flags.DEFINE_multi_string("drain", [], "Id of a target that would be drained.")
 flags.DEFINE_multi_string("evacuate", [], "Zone that would be evacuated.")
-flags.DEFINE_multi_string("swap", [], "Store that would be swapped, OLD=NEW.")
+flags.DEFINE_multi_string("swap", [], "Store that would be replaced, OLD=NEW.")
 flags.DEFINE_string("floors", "", "File with the slots that must remain, by upstream.")
 flags.DEFINE_string("traffic", "", "File with requests a second, by route.")
 flags.DEFINE_bool("json", False, "Print JSON instead of text.")
 
-_HARMLESS, _HARMFUL, _USAGE = 0, 1, 2
+_EXIT_HARMLESS, _EXIT_HARMFUL, _EXIT_USAGE = 0, 1, 2
 
 
 def run_planner() -> int:
-    """Plans as the flags say; the exit status.
+    """Plans the change that the flags describe; returns the exit status.
 
-    0 nothing harmful, 1 harmful or invalid, 2 wrong usage, unreadable input or no answer.
+    0: harmless, 1: harmful or invalid, 2: wrong usage, unreadable input or no answer.
     """
     if bool(FLAGS.from_system) == bool(FLAGS.current):
-        return _complain(["give either --from_system or --current"], _USAGE)
+        return _print_errors(["give either --from_system or --current"], _EXIT_USAGE)
     try:
-        before = _gather()
+        before = _load_current_state()
         rows = read_configuration_rows(_read_file(FLAGS.proposed)) if FLAGS.proposed else None
         after = propose(
             before, Proposal(rows, tuple(FLAGS.drain), tuple(FLAGS.evacuate), tuple(FLAGS.swap))
@@ -55,34 +55,34 @@
         floors = read_floors(_read_file(FLAGS.floors)) if FLAGS.floors else {}
         traffic = _read_traffic() if FLAGS.traffic else {}
     except InvalidConfiguration as invalid:
-        return _complain(invalid.faults, _HARMFUL)
+        return _print_errors(invalid.faults, _EXIT_HARMFUL)
     except ExceptionGroup as group:
-        return _complain([str(fault) for fault in group.exceptions], _HARMFUL)
+        return _print_errors([str(error) for error in group.exceptions], _EXIT_HARMFUL)
     except MeshError as error:
-        return _complain([str(error)], _USAGE)
+        return _print_errors([str(error)], _EXIT_USAGE)
     differences = compare(before, after, floors, traffic)
     print(to_json(differences) if FLAGS.json else to_text(differences), end="")
-    return _HARMFUL if differences.faults else _HARMLESS
+    return _EXIT_HARMFUL if differences.faults else _EXIT_HARMLESS
 
 
-def _gather() -> MeshState:
+def _load_current_state() -> MeshState:
     if FLAGS.from_system:
-        configuration, state = asyncio.run(_ask_system(FLAGS.from_system))
+        configuration, state = asyncio.run(_fetch_from_registry(FLAGS.from_system))
     else:
         configuration = _read_file(FLAGS.current)
         state = _read_file(FLAGS.state) if FLAGS.state else b"{}"
     return MeshState(read_configuration_rows(configuration), *read_state(state))
 
 
-async def _ask_system(address: str) -> tuple[bytes, bytes]:
-    """Bodies of the configuration and of the state."""
-    answers = []
+async def _fetch_from_registry(address: str) -> tuple[bytes, bytes]:
+    """Returns the bodies of the configuration and of the state document."""
+    bodies = []
     for path in (wire_names.CONFIGURATION_PATH, wire_names.STATE_PATH):
         status, body = await call_registry(address, RegistryCall("GET", path))
         if status != 200:
             raise MeshError("ask registry", f"{path}: status {status}", address)
-        answers.append(body)
-    return answers[0], answers[1]
+        bodies.append(body)
+    return bodies[0], bodies[1]
 
 
 def _read_file(path: str) -> bytes:
@@ -101,7 +101,7 @@
         raise MeshError("traffic", str(error)) from error
 
 
-def _complain(faults: list[str], status: int) -> int:
-    for fault in faults:
-        print(fault, file=sys.stderr)
+def _print_errors(errors: list[str], status: int) -> int:
+    for error in errors:
+        print(error, file=sys.stderr)
     return status
--- a/marblefold/planner/comparison.py
+++ b/marblefold/planner/comparison.py
@@ -1,4 +1,4 @@
-"""The effects of a change: a pure comparison of the mesh before and after it."""
+"""Compares the state of the mesh before and after a change."""
 
 from collections import defaultdict
 from collections.abc import Collection
@@ -13,7 +13,7 @@
 
 
 class RouteChange(NamedTuple):
-    """One field that differs in a route which both states have."""
+    """One changed field of a route that exists in both states."""
 
     route: str
     field: str
@@ -22,7 +22,7 @@
 
 
 class Share(NamedTuple):
-    """The share of the traffic (0 to 1) of an upstream or zone."""
+    """The share of the traffic that an upstream or zone receives, from 0 to 1."""
 
     name: str
     before: float
@@ -30,7 +30,7 @@
 
 
 class Capacity(NamedTuple):
-    """The slots of an upstream, and its floor: the slots that must remain."""
+    """The slots of an upstream, and its floor: the number of slots that must remain."""
 
     upstream: str
     before: int
@@ -39,12 +39,12 @@
 
     @property
     def is_below_floor(self) -> bool:
-        """Whether the change takes it below the floor."""
+        """Whether fewer slots than the floor remain after the change."""
         return self.after < self.floor
 
 
 class Differences(NamedTuple):
-    """All differences, and as `faults` what would be harmful."""
+    """The differences between two states; `faults` lists the harmful ones."""
 
     added: tuple[str, ...]
     removed: tuple[str, ...]
@@ -61,10 +61,10 @@
     floors: dict[str, int],
     traffic: dict[str, float],
 ) -> Differences:
-    """Compares two states of the mesh.
+    """Returns the differences between two states of the mesh; a pure function.
 
-    `floors` are slots by upstream, `traffic` requests per second by route; without
-    traffic all routes count alike.
+    `floors` gives slots by upstream, `traffic` requests per second by route. If
+    `traffic` is empty, all routes have the same weight.
     """
     old = {(route.host, route.prefix): route for route in before.rows.routes}
     new = {(route.host, route.prefix): route for route in after.rows.routes}
@@ -97,8 +97,8 @@
     )
 
 
-def _flows(rows: Rows, traffic: dict[str, float]):
-    """Each route's part of the traffic, split over its upstreams."""
+def _split_traffic(rows: Rows, traffic: dict[str, float]):
+    """Yields the share of the traffic of each route and upstream."""
     rates = {route.name: traffic.get(route.name, 0.0) if traffic else 1.0 for route in rows.routes}
     total = sum(rates.values()) or 1.0
     for route in rows.routes:
@@ -109,36 +109,39 @@
 
 def _share_upstreams(rows: Rows, traffic: dict[str, float]) -> dict[str, float]:
     shares: dict[str, float] = defaultdict(float)
-    for _route, upstream, part in _flows(rows, traffic):
-        shares[upstream] += part
+    for _route, upstream, share in _split_traffic(rows, traffic):
+        shares[upstream] += share
     return shares
 
 
 def _share_zones(mesh_state: MeshState, traffic: dict[str, float]) -> dict[str, float]:
-    """Traffic by zone, spread evenly over the slots."""
+    """Returns the share of the traffic of each zone, spread evenly over the slots."""
     shares: dict[str, float] = defaultdict(float)
-    for route, upstream, part in _flows(mesh_state.rows, traffic):
-        targets = _selectable(mesh_state, upstream, route.allowed_regions)
+    for route, upstream, share in _split_traffic(mesh_state.rows, traffic):
+        targets = _find_selectable(mesh_state, upstream, route.allowed_regions)
         slots = sum(target.slots for target in targets)
         for target in targets:
-            shares[target.zone] += part * target.slots / slots
+            shares[target.zone] += share * target.slots / slots
         if not targets:
-            shares["(nowhere)"] += part
+            shares["(nowhere)"] += share
     return shares
 
 
-def _selectable(mesh_state: MeshState, upstream: str, homes: Collection[str]) -> list[KnownTarget]:
-    """The targets that proxies would select, by the rules of the request path."""
+def _find_selectable(
+    mesh_state: MeshState, upstream: str, allowed_regions: Collection[str]
+) -> list[KnownTarget]:
+    """Returns the targets that proxies may select, by the rules of the request path."""
     eligible = [
         target
         for target in mesh_state.targets
-        if target.upstream == upstream and is_eligible(target, mesh_state.evacuated, homes)
+        if target.upstream == upstream
+        and is_eligible(target, mesh_state.evacuated, allowed_regions)
     ]
     return [target for target in eligible if not is_last_resort(target)] or eligible
 
 
 def count_slots(mesh_state: MeshState, upstream: str) -> int:
-    """The slots of an upstream, without those of cold, draining and leaving targets."""
+    """Returns the slots of an upstream, without those of cold, draining and leaving targets."""
     return sum(
         target.slots
         for target in mesh_state.targets
@@ -164,6 +167,6 @@
             yield f"{row.upstream}: {row.after} slots left, the floor is {row.floor}"
     for route in after.rows.routes:
         for upstream in route.upstreams:
-            # Without any known targets (no state given) nothing can be said.
-            if after.targets and not _selectable(after, upstream, route.allowed_regions):
+            # Without known targets (no state was given) this cannot be checked.
+            if after.targets and not _find_selectable(after, upstream, route.allowed_regions):
                 yield f"route {route.name}: no target of {upstream} is left"
--- a/marblefold/planner/mesh_state.py
+++ b/marblefold/planner/mesh_state.py
@@ -1,4 +1,4 @@
-"""The input of a plan: configuration, targets and floors, read and checked."""
+"""Reads and validates the input of a plan: configuration, targets and floors."""
 
 import json
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class MeshState(NamedTuple):
-    """The mesh as it is, or as it would be."""
+    """The current state of the mesh, or the state after a change."""
 
     rows: Rows
     targets: tuple[KnownTarget, ...]
@@ -23,21 +23,21 @@
 
 
 def read_configuration_rows(body: bytes) -> Rows:
-    """The rows of a configuration, checked as the registries check it.
+    """Returns the rows of a configuration, validated as registries validate it.
 
-    Raises InvalidConfiguration with every fault.
+    Raises InvalidConfiguration with all errors.
     """
     return read_rows(lay_out(read_configuration(body)))
 
 
 def read_state(body: bytes) -> tuple[tuple[KnownTarget, ...], frozenset[str], tuple[str, ...]]:
-    """Targets, evacuated zones and store members of a registry's state document.
+    """Returns targets, evacuated zones and store members from a registry's state document.
 
-    Raises MeshError that names the bad field.
+    Raises a MeshError that names the invalid field.
     """
     document = _read_object(body, "state")
     targets = []
-    for index, row in enumerate(_list(document, "targets", "state")):
+    for index, row in enumerate(_read_list(document, "targets", "state")):
         try:
             targets.append(
                 KnownTarget(
@@ -57,12 +57,15 @@
             )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
             raise MeshError("state", f"targets[{index}]: {error}") from error
-    evacuated = frozenset(map(str, _list(document, "evacuated", "state")))
-    return tuple(targets), evacuated, tuple(map(str, _list(document, "members", "state")))
+    evacuated = frozenset(map(str, _read_list(document, "evacuated", "state")))
+    return tuple(targets), evacuated, tuple(map(str, _read_list(document, "members", "state")))
 
 
 def read_floors(body: bytes) -> dict[str, int]:
-    """The slots that must remain, by upstream. Raises MeshError that names the bad one."""
+    """Returns the slots that must remain, by upstream.
+
+    Raises a MeshError that names the upstream with an invalid number.
+    """
     document = _read_object(body, "floors")
     floors = {}
     for upstream, slots in document.items():
@@ -82,7 +85,7 @@
     return document
 
 
-def _list(document: dict, name: str, step: str) -> list:
+def _read_list(document: dict, name: str, step: str) -> list:
     value = document.get(name, [])
     if not isinstance(value, list):
         raise MeshError(step, f"{name}: not a list")
--- a/marblefold/planner/reporting.py
+++ b/marblefold/planner/reporting.py
@@ -1,4 +1,4 @@
-"""Prints a plan as text or JSON."""
+"""Formats a plan as text or JSON."""
 
 import json
 from collections.abc import Iterator
@@ -8,11 +8,11 @@
 
 __all__ = ["to_json", "to_text"]
 
-_LEAST_SHOWN = 0.0005
+_MIN_MARKED_DIFFERENCE = 0.0005
 
 
 def to_json(differences: Differences) -> str:
-    """The plan as one JSON object."""
+    """Returns the plan as a JSON object."""
     return json.dumps(
         {
             "harmful": bool(differences.faults),
@@ -23,8 +23,8 @@
                     {
                         "route": change.route,
                         "field": change.field.replace("_", "-"),
-                        "before": _plain(change.before),
-                        "after": _plain(change.after),
+                        "before": _to_json_value(change.before),
+                        "after": _to_json_value(change.after),
                     }
                     for change in differences.changed
                 ],
@@ -39,7 +39,7 @@
 
 
 def to_text(differences: Differences) -> str:
-    """The plan as lines of text."""
+    """Returns the plan as lines of text."""
     return "\n".join(_lines(differences)) + "\n"
 
 
@@ -50,10 +50,10 @@
         yield f"route {name}: removed"
     for change in differences.changed:
         field = change.field.replace("_", "-")
-        yield f"route {change.route}: {field} {_plain(change.before)} -> {_plain(change.after)}"
+        yield f"route {change.route}: {field} {_to_json_value(change.before)} -> {_to_json_value(change.after)}"
     for title, shares in (("upstream", differences.upstreams), ("zone", differences.zones)):
         for share in shares:
-            mark = "" if abs(share.before - share.after) < _LEAST_SHOWN else "  *"
+            mark = "" if abs(share.before - share.after) < _MIN_MARKED_DIFFERENCE else "  *"
             yield f"{title} {share.name}: {share.before:.1%} -> {share.after:.1%} of traffic{mark}"
     for row in differences.capacity:
         floor = f", floor {row.floor}" if row.floor else ""
@@ -64,7 +64,7 @@
         yield "nothing harmful"
 
 
-def _plain(value: object) -> object:
+def _to_json_value(value: object) -> object:
     if isinstance(value, timedelta):
         return f"{value / timedelta(milliseconds=1):g} ms"
     return list(value) if isinstance(value, tuple) else value
--- a/marblefold/rehearsal/calls.py
+++ b/marblefold/rehearsal/calls.py
@@ -1,7 +1,7 @@
-"""The read-only calls for a snapshot of the system and for a rehearsal from it.
+"""The read-only calls that return a snapshot of the system and rehearse a loss from it.
 
-One rehearsal runs at a time, in slices between which the registry does its
-other work; a second one is answered 503.
+One rehearsal runs at a time; a second one is answered 503. It runs in slices,
+between which the registry does its other work.
 """
 
 import asyncio
@@ -23,19 +23,19 @@
 
 __all__ = ["RehearsalCalls"]
 
-_MOST_REQUESTS = 8_000
-# Seconds between slices, for the registry's other work.
+_MAX_REQUESTS = 8_000
+# The pause after each slice, for the other work of the registry.
 _PAUSE_SECONDS = 0.01
-_LONGEST_SECONDS = 20.0
-_BUSY_RETRY = 2.0
+_TIMEOUT_SECONDS = 20.0
+_RETRY_AFTER_SECONDS = 2.0
 
 
 class RehearsalCalls:
-    """Answers from the state of this registry; sends nothing to other nodes."""
+    """Answers from the state of this registry and the stored configuration; changes nothing."""
 
-    def __init__(self, words, make_parts: Callable[[], dict]) -> None:
-        self._words = words
-        self._make_parts = make_parts
+    def __init__(self, store_client, describe_parts: Callable[[], dict]) -> None:
+        self._store_client = store_client
+        self._describe_parts = describe_parts
         self._is_busy = False
 
     def add_to(self, router: CallRouter) -> None:
@@ -44,28 +44,34 @@
         router.add("GET", wire_names.REHEARSAL_PATH, self._rehearse)
 
     async def _snapshot(self, _call: Call) -> Answer:
-        document = await self._take()
+        document = await self._take_snapshot()
         return document if isinstance(document, Answer) else json_answer(200, document)
 
     async def _rehearse(self, call: Call) -> Answer:
-        asked = parse_qs(call.query)
+        parameters = parse_qs(call.query)
         if self._is_busy:
-            return json_answer(503, {wire_names.REASON: "a rehearsal is under way"}, _BUSY_RETRY)
+            return json_answer(
+                503, {wire_names.REASON: "a rehearsal is under way"}, _RETRY_AFTER_SECONDS
+            )
         self._is_busy = True
         try:
-            async with asyncio.timeout(_LONGEST_SECONDS):
+            async with asyncio.timeout(_TIMEOUT_SECONDS):
                 return await self._simulate(
-                    asked.get("region", []), asked.get("zone", []), asked.get("clients", ["move"])
+                    parameters.get("region", []),
+                    parameters.get("zone", []),
+                    parameters.get("clients", ["move"]),
                 )
         except TimeoutError:
             return json_answer(
-                503, {wire_names.REASON: "too much for this registry: use the command"}, _BUSY_RETRY
+                503,
+                {wire_names.REASON: "too much for this registry: use the command"},
+                _RETRY_AFTER_SECONDS,
             )
         finally:
             self._is_busy = False
 
     async def _simulate(self, regions: list[str], zones: list[str], clients: list[str]) -> Answer:
-        # Imported here, as nothing else in a registry needs them.
+        # Imported on use, as nothing else in a registry needs these modules.
         from marblefold.rehearsal.forecast import find_lost_zones, rehearse_in_slices
         from marblefold.rehearsal.reporting import to_json_object
         from marblefold.rehearsal.simulation_config import SimulationConfig
@@ -73,7 +79,7 @@
 
         if clients not in (["move"], ["gone"]):
             return json_answer(400, {wire_names.REASON: "clients: move or gone, once"})
-        document = await self._take()
+        document = await self._take_snapshot()
         if isinstance(document, Answer):
             return document
         try:
@@ -84,29 +90,29 @@
         config = SimulationConfig(
             before_loss_seconds=1.5,
             after_loss_seconds=5.0,
-            max_requests=_MOST_REQUESTS,
+            max_requests=_MAX_REQUESTS,
             runs=2,
             clients_move=clients == ["move"],
         )
-        steps = rehearse_in_slices(snapshot, lost, config)
+        slices = rehearse_in_slices(snapshot, lost, config)
         while True:
             try:
-                next(steps)
+                next(slices)
             except StopIteration as end:
                 return json_answer(200, to_json_object(end.value))
             await asyncio.sleep(_PAUSE_SECONDS)
 
-    async def _take(self) -> dict | Answer:
+    async def _take_snapshot(self) -> dict | Answer:
         try:
-            word = await self._words.ask("describe", "configuration")
+            stored = await self._store_client.ask("describe", "configuration")
         except MeshError as error:
             return not_now_answer(error)
-        if not word.value:
+        if not stored.value:
             return json_answer(404, {wire_names.REASON: "no configuration yet"})
         return {
             "format": "marblefold-snapshot",
             "version": 1,
             "taken-at": datetime.now(UTC).isoformat(),
-            "configuration": json.loads(word.value),
-            **self._make_parts(),
+            "configuration": json.loads(stored.value),
+            **self._describe_parts(),
         }
--- a/marblefold/rehearsal/command.py
+++ b/marblefold/rehearsal/command.py
@@ -1,4 +1,4 @@
-"""The tool `rehearse`: the effects of losing a region or zones."""
+"""The command `rehearse`: forecasts the effects of losing a region or zones."""
 
 import asyncio
 import json
@@ -21,30 +21,30 @@
 if "registry" not in FLAGS:
     flags.DEFINE_string("registry", "", "Registry to take the snapshot from, HOST:PORT.")
 flags.DEFINE_string("snapshot", "", "File with a snapshot, instead of a registry.")
-flags.DEFINE_string("save", "", "File to keep the snapshot in.")
+flags.DEFINE_string("save", "", "File to save the snapshot in.")
 flags.DEFINE_multi_string("lose_region", [], "Region that would be lost.")
 flags.DEFINE_multi_string("lose_zone", [], "Zone that would be lost.")
 flags.DEFINE_enum(
     "clients",
     "move",
     ["move", "gone"],
-    "What becomes of clients of the lost "
-    "place: the platform moves them elsewhere, or they are lost with it.",
+    "What happens to the clients of the lost "
+    "zones: the platform moves them elsewhere, or they are lost as well.",
 )
 flags.DEFINE_integer("seed", 1, "Another seed simulates other traffic of the same rates.")
 flags.DEFINE_bool("as_json", False, "Print JSON instead of text.")
 
-_CARRIED, _HARMED, _USAGE = 0, 1, 2
+_EXIT_HARMLESS, _EXIT_HARMFUL, _EXIT_USAGE = 0, 1, 2
 
 
 def run_rehearsal(arguments: list[str]) -> int:
-    """Rehearses as the flags say; the exit status.
+    """Rehearses the loss that the flags name; returns the exit status.
 
-    0 all is carried, 1 something is not, 2 wrong usage, bad snapshot or no answer.
+    0: all requests are carried, 1: some are not, 2: wrong usage, bad snapshot or no answer.
     """
-    loses = bool(FLAGS.lose_region or FLAGS.lose_zone)
-    if arguments or bool(FLAGS.registry) == bool(FLAGS.snapshot) or not (loses or FLAGS.save):
-        return _complain(
+    names_loss = bool(FLAGS.lose_region or FLAGS.lose_zone)
+    if arguments or bool(FLAGS.registry) == bool(FLAGS.snapshot) or not (names_loss or FLAGS.save):
+        return _print_errors(
             [
                 (
                     "usage: python3 -m marblefold rehearse "
@@ -54,20 +54,20 @@
             ]
         )
     try:
-        body = _gather()
+        body = _load_snapshot()
         snapshot = read_snapshot(body)
         if FLAGS.save:
-            _write(FLAGS.save, body)
-        if not loses:
-            return _CARRIED
+            _write_file(FLAGS.save, body)
+        if not names_loss:
+            return _EXIT_HARMLESS
         lost = find_lost_zones(snapshot, FLAGS.lose_region, FLAGS.lose_zone)
         forecast = rehearse(
             snapshot, lost, SimulationConfig(seed=FLAGS.seed, clients_move=FLAGS.clients == "move")
         )
     except MeshError as error:
-        return _complain([str(error)])
+        return _print_errors([str(error)])
     except ExceptionGroup as group:
-        return _complain([str(fault) for fault in group.exceptions])
+        return _print_errors([str(error) for error in group.exceptions])
     now = datetime.now(UTC)
     if is_stale(snapshot, now):
         print(f"the snapshot is {snapshot.age(now)} old", file=sys.stderr)
@@ -77,10 +77,10 @@
         else to_text(forecast)
     )
     print(text, end="")
-    return _CARRIED if forecast.is_harmless else _HARMED
+    return _EXIT_HARMLESS if forecast.is_harmless else _EXIT_HARMFUL
 
 
-def _gather() -> bytes:
+def _load_snapshot() -> bytes:
     if FLAGS.snapshot:
         try:
             with open(FLAGS.snapshot, "rb") as file:
@@ -95,7 +95,7 @@
     return json.dumps(document, indent=1).encode()
 
 
-def _write(path: str, body: bytes) -> None:
+def _write_file(path: str, body: bytes) -> None:
     try:
         with open(path, "wb") as file:
             file.write(body)
@@ -103,7 +103,7 @@
         raise MeshError("write file", f"{path}: {error.strerror}") from error
 
 
-def _complain(faults: list[str]) -> int:
-    for fault in faults:
-        print(fault, file=sys.stderr)
-    return _USAGE
+def _print_errors(errors: list[str]) -> int:
+    for error in errors:
+        print(error, file=sys.stderr)
+    return _EXIT_USAGE
--- a/marblefold/rehearsal/forecast.py
+++ b/marblefold/rehearsal/forecast.py
@@ -1,4 +1,4 @@
-"""Forecasts what the loss of regions or zones would do, service by service."""
+"""Forecasts the effects of losing regions or zones, for each route and service."""
 
 from collections.abc import Generator
 
@@ -14,16 +14,16 @@
 
 
 def find_lost_zones(snapshot: Snapshot, regions: list[str], zones: list[str]) -> frozenset[str]:
-    """The zones that would be lost.
+    """Returns the zones that would be lost.
 
-    Raises an ExceptionGroup of MeshError, one for each region or zone that is
-    unknown, or where none or all zones are named.
+    Raises an ExceptionGroup with a MeshError for each unknown region or zone, and if
+    no zone or every zone is named.
     """
     faults = []
     lost: set[str] = set()
     known = snapshot.zone_regions
     for region in regions:
-        found = {zone for zone, of in known.items() if of == region}
+        found = {zone for zone, zone_region in known.items() if zone_region == region}
         if not found:
             faults.append(MeshError("lose", f"region: no region {region!r}"))
         lost |= found
@@ -45,11 +45,14 @@
     lost: frozenset[str],
     config: SimulationConfig = SimulationConfig(),
 ) -> Forecast:
-    """The forecast: a pure function of snapshot, lost zones and configuration, seed included."""
-    steps = rehearse_in_slices(snapshot, lost, config)
+    """Returns the forecast: a pure function of the snapshot, the lost zones and the settings.
+
+    The seed is one of the settings.
+    """
+    slices = rehearse_in_slices(snapshot, lost, config)
     while True:
         try:
-            next(steps)
+            next(slices)
         except StopIteration as end:
             return end.value
 
@@ -59,10 +62,10 @@
     lost: frozenset[str],
     config: SimulationConfig = SimulationConfig(),
 ) -> Generator[None, None, Forecast]:
-    """The same in slices: yields after each hundred events and returns the forecast at its end."""
+    """Computes the same forecast in slices: yields after every 100 events, returns the forecast."""
     expected = Simulation(snapshot, lost, config).expected_requests
-    # One play of many requests is as exact as several of few. Above the limit
-    # a shorter time is played, down to the least that still shows the effect.
+    # One run of many requests is as exact as several of few. Above the limit a shorter
+    # time is simulated, down to the minimum that still shows the effect.
     runs = max(1, min(config.runs, int(config.max_requests / max(1.0, expected))))
     if expected > config.max_requests:
         factor = config.max_requests / expected
--- a/marblefold/rehearsal/forecast_model.py
+++ b/marblefold/rehearsal/forecast_model.py
@@ -1,4 +1,4 @@
-"""What a forecast says; rates are per second, times in seconds."""
+"""The types of a forecast; rates are per second, times in seconds."""
 
 from typing import NamedTuple
 
@@ -6,16 +6,19 @@
 
 
 class RouteForecast(NamedTuple):
-    """The requests of one route to one service; rates per second, `late_*` as shares."""
+    """The forecast for the requests of one route to one service.
+
+    Rates are per second; `late_before` and `late_after` are shares from 0 to 1.
+    """
 
     route: str
     upstream: str
     kind: str
     before: float
-    # Where it is answered, by zone.
+    # The rate of answers by zone.
     zones_before: dict[str, float]
     zones_after: dict[str, float]
-    # The part of what the lost zones answered that is now answered elsewhere.
+    # The rate of requests that the lost zones answered and other zones answer now.
     carried_elsewhere: float
     gone_with_clients: float
     stalls_before: float
@@ -29,7 +32,7 @@
 
 
 class Capacity(NamedTuple):
-    """The slots of a service, and their mean use."""
+    """The slots of a service, and how many are in use on average."""
 
     upstream: str
     slots_before: int
@@ -39,7 +42,7 @@
 
 
 class ControlPlane(NamedTuple):
-    """The stores: how many are left, and what follows for control."""
+    """The remaining stores, and the consequences for the control plane."""
 
     stores: int
     stores_left: int
@@ -59,8 +62,11 @@
 
     @property
     def is_harmless(self) -> bool:
-        """Whether nothing stalls beyond what did before, nothing may run twice, and a majority
-        of the stores is left."""
+        """Whether a majority of the stores remains, and no route suffers from the loss.
+
+        No request may run twice. The rate of stalls may grow by at most 2 % of the previous
+        request rate until all nodes know of the loss, and by at most 0.5 % after that.
+        """
         return (
             not any(
                 route.may_go_twice
--- a/marblefold/rehearsal/forecast_summary.py
+++ b/marblefold/rehearsal/forecast_summary.py
@@ -1,4 +1,4 @@
-"""Makes the forecast out of the statistics of the runs."""
+"""Summarizes the outcome statistics of simulation runs as a forecast."""
 
 import math
 from collections.abc import Iterator
@@ -22,7 +22,7 @@
     simulation: Simulation,
     runs: int,
 ) -> Forecast:
-    """The forecast that the statistics of `runs` runs add up to; `simulation` is any of them."""
+    """Returns the forecast from the statistics of `runs` runs; `simulation` is any one of them."""
     routes_by_name = {route.name: route for route in snapshot.mesh_state.rows.routes}
     pairs = sorted({(route, upstream) for route, upstream, _phase in simulation.statistics.rows})
     route_forecasts = []
@@ -59,10 +59,10 @@
         return count / simulation.phase_seconds(phase) / runs
 
     before, unsettled, after = (rows[phase] for phase in Phase)
-    zones_before = {zone: rate(Phase.BEFORE, n) for zone, n in sorted(before.zones.items())}
-    zones_after = {zone: rate(Phase.AFTER, n) for zone, n in sorted(after.zones.items())}
-    total = rate(Phase.BEFORE, before.count)
-    going_on = rate(Phase.AFTER, after.count)
+    zones_before = {zone: rate(Phase.BEFORE, count) for zone, count in sorted(before.zones.items())}
+    zones_after = {zone: rate(Phase.AFTER, count) for zone, count in sorted(after.zones.items())}
+    total_before = rate(Phase.BEFORE, before.count)
+    total_after = rate(Phase.AFTER, after.count)
     lost_share = sum(zones_before.get(zone, 0.0) for zone in lost) / max(
         1e-9, sum(zones_before.values())
     )
@@ -76,11 +76,11 @@
         route.name,
         upstream,
         route.kind,
-        total,
+        total_before,
         zones_before,
         zones_after,
-        min(sum(zones_after.values()), going_on * lost_share),
-        max(0.0, total - going_on),
+        min(sum(zones_after.values()), total_after * lost_share),
+        max(0.0, total_before - total_after),
         stalls[Phase.BEFORE],
         stalls[Phase.UNSETTLED],
         stalls[Phase.AFTER],
@@ -95,8 +95,8 @@
 def _explain(
     snapshot: Snapshot, lost: frozenset[str], route: Route, upstream: str, step: str
 ) -> str:
-    """The reason shown to the operator for a request that was not carried."""
-    left = [
+    """Returns the reason shown to the operator for a request that was not carried."""
+    remaining = [
         target
         for target in snapshot.mesh_state.targets
         if target.upstream == upstream and target.zone not in lost
@@ -104,12 +104,14 @@
     owner = snapshot.owners.get(upstream)
     if step == NO_SLOT:
         return "capacity short"
-    if not left:
+    if not remaining:
         return "no target left"
-    # Whichever step it ended at: no target was eligible.
-    if not [target for target in left if is_eligible(target, (), route.allowed_regions, owner)]:
+    # Whichever step the request ended at, the cause is that no target is eligible.
+    if not [
+        target for target in remaining if is_eligible(target, (), route.allowed_regions, owner)
+    ]:
         return "homes or owner forbid what is left"
-    if all(target.zone in snapshot.mesh_state.evacuated for target in left):
+    if all(target.zone in snapshot.mesh_state.evacuated for target in remaining):
         return "what is left is evacuated"
     return {
         "select": "no target that was not tried",
@@ -127,30 +129,32 @@
     route_forecasts: list[RouteForecast],
 ) -> Iterator[Capacity]:
     mesh_state = snapshot.mesh_state
-    after = mesh_state._replace(
+    state_after = mesh_state._replace(
         targets=tuple(target for target in mesh_state.targets if target.zone not in lost)
     )
-    service = {guard.target.upstream: guard.service_seconds for guard in simulation.guards.values()}
+    service_seconds = {
+        guard.target.upstream: guard.service_seconds for guard in simulation.guards.values()
+    }
     for upstream in sorted({target.upstream for target in mesh_state.targets}):
         rates = [
             (sum(route_forecast.zones_before.values()), sum(route_forecast.zones_after.values()))
             for route_forecast in route_forecasts
             if route_forecast.upstream == upstream
         ]
-        seconds = service.get(upstream, 0.0)
+        seconds = service_seconds.get(upstream, 0.0)
         yield Capacity(
             upstream,
             count_slots(mesh_state, upstream),
-            count_slots(after, upstream),
+            count_slots(state_after, upstream),
             seconds * sum(before for before, _after in rates),
-            seconds * sum(left for _before, left in rates),
+            seconds * sum(after for _before, after in rates),
         )
 
 
 def _find_control(snapshot: Snapshot, lost: frozenset[str], simulation: Simulation) -> ControlPlane:
     count = len(snapshot.registries)
-    left = sum(1 for zone in snapshot.registries.values() if zone not in lost)
-    has_majority = not count or left * 2 > count
+    remaining = sum(1 for zone in snapshot.registries.values() if zone not in lost)
+    has_majority = not count or remaining * 2 > count
     notes = []
     if not has_majority:
         notes.append(
@@ -165,4 +169,4 @@
                 f"{upstream}: the agent of its owner {owner.site} is lost; after "
                 f"{LEASE_SECONDS:g} s it is refused until a site takes it over"
             )
-    return ControlPlane(count, left, has_majority, tuple(notes))
+    return ControlPlane(count, remaining, has_majority, tuple(notes))
--- a/marblefold/rehearsal/origins.py
+++ b/marblefold/rehearsal/origins.py
@@ -1,4 +1,4 @@
-"""The nodes of a rehearsal, each with the RoutingState of a real proxy."""
+"""The simulated nodes where requests originate, each with the RoutingState of a real proxy."""
 
 from collections.abc import Callable
 
@@ -13,13 +13,13 @@
 
 __all__ = ["Origin", "make_origins", "make_view"]
 
-# Descriptors and memory are not limited in a rehearsal.
+# High enough that neither memory nor file descriptors limit a simulation.
 _LIMITS = Limits(memory_mb=1e6, file_descriptors=1_000_000)
-_COLD_SECONDS = 3.0
+_COLD_START_SECONDS = 3.0
 
 
 class Origin:
-    """A node where requests begin."""
+    """A node where requests originate."""
 
     def __init__(self, zone: str, routing_state: RoutingState) -> None:
         self.zone = zone
@@ -27,7 +27,7 @@
 
 
 def make_view(snapshot: Snapshot) -> MeshView:
-    """The MeshView that all nodes share, built from real catalogue entries."""
+    """Returns the MeshView that all simulated nodes share, built from catalogue entries."""
     view = MeshView("rehearsal")
     view.table = RouteTable(snapshot.mesh_state.rows)
     for target in snapshot.mesh_state.targets:
@@ -43,7 +43,7 @@
             slots=target.slots,
             state=DRAINING if target.is_draining else READY,
             leaving=target.is_leaving,
-            cold_left_ms=int(_COLD_SECONDS * 1000) if target.cold_until else 0,
+            cold_left_ms=int(_COLD_START_SECONDS * 1000) if target.cold_until else 0,
             site=target.site,
             site_agent=target.site_agent,
         )
@@ -63,41 +63,44 @@
     clock: Callable[[], float],
     seed: int,
 ) -> dict[str, list[Origin]]:
-    """The nodes by zone; a zone without known nodes gets one. `clock` in seconds."""
+    """Returns the nodes by zone; a zone without known nodes gets one.
+
+    `clock` returns the simulated time in seconds.
+    """
     view.proxies = max(1, len(snapshot.origins))
     bounds = _make_bounds(snapshot)
     origins: dict[str, list[Origin]] = {zone: [] for zone in snapshot.zone_regions}
     nodes = list(snapshot.origins.items())
-    known = {zone for _node, zone in nodes}
-    nodes.extend((zone, zone) for zone in snapshot.zone_regions if zone not in known)
+    zones_with_nodes = {zone for _node, zone in nodes}
+    nodes.extend((zone, zone) for zone in snapshot.zone_regions if zone not in zones_with_nodes)
     for number, (_node, zone) in enumerate(sorted(nodes)):
         selector = TargetSelector(view, zone, seed=seed + number)
         origins.setdefault(zone, []).append(
-            Origin(zone, RoutingState(view, selector, bounds, _LIMITS, clock, _tell_nobody))
+            Origin(zone, RoutingState(view, selector, bounds, _LIMITS, clock, _discard_event))
         )
     return origins
 
 
-def _tell_nobody(*_event, **_more) -> None:
-    """Events of rehearsed nodes are not logged."""
+def _discard_event(*_event, **_fields) -> None:
+    """Discards the log events of simulated nodes."""
 
 
 def _make_bounds(snapshot: Snapshot) -> Bounds:
-    retry = snapshot.retry
-    none = retry.window * 0
+    retry_budget = snapshot.retry_budget
+    unused = retry_budget.window * 0
     return Bounds(
-        none,
-        none,
-        none,
-        none,
-        none,
-        none,
-        none,
-        retry.ratio,
-        retry.window,
-        retry.slack,
+        unused,
+        unused,
+        unused,
+        unused,
+        unused,
+        unused,
+        unused,
+        retry_budget.ratio,
+        retry_budget.window,
+        retry_budget.slack,
         1.5,
         5.0,
-        none,
-        none,
+        unused,
+        unused,
     )
--- a/marblefold/rehearsal/outcome_statistics.py
+++ b/marblefold/rehearsal/outcome_statistics.py
@@ -1,4 +1,4 @@
-"""Counts how the requests of a rehearsal ended, before and after the loss."""
+"""Counts the outcomes of simulated requests before and after the loss."""
 
 import enum
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class Phase(enum.Enum):
-    """When a request arrived, relative to the loss."""
+    """The time of arrival of a request, relative to the loss."""
 
     BEFORE = "before"
     # From the loss until all nodes know of it.
@@ -16,23 +16,23 @@
 
 
 class RequestOutcome(NamedTuple):
-    """How one request ended."""
+    """The outcome of one request."""
 
     route: str
     upstream: str
-    # Where it was answered, if it was.
+    # The zone that answered the request; empty if none did.
     zone: str
-    # carried, stalled, unknown (it may have run), or gone with its origin.
+    # "carried", "stalled", "unknown" (it may have run), or "gone" with its origin.
     result: str
     step: str
     is_late: bool
     is_repeated: bool
-    # Whether it had been sent to a target that is now lost.
+    # Whether it was sent to a target that was lost.
     reached_lost_zone: bool
 
 
 class OutcomeCounts:
-    """The requests of one route to one service in one phase."""
+    """Counts the requests of one route to one service in one phase."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -43,7 +43,7 @@
         self.repeated = 0
 
     def add(self, outcome: RequestOutcome) -> None:
-        """Counts one request."""
+        """Counts the outcome of one request."""
         self.count += 1
         self.results[outcome.result] = self.results.get(outcome.result, 0) + 1
         self.late += outcome.is_late
@@ -55,16 +55,16 @@
 
 
 class OutcomeStatistics:
-    """The rows of one or more runs."""
+    """The counts of one or more runs."""
 
     def __init__(self) -> None:
         self.rows: dict[tuple[str, str, Phase], OutcomeCounts] = {}
-        # Requests that must not be repeated and whose outcome is unknown, because
-        # they were in progress at, or sent to, a lost zone.
+        # By route and service: requests that must not be repeated and whose outcome is
+        # unknown, because they were in progress in, or sent to, a lost zone.
         self.possible_duplicates: dict[tuple[str, str], int] = {}
 
     def add(self, outcome: RequestOutcome, phase: Phase, is_repeatable: bool) -> None:
-        """Counts how a request ended."""
+        """Counts the outcome of a request that arrived in the phase."""
         key = (outcome.route, outcome.upstream)
         self.rows.setdefault((*key, phase), OutcomeCounts()).add(outcome)
         if (
--- a/marblefold/rehearsal/reporting.py
+++ b/marblefold/rehearsal/reporting.py
@@ -1,4 +1,4 @@
-"""Prints a forecast as text, or turns it into plain objects for JSON."""
+"""Formats a forecast as text or as a JSON object."""
 
 from collections.abc import Iterator
 
@@ -6,24 +6,24 @@
 
 __all__ = ["to_json_object", "to_text"]
 
-_LEAST_RATE = 0.05
+_MIN_SHOWN_RATE = 0.05
 
 
 def to_json_object(forecast: Forecast) -> dict:
-    """The forecast as one JSON object."""
+    """Returns the forecast as a JSON object."""
     return {
         "lost": list(forecast.lost),
         "harmless": forecast.is_harmless,
         "settles-after-s": round(forecast.settled_after_seconds, 2),
-        "services": [_plain(route._asdict()) for route in forecast.routes],
-        "capacity": [_plain(row._asdict()) for row in forecast.capacity],
-        "control": _plain(forecast.control._asdict()),
+        "services": [_to_json_fields(route._asdict()) for route in forecast.routes],
+        "capacity": [_to_json_fields(row._asdict()) for row in forecast.capacity],
+        "control": _to_json_fields(forecast.control._asdict()),
         "gaps": list(forecast.gaps),
     }
 
 
 def to_text(forecast: Forecast) -> str:
-    """The forecast as lines."""
+    """Returns the forecast as lines of text."""
     return "\n".join(_lines(forecast)) + "\n"
 
 
@@ -56,7 +56,7 @@
 
 def _route_lines(forecast: RouteForecast) -> Iterator[str]:
     yield f"  {forecast.route} ({forecast.kind}): {forecast.before:.1f}/s before"
-    if forecast.gone_with_clients >= _LEAST_RATE:
+    if forecast.gone_with_clients >= _MIN_SHOWN_RATE:
         yield (
             f"    {forecast.gone_with_clients:.1f}/s no longer come: "
             f"their clients' machines are lost"
@@ -85,12 +85,12 @@
         )
 
 
-def _plain(row: dict) -> dict:
-    def tidy(value):
+def _to_json_fields(row: dict) -> dict:
+    def to_json_value(value):
         if isinstance(value, float):
             return round(value, 3)
         if isinstance(value, dict):
-            return {key: tidy(item) for key, item in value.items()}
+            return {key: to_json_value(item) for key, item in value.items()}
         return list(value) if isinstance(value, tuple) else value
 
-    return {key.replace("_", "-"): tidy(value) for key, value in row.items()}
+    return {key.replace("_", "-"): to_json_value(value) for key, value in row.items()}
--- a/marblefold/rehearsal/simulated_guard.py
+++ b/marblefold/rehearsal/simulated_guard.py
@@ -1,4 +1,4 @@
-"""A guard in a rehearsal: slots and a queue, assigned as the real guard does."""
+"""Simulates the guard beside a target: concurrency slots and a queue in the order of priority."""
 
 import heapq
 import itertools
@@ -13,30 +13,33 @@
 
 
 class SimulatedGuard:
-    """Slots and queue of one target; `service_seconds` is its mean time for a request."""
+    """The slots and the queue of one target, granted as the real guard grants them.
+
+    `service_seconds` is the mean service time of a request.
+    """
 
     def __init__(self, target: KnownTarget, service_seconds: float) -> None:
         self.target = target
         self.service_seconds = service_seconds
         self.running = 0
-        self.cold = ColdLimit()
-        self.cold.cold_until = target.cold_until
-        self._order = itertools.count()
+        self.cold_limit = ColdLimit()
+        self.cold_limit.cold_until = target.cold_until
+        self._numbers = itertools.count()
         self._waiting: list[tuple[QueuePriority, int, Callable[[], None]]] = []
         self._cancelled: set[int] = set()
 
     @property
     def load(self) -> TargetLoad:
-        """The load that goes with every answer."""
+        """The load reported with every answer."""
         return TargetLoad(self.running, self.waiting, self.target.slots)
 
     @property
     def waiting(self) -> int:
-        """How many requests wait for a slot."""
+        """The number of requests waiting for a slot."""
         return len(self._waiting) - len(self._cancelled)
 
     def expected_wait(self, priority: QueuePriority) -> float:
-        """Expected wait in seconds of a request with that priority."""
+        """The expected wait of a request with that priority, in seconds."""
         if self.running < self.target.slots:
             return 0.0
         ahead = sum(
@@ -49,9 +52,10 @@
     def submit(
         self, priority: QueuePriority, max_wait_seconds: float, start: Callable[[], None]
     ) -> int | None:
-        """Starts the request now (-1), queues it (its number), or refuses it (None).
+        """Starts, queues or refuses a request; `max_wait_seconds` is the longest acceptable wait.
 
-        `max_wait_seconds` is the longest acceptable wait.
+        Returns -1 if the request has started, its number in the queue if it waits, and None if
+        it is refused because no slot is expected to become free in time.
         """
         if self.running < self.target.slots:
             self.running += 1
@@ -59,12 +63,12 @@
             return -1
         if max_wait_seconds <= 0 or self.expected_wait(priority) > max_wait_seconds:
             return None
-        number = next(self._order)
+        number = next(self._numbers)
         heapq.heappush(self._waiting, (priority, number, start))
         return number
 
     def cancel(self, number: int) -> bool:
-        """Takes a request out of the queue; whether it was still there."""
+        """Removes a request from the queue; returns whether it was still waiting."""
         if any(number == other for _priority, other, _start in self._waiting) and (
             number not in self._cancelled
         ):
@@ -73,7 +77,7 @@
         return False
 
     def release(self) -> None:
-        """Frees a slot and starts the next request in order."""
+        """Releases a slot and starts the next request in order."""
         self.running -= 1
         while self._waiting and self.running < self.target.slots:
             _priority, number, start = heapq.heappop(self._waiting)
--- a/marblefold/rehearsal/simulated_request.py
+++ b/marblefold/rehearsal/simulated_request.py
@@ -1,4 +1,4 @@
-"""One request of a rehearsal, from its arrival to its final answer."""
+"""Simulates one request, from its arrival to its final answer."""
 
 from typing import NamedTuple
 
@@ -17,19 +17,19 @@
 
 __all__ = ["SimulatedRequest"]
 
-_DONE = Answer(200)
-_REFUSED_RETRY = 0.1
+_SUCCESS = Answer(200)
+_REFUSED_RETRY_AFTER_SECONDS = 0.1
 
 
 class _Hop(NamedTuple):
-    """The offer under way; a callback that holds an older one is stale."""
+    """The current attempt; a callback that refers to an earlier one is outdated."""
 
     offer: Offer
     permit: Permit
 
 
 class SimulatedRequest:
-    """Runs the real RequestDecision on the clock of the simulation."""
+    """Runs the real RequestDecision for one request on the simulated clock."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         self._route = route
         self._upstream = upstream
         self._is_repeatable = route.kind == wire_names.READ_ONLY
-        self._arrived = simulation.now
+        self._arrived_at = simulation.now
         deadline = simulation.now + route.time_limit.total_seconds()
         self._decision = RequestDecision(
             route,
@@ -59,20 +59,20 @@
         )
         self._deadline = deadline
         self._hop: _Hop | None = None
-        self._offers = 0
+        self._attempts = 0
         self._reached_lost_zone = False
         self._is_slot_held = False
 
     def start(self) -> None:
-        """The request arrives."""
+        """Handles the arrival of the request at its origin."""
         self._simulation.active_requests[self] = None
         self._origin.routing_state.note_request(self._upstream, self._simulation.now)
         self._advance()
 
     def note_zone_loss(self) -> None:
-        """The lost zones were lost while this request was in progress."""
+        """Handles the loss of the zones while this request is in progress."""
         if self._simulation.is_lost(self._origin.zone):
-            # The client lost its node: it does not know whether the request ran.
+            # The client lost its node and does not learn whether the request ran.
             self._reached_lost_zone = self._decision.may_have_run or self._is_slot_held
             self._end("gone", "origin lost", "")
         elif self._hop is not None and self._simulation.is_lost(self._hop.offer.target.zone):
@@ -84,7 +84,7 @@
             self._conclude(step)
             return
         routing_state = self._origin.routing_state
-        self._offers = step.attempt_number
+        self._attempts = step.attempt_number
         if step.attempt_number > 1:
             routing_state.note_retry(self._upstream, self._simulation.now)
         permit = routing_state.begin(step.target, self._decision.latency_target, "rehearsed")
@@ -93,12 +93,12 @@
         self._simulation.schedule_after(delay, lambda: self._reach_guard(hop))
 
     def _begin_hop(self, offer: Offer, permit: Permit) -> _Hop:
-        """Makes a hop the one under way: callbacks of earlier ones do nothing from now on."""
+        """Makes a hop the current one; callbacks of earlier hops do nothing from now on."""
         self._hop = _Hop(offer, permit)
         return self._hop
 
     def _reach_guard(self, hop: _Hop) -> None:
-        """The hop arrives at the guard, unless its zone is lost."""
+        """Handles the arrival of a hop at the guard, unless the zone of the guard is lost."""
         if hop is not self._hop:
             return
         simulation, offer = self._simulation, hop.offer
@@ -107,13 +107,15 @@
             return
         guard = simulation.guards[offer.target.node]
         if self._upstream in simulation.lapsed:
-            self._refuse(hop, "another owner", _REFUSED_RETRY)
+            self._refuse(hop, "another owner", _REFUSED_RETRY_AFTER_SECONDS)
             return
-        end = self._arrived + self._route.target_latency.total_seconds()
-        priority = QueuePriority(1 + max(0, self._route.priority), end)
+        due_at = self._arrived_at + self._route.target_latency.total_seconds()
+        priority = QueuePriority(1 + max(0, self._route.priority), due_at)
         number = guard.submit(priority, offer.queue_seconds, lambda: self._start_work(hop))
         if number is None:
-            self._refuse(hop, NO_SLOT, max(_REFUSED_RETRY, guard.expected_wait(priority)))
+            self._refuse(
+                hop, NO_SLOT, max(_REFUSED_RETRY_AFTER_SECONDS, guard.expected_wait(priority))
+            )
         elif number >= 0:
             simulation.schedule_after(
                 offer.queue_seconds, lambda: self._leave_queue(hop, guard, number)
@@ -121,19 +123,19 @@
 
     def _leave_queue(self, hop: _Hop, guard: SimulatedGuard, number: int) -> None:
         if guard.cancel(number) and hop is self._hop:
-            self._refuse(hop, NO_SLOT, _REFUSED_RETRY)
+            self._refuse(hop, NO_SLOT, _REFUSED_RETRY_AFTER_SECONDS)
 
     def _start_work(self, hop: _Hop) -> None:
-        """A slot was obtained."""
+        """Starts the request at the target, once a slot has been granted."""
         simulation, target = self._simulation, hop.offer.target
         guard = simulation.guards[target.node]
         limits = find_cold_limits(simulation.view, target.upstream)
-        most = cold_rate_limit(limits, self._origin.routing_state.bounds)
-        if hop is not self._hop or not guard.cold.may_offer(simulation.now, most):
-            # Returned after this call, as the guard is still assigning slots.
+        max_per_second = cold_rate_limit(limits, self._origin.routing_state.bounds)
+        if hop is not self._hop or not guard.cold_limit.may_offer(simulation.now, max_per_second):
+            # The slot is released after this call, as the guard is still granting slots.
             simulation.schedule_after(0.0, guard.release)
             if hop is self._hop:
-                self._refuse(hop, "cold", guard.cold.retry_after(simulation.now))
+                self._refuse(hop, "cold", guard.cold_limit.retry_after(simulation.now))
             return
         self._is_slot_held = True
         spread = simulation.config.service_time_spread
@@ -142,13 +144,13 @@
         simulation.schedule_after(seconds, lambda: self._finish(hop, guard, seconds))
 
     def _finish(self, hop: _Hop, guard: SimulatedGuard, seconds: float) -> None:
-        """The target has finished, whether or not anybody still waits."""
+        """Handles the end of the request at the target, whether or not the sender still waits."""
         guard.release()
         if hop is not self._hop:
             return
         simulation, target = self._simulation, guard.target
         self._is_slot_held = False
-        result = HopResult(HopOutcome.ANSWERED, _DONE, load=guard.load, service_seconds=seconds)
+        result = HopResult(HopOutcome.ANSWERED, _SUCCESS, load=guard.load, service_seconds=seconds)
         simulation.schedule_after(
             simulation.delay_seconds(self._origin.zone, target),
             lambda: self._receive_result(hop, result),
@@ -168,7 +170,7 @@
         )
 
     def _lose_hop(self, lost: _Hop) -> None:
-        """No answer will come: schedules how and when the sender notices."""
+        """Schedules how and when the sender notices that no answer will come."""
         simulation = self._simulation
         self._is_slot_held = False
         is_first = not self._reached_lost_zone
@@ -176,27 +178,32 @@
         hop, target = self._begin_hop(lost.offer, lost.permit), lost.offer.target
         routing_state = self._origin.routing_state
         if simulation.now > simulation.loss_at + simulation.config.connection_loss_seconds:
-            # The connection has been closed by now and a new one cannot be opened.
+            # The connection has been closed by now, and a new one cannot be opened.
             self._reached_lost_zone = not is_first
             result = HopResult(HopOutcome.NEVER_OFFERED, step="connect")
             simulation.schedule_after(
                 simulation.config.connect_timeout_seconds, lambda: self._receive_result(hop, result)
             )
             return
-        silent = simulation.config.unresponsive_seconds
+        unresponsive_seconds = simulation.config.unresponsive_seconds
         simulation.schedule_after(
-            silent, lambda: routing_state.selector.note_unresponsive(target.peer, simulation.now)
+            unresponsive_seconds,
+            lambda: routing_state.selector.note_unresponsive(target.peer, simulation.now),
+        )
+        wait = (
+            unresponsive_seconds
+            if self._is_repeatable
+            else simulation.config.connection_loss_seconds
         )
-        wait = silent if self._is_repeatable else simulation.config.connection_loss_seconds
-        left = max(0.0, self._deadline - simulation.now)
+        remaining = max(0.0, self._deadline - simulation.now)
         step = "silent" if self._is_repeatable else "connection"
-        if left < wait:
-            wait, step = left, "deadline"
+        if remaining < wait:
+            wait, step = remaining, "deadline"
         result = HopResult(HopOutcome.UNKNOWN, step=step)
         simulation.schedule_after(wait, lambda: self._receive_result(hop, result))
 
     def _receive_result(self, hop: _Hop, result: HopResult) -> None:
-        """The result of the hop arrives at the sender."""
+        """Handles the arrival of the result of a hop at the sender."""
         if hop is not self._hop or self._simulation.is_lost(self._origin.zone):
             return
         target = hop.offer.target
@@ -211,26 +218,26 @@
         elif status in (429, 503):
             self._end("stalled", step.step, "")
         else:
-            # A read of unknown outcome counts as stalled: it may be repeated.
+            # A read of unknown outcome counts as stalled, as it may be repeated.
             self._end("stalled" if self._is_repeatable else "unknown", step.step, "")
 
-    def _end(self, what: str, step: str, zone: str) -> None:
+    def _end(self, outcome: str, step: str, zone: str) -> None:
         simulation = self._simulation
         simulation.active_requests.pop(self, None)
         self._hop = None
-        phase = simulation.phase(self._arrived)
+        phase = simulation.phase(self._arrived_at)
         if phase is None:
             return
-        late = simulation.now - self._arrived > self._route.target_latency.total_seconds()
+        is_late = simulation.now - self._arrived_at > self._route.target_latency.total_seconds()
         simulation.statistics.add(
             RequestOutcome(
                 self._route.name,
                 self._upstream,
                 zone,
-                what,
+                outcome,
                 step,
-                late and what == "carried",
-                self._offers > 1,
+                is_late and outcome == "carried",
+                self._attempts > 1,
                 self._reached_lost_zone,
             ),
             phase,
--- a/marblefold/rehearsal/simulation.py
+++ b/marblefold/rehearsal/simulation.py
@@ -1,7 +1,8 @@
 """A discrete-event simulation of traffic through a mesh that loses zones.
 
-Every node runs the real decision, target selection, breaker and retry budget;
-only time, links and targets are simulated.  Nothing is sent or waited for.
+Every node runs the real request decision, target selection, circuit breaker and
+retry budget; only time, links and targets are simulated. Nothing is sent over
+the network, and no real time is waited for.
 """
 
 import heapq
@@ -27,11 +28,15 @@
 
 __all__ = ["Simulation", "detection_seconds"]
 
+# The time that membership takes to spread a suspicion from one node to the next.
 _GOSSIP_ROUND_SECONDS = 0.2
 
 
 class Simulation:
-    """One simulated run; times in seconds on its own clock, which starts at the real one's time."""
+    """One run of a simulation.
+
+    Times are seconds of a simulated clock, which starts at the time of the monotonic clock.
+    """
 
     def __init__(
         self,
@@ -55,7 +60,7 @@
         self.settled_at = self.loss_at + detection_seconds(len(snapshot.origins))
         self._origins = make_origins(snapshot, self.view, lambda: self.now, config.seed)
         self._events: list[tuple[float, int, Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._event_numbers = itertools.count()
         self._routes = {route.name: route for route in snapshot.mesh_state.rows.routes}
         self._route_service_seconds = self._find_route_service_seconds()
         self.guards = {
@@ -63,7 +68,7 @@
             for name in {target.upstream for target in snapshot.mesh_state.targets}
             for target in self.view.targets(name)
         }
-        # In order of arrival, so that one seed always gives the same run.
+        # Ordered by arrival, so that a seed always produces the same run.
         self.active_requests: dict[LossListener, None] = {}
 
     @property
@@ -73,7 +78,7 @@
         return rate * (self.config.before_loss_seconds + self.config.after_loss_seconds)
 
     def run(self, slice_events: int = 100) -> Iterator[None]:
-        """Runs to the end; yields after each slice of events."""
+        """Runs the simulation to its end; yields after every `slice_events` events."""
         for flow in self._snapshot.flows:
             route = self._routes.get(flow.route)
             if route is not None and flow.per_second > 0:
@@ -84,26 +89,29 @@
         end = self.loss_at + self.config.after_loss_seconds
         processed = 0
         while self._events and self._events[0][0] <= end:
-            self.now, _number, act = heapq.heappop(self._events)
-            act()
+            self.now, _number, callback = heapq.heappop(self._events)
+            callback()
             processed += 1
             if processed % slice_events == 0:
                 yield
 
-    def schedule_at(self, when: float, act: Callable[[], None]) -> None:
-        """Schedules a callback at a time."""
-        heapq.heappush(self._events, (max(when, self.now), next(self._order), act))
+    def schedule_at(self, when: float, callback: Callable[[], None]) -> None:
+        """Schedules a callback at the time `when`, or now if that has passed."""
+        heapq.heappush(self._events, (max(when, self.now), next(self._event_numbers), callback))
 
-    def schedule_after(self, seconds: float, act: Callable[[], None]) -> None:
-        """Schedules a callback in so many seconds."""
-        self.schedule_at(self.now + seconds, act)
+    def schedule_after(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Schedules a callback `seconds` from now."""
+        self.schedule_at(self.now + seconds, callback)
 
     def is_lost(self, zone: str) -> bool:
-        """Whether the zone is lost."""
+        """Whether the zone has been lost."""
         return self.is_loss_past and zone in self._lost
 
     def phase(self, arrived: float) -> Phase | None:
-        """The phase of a request by its arrival; None for the warm-up, which is not counted."""
+        """Returns the phase of a request by its arrival; None in the warm-up, which is not counted.
+
+        The warm-up is the first third of the time before the loss.
+        """
         if arrived < self._started_at + self.config.before_loss_seconds / 3:
             return None
         if arrived < self.loss_at:
@@ -111,7 +119,7 @@
         return Phase.UNSETTLED if arrived < self.settled_at else Phase.AFTER
 
     def phase_seconds(self, phase: Phase) -> float:
-        """Length of the phase in seconds."""
+        """Returns the length of the phase in seconds."""
         unsettled = self.settled_at - self.loss_at
         return {
             Phase.BEFORE: self.config.before_loss_seconds * 2 / 3,
@@ -120,7 +128,7 @@
         }[phase]
 
     def delay_seconds(self, zone: str, target: KnownTarget) -> float:
-        """One-way delay in seconds from a zone to a target."""
+        """Returns the one-way delay from a zone to a target, in seconds."""
         if zone == target.zone:
             return self.config.in_zone_seconds
         regions = self._snapshot.zone_regions
@@ -132,7 +140,7 @@
         known = self._snapshot.service_seconds.get(upstream)
         if known is not None:
             return known
-        # Without the targets' own figure the whole time of a request is used.
+        # If the service time of the targets is unknown, the mean duration of a request is used.
         routes = {
             route.name
             for route in self._snapshot.mesh_state.rows.routes
@@ -145,11 +153,15 @@
         return max(1e-4, sum(flow.per_second * flow.seconds for flow in flows) / rate)
 
     def route_service_seconds(self, route: str, upstream: str) -> float:
-        """Mean service time in seconds of a request of the route at the service."""
+        """Returns the mean service time of a request of the route at the service, in seconds."""
         return self._route_service_seconds.get((route, upstream)) or self._service_seconds(upstream)
 
     def _find_route_service_seconds(self) -> dict[tuple[str, str], float]:
-        """Service times by route: a service's mean, scaled by the whole times of its routes."""
+        """Returns mean service times by route and service.
+
+        The mean of a service is divided over its routes in proportion to how long their
+        requests take as a whole.
+        """
         sums: dict[tuple[str, str], list[float]] = {}
         for flow in self._snapshot.flows:
             route = self._routes.get(flow.route)
@@ -160,27 +172,30 @@
                 rate = flow.per_second * weight / sum(route.weights)
                 row[0] += rate
                 row[1] += rate * flow.seconds
-        works = {}
-        for (name, upstream), (rate, time_taken) in sums.items():
-            whole = [row for (_name, of), row in sums.items() if of == upstream]
-            mean = sum(row[1] for row in whole) / max(1e-9, sum(row[0] for row in whole))
+        service_seconds = {}
+        for (name, upstream), (rate, busy_seconds) in sums.items():
+            rows = [row for (_name, served_by), row in sums.items() if served_by == upstream]
+            mean = sum(row[1] for row in rows) / max(1e-9, sum(row[0] for row in rows))
             if rate and mean:
-                works[name, upstream] = max(
-                    1e-4, self._service_seconds(upstream) * time_taken / rate / mean
+                service_seconds[name, upstream] = max(
+                    1e-4, self._service_seconds(upstream) * busy_seconds / rate / mean
                 )
-        return works
+        return service_seconds
 
     def _interarrival_seconds(self, flow: Flow) -> float:
-        # Poisson arrivals: near full capacity the randomness matters.
+        # Arrivals form a Poisson process: near full capacity, queueing depends on their randomness.
         return self.random.expovariate(flow.per_second)
 
     def _arrive(self, flow: Flow, route: Route) -> None:
         self.schedule_after(self._interarrival_seconds(flow), lambda: self._arrive(flow, route))
         zone = flow.zone
         if self.is_lost(zone):
-            # Clients of a lost zone are lost too, until the platform moves them.
-            since = self.now - self.loss_at
-            if not self.config.clients_move or since < self.config.clients_move_seconds:
+            # Clients of a lost zone send nothing until the platform moves them elsewhere.
+            seconds_since_loss = self.now - self.loss_at
+            if (
+                not self.config.clients_move
+                or seconds_since_loss < self.config.clients_move_after_seconds
+            ):
                 return
             zone = self._choose_new_zone(flow)
         upstream = self.random.choices(route.upstreams, route.weights)[0]
@@ -189,36 +204,39 @@
         SimulatedRequest(self, origin, route, upstream, kilobytes).start()
 
     def _choose_new_zone(self, flow: Flow) -> str:
-        """The zone that a client of a lost zone moves to: as the other clients of its route."""
-        left = [
-            other
-            for other in self._snapshot.flows
-            if other.route == flow.route and other.zone not in self._lost
+        """Returns the zone that a client of a lost zone moves to.
+
+        Zones are weighted by the traffic of the route that originates in them.
+        """
+        remaining = [
+            flow_elsewhere
+            for flow_elsewhere in self._snapshot.flows
+            if flow_elsewhere.route == flow.route and flow_elsewhere.zone not in self._lost
         ]
-        if not left or not sum(other.per_second for other in left):
+        if not remaining or not sum(other.per_second for other in remaining):
             return self.random.choice(sorted(set(self._origins) - self._lost))
-        return self.random.choices(left, [other.per_second for other in left])[0].zone
+        return self.random.choices(remaining, [other.per_second for other in remaining])[0].zone
 
     def _lose_zones(self) -> None:
-        """The lost zones are lost, with all that is in progress there."""
+        """Loses the zones, with every request in progress there."""
         self.is_loss_past = True
         for request in list(self.active_requests):
             request.note_zone_loss()
-        self.schedule_at(self.settled_at, self._learn_of_loss)
+        self.schedule_at(self.settled_at, self._suspect_lost_targets)
         for upstream, owner in self._snapshot.owners.items():
             zone = self._snapshot.registries.get(owner.agent)
             if zone in self._lost:
                 self.schedule_after(LEASE_SECONDS, partial(self.lapsed.add, upstream))
 
-    def _learn_of_loss(self) -> None:
-        # By now membership has spread the suspicion to every node.
+    def _suspect_lost_targets(self) -> None:
+        # Membership has spread the suspicion to every node by now.
         self.view.suspects.update(
             guard.target.node for guard in self.guards.values() if self.is_lost(guard.target.zone)
         )
 
 
 def detection_seconds(nodes: int) -> float:
-    """Seconds until all nodes suspect the lost ones, from the settings of the prober."""
+    """Returns the seconds until all nodes suspect the lost ones, by the settings of the prober."""
     config = ProberConfig()
     hops = math.log2(max(2, nodes))
     return (
--- a/marblefold/rehearsal/simulation_config.py
+++ b/marblefold/rehearsal/simulation_config.py
@@ -1,4 +1,4 @@
-"""How a rehearsal is played: its length, its seed and what it assumes of links and targets."""
+"""Settings of a simulation: its length, its seed and its assumptions on links and targets."""
 
 from typing import NamedTuple
 
@@ -6,25 +6,25 @@
 
 
 class SimulationConfig(NamedTuple):
-    """Times and delays in seconds."""
+    """The settings of a simulation; times and delays in seconds."""
 
     before_loss_seconds: float = 3.0
     after_loss_seconds: float = 6.0
     max_requests: int = 60_000
-    # The forecast is the mean of so many runs.
+    # The forecast is the mean over this many runs.
     runs: int = 4
     seed: int = 1
     # One-way delays.
     in_zone_seconds: float = 0.0002
     cross_zone_seconds: float = 0.001
     cross_region_seconds: float = 0.012
-    # Service times are spread evenly over this share below and above their mean.
+    # Service times are uniform within this share below and above their mean.
     service_time_spread: float = 0.5
-    # When a silent machine is noticed: a read is repeated, a connection is closed,
-    # an attempt to connect is given up.
+    # How long after a machine stops responding a read is retried, its connection is
+    # closed, and an attempt to connect fails.
     unresponsive_seconds: float = 0.45
     connection_loss_seconds: float = 2.0
     connect_timeout_seconds: float = 0.5
-    # Clients of a lost zone move to others after this time; else they are lost too.
+    # Clients of a lost zone move to other zones after this time, or are lost with it.
     clients_move: bool = True
-    clients_move_seconds: float = 2.0
+    clients_move_after_seconds: float = 2.0
--- a/marblefold/rehearsal/simulation_context.py
+++ b/marblefold/rehearsal/simulation_context.py
@@ -1,4 +1,4 @@
-"""What a request of a rehearsal uses of the simulation, so that neither imports the other."""
+"""The interface between a simulation and its requests, so that neither imports the other."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -13,10 +13,10 @@
 
 
 class LossListener(Protocol):
-    """A request in progress."""
+    """A request in progress, which is told of the loss."""
 
     def note_zone_loss(self) -> None:
-        """The lost zones have just been lost."""
+        """Handles the loss of the zones, which has just happened."""
 
 
 class SimulationContext(Protocol):
@@ -30,24 +30,24 @@
     loss_at: float
     # Requests in progress, in order of arrival.
     active_requests: dict[LossListener, None]
-    # Services whose owner's lease has run out.
+    # Services whose owner's lease has expired.
     lapsed: set[str]
 
     @property
     def guards(self) -> Mapping[str, SimulatedGuard]:
-        """The guard beside each target, by node name."""
+        """The guards of the targets, by node name."""
 
-    def schedule_after(self, seconds: float, act: Callable[[], None]) -> None:
-        """Runs the callback that many seconds from now."""
+    def schedule_after(self, seconds: float, callback: Callable[[], None]) -> None:
+        """Schedules a callback `seconds` from now."""
 
     def is_lost(self, zone: str) -> bool:
         """Whether the zone is lost."""
 
     def delay_seconds(self, zone: str, target: KnownTarget) -> float:
-        """One-way delay from the zone to the target."""
+        """Returns the one-way delay from a zone to a target."""
 
     def route_service_seconds(self, route: str, upstream: str) -> float:
-        """How long a target of the service works on a request of the route."""
+        """Returns the mean service time of a request of the route at a target of the service."""
 
     def phase(self, arrived: float) -> Phase | None:
-        """The phase that a request of that arrival time counts to, if any."""
+        """Returns the phase that a request with that arrival time counts toward, if any."""
--- a/marblefold/rehearsal/snapshot.py
+++ b/marblefold/rehearsal/snapshot.py
@@ -1,7 +1,7 @@
-"""The state that a rehearsal starts from: one file in a documented, versioned form.
+"""Reads snapshots: the state that a rehearsal starts from, in a versioned file format.
 
-It is taken from a running registry and may be kept and rehearsed later.  What
-it lacks is listed as gaps; its age is known.
+A snapshot is taken from a running registry and may be saved for a later rehearsal.
+It contains the time at which it was taken; what it lacks is listed as gaps.
 """
 
 import json
@@ -26,12 +26,12 @@
 FORMAT = "marblefold-snapshot"
 VERSION = 1
 ASSUMED_KILOBYTES = 1.0
-_OLD = timedelta(minutes=10)
-_OLD_FLOW_SECONDS = 30.0
+_STALE_AGE = timedelta(minutes=10)
+_STALE_FLOW_SECONDS = 30.0
 
 
 class RetryBudgetSettings(NamedTuple):
-    """The retry budget that all nodes share."""
+    """The settings of the retry budget, which are the same on all nodes."""
 
     ratio: float
     window: timedelta
@@ -39,106 +39,112 @@
 
 
 class Snapshot(NamedTuple):
-    """A checked snapshot; `service_seconds` by upstream, `registries` address to zone."""
+    """A validated snapshot.
+
+    `service_seconds` gives service times by upstream, `registries` zones by address.
+    """
 
     taken_at: datetime
     mesh_state: MeshState
     zone_regions: dict[str, str]
-    # Where requests begin: nodes and their zones.
+    # The zones of the nodes where requests originate, by node name.
     origins: dict[str, str]
     flows: tuple[Flow, ...]
     service_seconds: dict[str, float]
     registries: dict[str, str]
     owners: dict[str, KnownOwner]
     has_partners: bool
-    retry: RetryBudgetSettings
+    retry_budget: RetryBudgetSettings
     gaps: tuple[str, ...]
 
     def age(self, now: datetime) -> timedelta:
-        """Time since the snapshot was taken."""
+        """Returns the time since the snapshot was taken."""
         return now - self.taken_at
 
 
 class _Fields:
-    """The fields of a document; collects every fault with its place."""
+    """Reads the fields of a document; collects an error for each invalid one."""
 
     def __init__(self, document: dict) -> None:
         self.document = document
-        self.faults: list[MeshError] = []
+        self.errors: list[MeshError] = []
 
     def get(self, name: str, kind: type | tuple, default=None):
         value = self.document.get(name, default)
         if not isinstance(value, kind) or isinstance(value, bool) and kind is not bool:
-            self.fault(name, "missing or of the wrong kind")
+            self.add_error(name, "missing or of the wrong kind")
             return default
         return value
 
-    def fault(self, place: str, reason: str) -> None:
-        self.faults.append(MeshError("snapshot", f"{place}: {reason}"))
+    def add_error(self, place: str, reason: str) -> None:
+        self.errors.append(MeshError("snapshot", f"{place}: {reason}"))
 
-    def texts(self, name: str) -> dict[str, str]:
+    def get_strings(self, name: str) -> dict[str, str]:
         found = self.get(name, dict, {}) or {}
         return {str(key): str(value) for key, value in found.items()}
 
 
 def read_snapshot(body: bytes) -> Snapshot:
-    """The checked snapshot. Raises an ExceptionGroup of MeshError, one for each fault."""
+    """Returns the validated snapshot.
+
+    Raises an ExceptionGroup with a MeshError for each invalid field.
+    """
     try:
         document = json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise _refuse([MeshError("snapshot", f"cannot be read: {error}")]) from error
+        raise _group_errors([MeshError("snapshot", f"cannot be read: {error}")]) from error
     if not isinstance(document, dict) or document.get("format") != FORMAT:
-        raise _refuse([MeshError("snapshot", f"format: not a {FORMAT}")])
+        raise _group_errors([MeshError("snapshot", f"format: not a {FORMAT}")])
     if document.get("version") != VERSION:
-        raise _refuse(
+        raise _group_errors(
             [MeshError("snapshot", f"version: {document.get('version')!r}, this reads {VERSION}")]
         )
     fields = _Fields(document)
     mesh_state = _read_mesh_state(fields)
     taken_at = _read_time(fields)
-    zone_regions = fields.texts("zones")
+    zone_regions = fields.get_strings("zones")
     flows = _read_flows(fields, zone_regions)
-    retry = _read_retry(fields)
-    service = {}
+    retry_budget = _read_retry_budget(fields)
+    service_seconds = {}
     for name, seconds in (fields.get("service-seconds", dict, {}) or {}).items():
         if (
             not isinstance(seconds, (int, float))
             or isinstance(seconds, bool)
             or not (0 < seconds < 1e6)
         ):
-            fields.fault(f"service-seconds.{name}", "not a time above 0")
+            fields.add_error(f"service-seconds.{name}", "not a time above 0")
         else:
-            service[str(name)] = float(seconds)
+            service_seconds[str(name)] = float(seconds)
     owners = {}
     for name, row in (fields.get("owners", dict, {}) or {}).items():
         if not isinstance(row, dict):
-            fields.fault(f"owners.{name}", "not an object")
+            fields.add_error(f"owners.{name}", "not an object")
             continue
         owners[str(name)] = KnownOwner(str(row.get("site", "")), str(row.get("agent", "")), 1)
     if not zone_regions:
-        fields.fault("zones", "none")
+        fields.add_error("zones", "none")
     elif mesh_state is not None and not mesh_state.targets:
-        fields.fault("state.targets", "none: there is nothing to rehearse with")
+        fields.add_error("state.targets", "none: there is nothing to rehearse with")
     # MeshState are missing only where a fault says why.
-    if fields.faults or mesh_state is None:
-        raise _refuse(fields.faults)
+    if fields.errors or mesh_state is None:
+        raise _group_errors(fields.errors)
     return Snapshot(
         taken_at,
         mesh_state,
         zone_regions,
-        fields.texts("origins"),
+        fields.get_strings("origins"),
         flows,
-        service,
-        fields.texts("registries"),
+        service_seconds,
+        fields.get_strings("registries"),
         owners,
         bool(document.get("partners")),
-        retry,
-        tuple(_find_gaps(document, mesh_state, flows, service)),
+        retry_budget,
+        tuple(_find_gaps(document, mesh_state, flows, service_seconds)),
     )
 
 
-def _refuse(faults: list[MeshError]) -> ExceptionGroup:
-    return ExceptionGroup("snapshot", faults)
+def _group_errors(errors: list[MeshError]) -> ExceptionGroup:
+    return ExceptionGroup("snapshot", errors)
 
 
 def _read_mesh_state(fields: _Fields) -> MeshState | None:
@@ -151,10 +157,10 @@
             *read_state(json.dumps(state).encode()),
         )
     except InvalidConfiguration as invalid:
-        for fault in invalid.faults:
-            fields.fault("configuration", str(fault))
+        for error in invalid.faults:
+            fields.add_error("configuration", str(error))
     except MeshError as error:
-        fields.faults.append(error)
+        fields.errors.append(error)
     return None
 
 
@@ -163,10 +169,10 @@
     try:
         taken_at = datetime.fromisoformat(text)
     except ValueError:
-        fields.fault("taken-at", "not a time")
+        fields.add_error("taken-at", "not a time")
         return datetime.now(UTC)
     if taken_at.tzinfo is None:
-        fields.fault("taken-at", "without a time zone")
+        fields.add_error("taken-at", "without a time zone")
     return taken_at
 
 
@@ -185,20 +191,20 @@
                 float(row["kilobytes"]) if "kilobytes" in row else None,
             )
         except (KeyError, TypeError, ValueError, AttributeError) as error:
-            fields.fault(f"traffic[{index}]", f"{type(error).__name__} {error}")
+            fields.add_error(f"traffic[{index}]", f"{type(error).__name__} {error}")
             continue
         if not 0 <= flow.per_second < 1e7:
-            fields.fault(f"traffic[{index}].per-second", "out of range")
+            fields.add_error(f"traffic[{index}].per-second", "out of range")
         elif flow.kilobytes is not None and not 0 <= flow.kilobytes < 1e9:
-            fields.fault(f"traffic[{index}].kilobytes", "out of range")
+            fields.add_error(f"traffic[{index}].kilobytes", "out of range")
         elif flow.zone not in zones:
-            fields.fault(f"traffic[{index}].zone", f"no zone {flow.zone!r}")
+            fields.add_error(f"traffic[{index}].zone", f"no zone {flow.zone!r}")
         else:
             flows.append(flow)
     return tuple(flows)
 
 
-def _read_retry(fields: _Fields) -> RetryBudgetSettings:
+def _read_retry_budget(fields: _Fields) -> RetryBudgetSettings:
     row = fields.get("retry-budget", dict, {}) or {}
     try:
         return RetryBudgetSettings(
@@ -207,33 +213,35 @@
             float(row.get("slack", 0)),
         )
     except (TypeError, ValueError, OverflowError) as error:
-        fields.fault("retry-budget", str(error))
+        fields.add_error("retry-budget", str(error))
         return RetryBudgetSettings(0.0, timedelta(seconds=10), 0.0)
 
 
-def _find_gaps(document: dict, mesh_state: MeshState, flows, service: dict[str, float]):
-    heard, nodes = document.get("nodes-heard"), document.get("nodes")
+def _find_gaps(document: dict, mesh_state: MeshState, flows, service_seconds: dict[str, float]):
+    reporting, nodes = document.get("nodes-heard"), document.get("nodes")
     if not flows:
         yield "no traffic is known: no figure of requests rests on anything"
-    elif isinstance(heard, int) and isinstance(nodes, int) and heard < nodes:
-        yield f"traffic of {heard} of {nodes} nodes is known"
-    old = sum(1 for flow in flows if flow.age_seconds > _OLD_FLOW_SECONDS)
-    if old:
-        yield f"{old} of {len(flows)} rates are older than {_OLD_FLOW_SECONDS:g} s"
-    unweighed = sorted({flow.route for flow in flows if flow.kilobytes is None})
-    for name in unweighed:
+    elif isinstance(reporting, int) and isinstance(nodes, int) and reporting < nodes:
+        yield f"traffic of {reporting} of {nodes} nodes is known"
+    stale = sum(1 for flow in flows if flow.age_seconds > _STALE_FLOW_SECONDS)
+    if stale:
+        yield f"{stale} of {len(flows)} rates are older than {_STALE_FLOW_SECONDS:g} s"
+    routes_without_size = sorted({flow.route for flow in flows if flow.kilobytes is None})
+    for name in routes_without_size:
         yield (
             f"{name}: how much its requests move is not known; {ASSUMED_KILOBYTES:g} kB is "
             "assumed, so what stays in its zone may be off"
         )
-    for upstream in sorted({target.upstream for target in mesh_state.targets} - set(service)):
+    for upstream in sorted(
+        {target.upstream for target in mesh_state.targets} - set(service_seconds)
+    ):
         yield f"{upstream}: how long its targets take is not known, and taken from the whole time"
-    known = {route.name for route in mesh_state.rows.routes}
-    for name in sorted({flow.route for flow in flows} - known):
+    configured = {route.name for route in mesh_state.rows.routes}
+    for name in sorted({flow.route for flow in flows} - configured):
         shown = name or "routes counted as one"
         yield f"traffic of {shown} belongs to no route of the configuration"
 
 
 def is_stale(snapshot: Snapshot, now: datetime) -> bool:
-    """Whether the snapshot is too old to describe the present state."""
-    return snapshot.age(now) > _OLD
+    """Whether the snapshot is too old to describe the current state."""
+    return snapshot.age(now) > _STALE_AGE
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -96,9 +96,9 @@
     [
         (Proposal(drains=("zz",)), "no target 'zz'"),
         (Proposal(evacuations=("zz",)), "zone 'zz'"),
-        (Proposal(swaps=("s9=s4",)), "no member"),
-        (Proposal(swaps=("s1=s2",)), "member already"),
-        (Proposal(swaps=("s1",)), "OLD=NEW"),
+        (Proposal(replacements=("s9=s4",)), "no member"),
+        (Proposal(replacements=("s1=s2",)), "member already"),
+        (Proposal(replacements=("s1",)), "OLD=NEW"),
         (Proposal(rows=read_configuration_rows(make_configuration(1, m={"a": 1}))), "not above"),
     ],
 )
