--- a/marblefold/planner/reporting.py
+++ b/marblefold/planner/reporting.py
@@ -23,8 +23,8 @@
                     {
                         "route": change.route,
                         "field": change.field.replace("_", "-"),
-                        "before": _to_json_value(change.before),
-                        "after": _to_json_value(change.after),
+                        "before": _format_value(change.before),
+                        "after": _format_value(change.after),
                     }
                     for change in differences.changed
                 ],
@@ -50,7 +50,10 @@
         yield f"route {name}: removed"
     for change in differences.changed:
         field = change.field.replace("_", "-")
-        yield f"route {change.route}: {field} {_to_json_value(change.before)} -> {_to_json_value(change.after)}"
+        yield (
+            f"route {change.route}: {field} "
+            f"{_format_value(change.before)} -> {_format_value(change.after)}"
+        )
     for title, shares in (("upstream", differences.upstreams), ("zone", differences.zones)):
         for share in shares:
             mark = "" if abs(share.before - share.after) < _MIN_MARKED_DIFFERENCE else "  *"
@@ -64,7 +67,7 @@
         yield "nothing harmful"
 
 
-def _to_json_value(value: object) -> object:
+def _format_value(value: object) -> object:
     if isinstance(value, timedelta):
         return f"{value / timedelta(milliseconds=1):g} ms"
     return list(value) if isinstance(value, tuple) else value
--- a/marblefold/rehearsal/forecast.py
+++ b/marblefold/rehearsal/forecast.py
@@ -19,24 +19,24 @@
     Raises an ExceptionGroup with a MeshError for each unknown region or zone, and if
     no zone or every zone is named.
     """
-    faults = []
+    errors = []
     lost: set[str] = set()
     known = snapshot.zone_regions
     for region in regions:
         found = {zone for zone, zone_region in known.items() if zone_region == region}
         if not found:
-            faults.append(MeshError("lose", f"region: no region {region!r}"))
+            errors.append(MeshError("lose", f"region: no region {region!r}"))
         lost |= found
     for zone in zones:
         if zone not in known:
-            faults.append(MeshError("lose", f"zone: no zone {zone!r}"))
+            errors.append(MeshError("lose", f"zone: no zone {zone!r}"))
         lost.add(zone)
     if not regions and not zones:
-        faults.append(MeshError("lose", "region or zone: none is named"))
+        errors.append(MeshError("lose", "region or zone: none is named"))
     if lost and lost >= set(known):
-        faults.append(MeshError("lose", "that is every zone there is: nothing would be left"))
-    if faults:
-        raise ExceptionGroup("lose", faults)
+        errors.append(MeshError("lose", "that is every zone there is: nothing would be left"))
+    if errors:
+        raise ExceptionGroup("lose", errors)
     return frozenset(lost)
 
 
--- a/marblefold/rehearsal/simulation.py
+++ b/marblefold/rehearsal/simulation.py
@@ -28,7 +28,7 @@
 
 __all__ = ["Simulation", "detection_seconds"]
 
-# The time that membership takes to spread a suspicion from one node to the next.
+# The time in which gossip doubles the number of nodes that know of a suspicion.
 _GOSSIP_ROUND_SECONDS = 0.2
 
 
@@ -130,11 +130,11 @@
     def delay_seconds(self, zone: str, target: KnownTarget) -> float:
         """Returns the one-way delay from a zone to a target, in seconds."""
         if zone == target.zone:
-            return self.config.in_zone_seconds
+            return self.config.in_zone_delay_seconds
         regions = self._snapshot.zone_regions
         if regions.get(zone) == regions.get(target.zone):
-            return self.config.cross_zone_seconds
-        return self.config.cross_region_seconds
+            return self.config.cross_zone_delay_seconds
+        return self.config.cross_region_delay_seconds
 
     def _service_seconds(self, upstream: str) -> float:
         known = self._snapshot.service_seconds.get(upstream)
@@ -235,13 +235,13 @@
         )
 
 
-def detection_seconds(nodes: int) -> float:
+def detection_seconds(node_count: int) -> float:
     """Returns the seconds until all nodes suspect the lost ones, by the settings of the prober."""
     config = ProberConfig()
-    hops = math.log2(max(2, nodes))
+    rounds = math.log2(max(2, node_count))
     return (
         config.probe_interval_seconds
         + config.direct_timeout_seconds
         + config.indirect_timeout_seconds
-        + hops * _GOSSIP_ROUND_SECONDS
+        + rounds * _GOSSIP_ROUND_SECONDS
     )
--- a/marblefold/rehearsal/simulation_config.py
+++ b/marblefold/rehearsal/simulation_config.py
@@ -15,13 +15,13 @@
     runs: int = 4
     seed: int = 1
     # One-way delays.
-    in_zone_seconds: float = 0.0002
-    cross_zone_seconds: float = 0.001
-    cross_region_seconds: float = 0.012
+    in_zone_delay_seconds: float = 0.0002
+    cross_zone_delay_seconds: float = 0.001
+    cross_region_delay_seconds: float = 0.012
     # Service times are uniform within this share below and above their mean.
     service_time_spread: float = 0.5
-    # How long after a machine stops responding a read is retried, its connection is
-    # closed, and an attempt to connect fails.
+    # The times until a read sent to an unresponsive machine is retried, the connection to
+    # it is closed, and an attempt to connect to it fails.
     unresponsive_seconds: float = 0.45
     connection_loss_seconds: float = 2.0
     connect_timeout_seconds: float = 0.5
--- a/marblefold/rehearsal/snapshot.py
+++ b/marblefold/rehearsal/snapshot.py
@@ -69,9 +69,13 @@
         self.document = document
         self.errors: list[MeshError] = []
 
-    def get(self, name: str, kind: type | tuple, default=None):
+    def get(self, name: str, expected_type: type | tuple, default=None):
         value = self.document.get(name, default)
-        if not isinstance(value, kind) or isinstance(value, bool) and kind is not bool:
+        if (
+            not isinstance(value, expected_type)
+            or isinstance(value, bool)
+            and expected_type is not bool
+        ):
             self.add_error(name, "missing or of the wrong kind")
             return default
         return value
@@ -125,7 +129,7 @@
         fields.add_error("zones", "none")
     elif mesh_state is not None and not mesh_state.targets:
         fields.add_error("state.targets", "none: there is nothing to rehearse with")
-    # MeshState are missing only where a fault says why.
+    # The state is missing only if an error gives the reason.
     if fields.errors or mesh_state is None:
         raise _group_errors(fields.errors)
     return Snapshot(
--- a/tests/region_document.py
+++ b/tests/region_document.py
@@ -1,12 +1,14 @@
-"""The snapshot of a small deployment in three regions."""
+"""Creates the snapshot of a small deployment in three regions."""
 
 ZONES = {"a1": "east", "a2": "east", "b1": "west", "b2": "west", "c1": "south"}
 EAST = frozenset(("a1", "a2"))
 SERVICE = {"quotes": 0.20, "orders": 0.30}
 
 
-def make_document(per_zone=4, slots=4, homes=None, cold=False, owner=None, gone=(), rates=None):
-    """A snapshot's document, but for the traffic, which nodes count."""
+def make_document(
+    per_zone=4, slots=4, allowed_regions=None, cold=False, owner=None, missing_zones=(), rates=None
+):
+    """Returns the document of a snapshot without traffic, which the nodes count."""
     routes = [
         {"name": "look", "route-type": "read_only", "upstream": "quotes", "timeout-ms": 4000},
         {"name": "book", "route-type": "mutating", "upstream": "orders", "timeout-ms": 5000},
@@ -20,8 +22,8 @@
                 "max-attempts": 2,
             }
         )
-        if homes and route["name"] in homes:
-            route["allowed-regions"] = homes[route["name"]]
+        if allowed_regions and route["name"] in allowed_regions:
+            route["allowed-regions"] = allowed_regions[route["name"]]
     targets = [
         {
             "instance": f"i-{zone}-{upstream}-{number}",
@@ -36,7 +38,7 @@
             "site-agent": owner or "",
         }
         for zone, region in ZONES.items()
-        if zone not in gone
+        if zone not in missing_zones
         for upstream in SERVICE
         for number in range(per_zone)
     ]
--- a/tests/simulated_clock.py
+++ b/tests/simulated_clock.py
@@ -1,4 +1,4 @@
-"""An event loop whose time is simulated: it waits by letting its clock go on."""
+"""Runs an event loop on a simulated clock, which it advances instead of waiting."""
 
 import asyncio
 import selectors
@@ -6,7 +6,7 @@
 
 
 class _Selector(selectors.SelectSelector):
-    """Waits by letting the simulated clock go on."""
+    """Advances the simulated clock by the timeout instead of waiting."""
 
     def __init__(self, clock):
         super().__init__()
@@ -19,7 +19,7 @@
 
 
 def run_simulated(monkeypatch, make):
-    """Runs the coroutine on a simulated clock; its result."""
+    """Runs the coroutine that `make` returns on a simulated clock; returns its result."""
     clock = [1000.0]
     monkeypatch.setattr(time, "monotonic", lambda: clock[0])
     loop = asyncio.SelectorEventLoop(_Selector(clock))
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -1,7 +1,8 @@
-"""A mesh in several regions on a simulated clock, to darken for real.
+"""A mesh in several regions on a simulated clock, which can lose zones under traffic.
 
-Executors, decisions, target_selection, breakers, budgets and slot queues are the
-programs' own, one set a node, driven by an event loop whose time is simulated.
+Each node has its own request executor, decisions, target selection, circuit breakers,
+retry budgets and slot queues, which are those of the programs. They run on an event
+loop whose time is simulated.
 """
 
 import asyncio
@@ -33,7 +34,7 @@
 
 
 class _Request(SimpleNamespace):
-    """What an executor asks of a client's request."""
+    """A client request with what an executor needs of it."""
 
     method, host, headers, body_length = "POST", "shop", (), 0
     has_body = is_upgrade = False
@@ -45,27 +46,27 @@
     def header_block(self):
         return b""
 
-    async def gather(self, _bound, _most):
+    async def gather(self, _bound, _max_bytes):
         return b"", True
 
 
 class SimulatedMesh:
-    """Nodes with targets; a place can go dark in the midst of traffic."""
+    """Nodes with targets; zones can be lost while requests are in progress."""
 
     def __init__(self, document, rate=40.0, seed=3, clients_move=False):
         self.clients_move = clients_move
         self.document, self.rate, self.seed = document, rate, seed
-        self.chance = random.Random(seed)
-        self.dark, self.lapsed, self.tasks, self.endings = set(), set(), set(), []
+        self.random = random.Random(seed)
+        self.lost_zones, self.lapsed, self.tasks, self.outcomes = set(), set(), set(), []
         self.rows = read_configuration_rows(json.dumps(document["configuration"]).encode())
         self.targets = {row["node"]: row for row in document["state"]["targets"]}
         self.traffic_rates = TrafficRates()
-        self.number = 0
+        self.request_count = 0
 
     def start(self):
         snapshot = read_snapshot(json.dumps(self.document).encode())
         self.queues = {node: SlotQueue(row["capacity-slots"]) for node, row in self.targets.items()}
-        self.colds = {node: ColdLimit() for node in self.targets}
+        self.cold_limits = {node: ColdLimit() for node in self.targets}
         self.nodes = {}
         for number, (node, zone) in enumerate(self.document["origins"].items()):
             view = MeshView(node)
@@ -74,7 +75,7 @@
             for name, row in self.document["owners"].items():
                 view.owners[name] = KnownOwner(row["site"], row["agent"], 1)
             for row in self.targets.values():
-                view.apply(self.entry(row))
+                view.apply(self.make_entry(row))
             routing_state = RoutingState(
                 view,
                 TargetSelector(view, zone, seed=number),
@@ -83,12 +84,15 @@
             )
             self.nodes[node] = SimpleNamespace(zone=zone, view=view, routing_state=routing_state)
             self.nodes[node].executor = RequestExecutor(
-                routing_state, SimulatedHops(self, self.nodes[node]), RunningRequests(), "shop"
+                routing_state,
+                SimulatedHopTransport(self, self.nodes[node]),
+                RunningRequests(),
+                "shop",
             )
 
-    def entry(self, row):
+    def make_entry(self, row):
         if row["cold"]:
-            self.colds[row["node"]].cold_until = time.monotonic() + 3.0
+            self.cold_limits[row["node"]].cold_until = time.monotonic() + 3.0
         return kinds.Entry(
             kind="target",
             key=row["node"],
@@ -109,95 +113,97 @@
             ).SerializeToString(),
         )
 
-    async def run(self, lost, warm=6.0, after=6.0):
-        """Traffic, a loss in its midst, traffic; when it was lost."""
+    async def run(self, lost, before_loss_seconds=6.0, after_loss_seconds=6.0):
+        """Runs traffic before and after the loss of zones; returns the time of the loss."""
         self.start()
-        flows = [
-            asyncio.create_task(self.clients(name, zone))
+        request_generators = [
+            asyncio.create_task(self.generate_requests(name, zone))
             for name in ("look", "book")
             for zone in ZONES
-            if self.origins_in(zone)
+            if self.find_nodes(zone)
         ]
-        await asyncio.sleep(warm / 9)
-        self.tell()
-        await asyncio.sleep(warm * 8 / 9)
-        self.tell()
+        await asyncio.sleep(before_loss_seconds / 9)
+        self.report_traffic()
+        await asyncio.sleep(before_loss_seconds * 8 / 9)
+        self.report_traffic()
         self.document["traffic"] = describe_flows(self.traffic_rates, time.monotonic())
         loss_at = time.monotonic()
-        self.darken(lost)
-        await asyncio.sleep(after)
-        for task in flows + list(self.tasks):
+        self.lose_zones(lost)
+        await asyncio.sleep(after_loss_seconds)
+        for task in request_generators + list(self.tasks):
             task.cancel()
-        await asyncio.gather(*flows, return_exceptions=True)
+        await asyncio.gather(*request_generators, return_exceptions=True)
         return loss_at
 
-    def darken(self, lost):
-        self.dark |= lost
+    def lose_zones(self, lost):
+        self.lost_zones |= lost
         self.loss_at = time.monotonic()
         for task in list(self.tasks):
             if task.zone in lost:
                 task.cancel()
         loop = asyncio.get_running_loop()
-        loop.call_later(detection_seconds(len(self.nodes)), self.suspect)
+        loop.call_later(detection_seconds(len(self.nodes)), self.suspect_lost_targets)
         for name, row in self.document["owners"].items():
             if self.document["registries"][row["agent"]] in lost:
                 loop.call_later(LEASE_SECONDS, self.lapsed.add, name)
 
-    def suspect(self):
+    def suspect_lost_targets(self):
         for node in self.nodes.values():
             node.view.suspects.update(
-                name for name, row in self.targets.items() if row["zone"] in self.dark
+                name for name, row in self.targets.items() if row["zone"] in self.lost_zones
             )
 
-    def tell(self):
+    def report_traffic(self):
         for name, node in self.nodes.items():
             notice = node.routing_state.traffic.make_notice(name, node.zone, ZONES[node.zone], 0.0)
             if notice is not None:
                 self.traffic_rates.record(notice, time.monotonic())
 
-    def origins_in(self, zone):
+    def find_nodes(self, zone):
         return [node for node in self.nodes.values() if node.zone == zone]
 
-    async def clients(self, name, zone):
+    async def generate_requests(self, name, zone):
         while True:
-            await asyncio.sleep(self.chance.expovariate(self.rate / len(ZONES)))
-            place = zone
-            if zone in self.dark:
+            await asyncio.sleep(self.random.expovariate(self.rate / len(ZONES)))
+            current_zone = zone
+            if zone in self.lost_zones:
                 if not self.clients_move:
                     return
                 if time.monotonic() < self.loss_at + 2.0:
                     continue
-                place = self.chance.choice(sorted(set(ZONES) - self.dark))
-            node = self.chance.choice(self.origins_in(place))
-            task = asyncio.create_task(self.ask(name, node))
-            task.zone = place
+                current_zone = self.random.choice(sorted(set(ZONES) - self.lost_zones))
+            node = self.random.choice(self.find_nodes(current_zone))
+            task = asyncio.create_task(self.send_request(name, node))
+            task.zone = current_zone
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def ask(self, name, node):
-        self.number += 1
+    async def send_request(self, name, node):
+        self.request_count += 1
         arrived = time.monotonic()
-        request = _Request(arrived=arrived, path=f"/{name}/x", attempt_id=f"r{self.number}")
-        request.reached = None
-        status, request.offered = 0, []
+        request = _Request(arrived=arrived, path=f"/{name}/x", attempt_id=f"r{self.request_count}")
+        request.answered_by_zone = None
+        status, request.interrupted_target_rows = 0, []
         self.current = request
         try:
             status = (await node.executor.serve(request)).status
         finally:
-            reached_lost_zone = any(row["zone"] in self.dark for row in request.offered)
-            self.endings.append(
+            reached_lost_zone = any(
+                row["zone"] in self.lost_zones for row in request.interrupted_target_rows
+            )
+            self.outcomes.append(
                 SimpleNamespace(
                     route=name,
                     arrived=arrived,
                     status=status,
                     reached_lost_zone=reached_lost_zone,
-                    zone=request.reached,
+                    zone=request.answered_by_zone,
                 )
             )
 
 
-class SimulatedHops:
-    """Ends a hop at a target's slots, or in the dark."""
+class SimulatedHopTransport:
+    """A hop transport that ends at the slots of a target, or without an answer in a lost zone."""
 
     def __init__(self, mesh, node):
         self.mesh, self.node = mesh, node
@@ -214,39 +220,39 @@
         )
         await asyncio.sleep(delay)
         is_read = head.route_type == "read_only"
-        if row["zone"] in mesh.dark and time.monotonic() > mesh.loss_at + 2.0:
+        if row["zone"] in mesh.lost_zones and time.monotonic() > mesh.loss_at + 2.0:
             await asyncio.sleep(0.5)
             return HopResult(HopOutcome.NEVER_OFFERED, step="connect")
-        work = asyncio.create_task(self.serve(row, head, request))
+        work = asyncio.create_task(self.process(row, head, request))
         try:
-            began = time.monotonic()
-            while not work.done() and row["zone"] not in mesh.dark:
+            started_at = time.monotonic()
+            while not work.done() and row["zone"] not in mesh.lost_zones:
                 await asyncio.wait({work}, timeout=0.01)
-            if row["zone"] in mesh.dark and not work.done():
-                request.offered.append(row)
+            if row["zone"] in mesh.lost_zones and not work.done():
+                request.interrupted_target_rows.append(row)
                 work.cancel()
                 wait = 0.45 if is_read else 2.0
-                left = max(0.0, seconds - (time.monotonic() - began))
+                remaining = max(0.0, seconds - (time.monotonic() - started_at))
                 asyncio.get_running_loop().call_later(
                     0.45,
                     lambda: self.node.routing_state.selector.note_unresponsive(
                         peer, time.monotonic()
                     ),
                 )
-                await asyncio.sleep(min(wait, left))
-                step = "deadline" if left < wait else ("silent" if is_read else "connection")
+                await asyncio.sleep(min(wait, remaining))
+                step = "deadline" if remaining < wait else ("silent" if is_read else "connection")
                 return HopResult(HopOutcome.UNKNOWN, step=step)
         except asyncio.CancelledError:
-            request.offered.append(row)
+            request.interrupted_target_rows.append(row)
             work.cancel()
             raise
         await asyncio.sleep(delay)
         return work.result()
 
-    async def serve(self, row, head, request):
+    async def process(self, row, head, request):
         mesh, queue = self.mesh, self.mesh.queues[row["node"]]
 
-        def refused(step):
+        def make_refusal(step):
             return HopResult(
                 HopOutcome.NEVER_OFFERED,
                 step=step,
@@ -255,19 +261,19 @@
             )
 
         if row["upstream"] in mesh.lapsed:
-            return refused("another owner")
-        turn = QueuePriority(head.priority, time.monotonic() + head.aim_left_ms / 1000)
-        if not await queue.acquire(turn, head.queue_left_ms / 1000):
-            return refused(NO_SLOT)
+            return make_refusal("another owner")
+        priority = QueuePriority(head.priority, time.monotonic() + head.aim_left_ms / 1000)
+        if not await queue.acquire(priority, head.queue_left_ms / 1000):
+            return make_refusal(NO_SLOT)
         try:
-            if not mesh.colds[row["node"]].may_offer(time.monotonic(), 4.0 * 1.5 + 5.0 - 2):
-                return refused("cold")
-            seconds = SERVICE[row["upstream"]] * mesh.chance.uniform(0.5, 1.5)
+            if not mesh.cold_limits[row["node"]].may_offer(time.monotonic(), 4.0 * 1.5 + 5.0 - 2):
+                return make_refusal("cold")
+            seconds = SERVICE[row["upstream"]] * mesh.random.uniform(0.5, 1.5)
             await asyncio.sleep(seconds)
         finally:
             queue.release()
         queue.note_service(seconds)
-        request.reached = row["zone"]
+        request.answered_by_zone = row["zone"]
         return HopResult(
             HopOutcome.ANSWERED,
             Answer(200),
--- a/tests/test_planner.py
+++ b/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner: what would move, what would break, and how bad input is told."""
+"""Tests the planner: the changes and harm that it reports, and its handling of bad input."""
 
 import json
 import subprocess
@@ -15,7 +15,7 @@
 
 
 def make_configuration(number=1, **routes):
-    """Routes by name: a dict of weights by upstream."""
+    """Returns a configuration; `routes` gives the weights by upstream for each route name."""
     return json.dumps(
         {
             "config-version": number,
@@ -30,10 +30,10 @@
                     "max-attempts": 2,
                     "weighted-targets": [
                         {"upstream": upstream, "weight": weight}
-                        for upstream, weight in split.items()
+                        for upstream, weight in weights.items()
                     ],
                 }
-                for name, split in routes.items()
+                for name, weights in routes.items()
             ],
             "service-list": [{"name": "a"}, {"name": "b"}],
             "limits": {},
@@ -63,7 +63,7 @@
     )
 
 
-def test_routes_and_shares_that_move_are_shown():
+def test_changed_routes_and_shares_are_shown():
     before = make_mesh_state(m={"a": 1}, gone={"a": 1})
     rows = read_configuration_rows(make_configuration(2, m={"a": 1, "b": 3}, new={"b": 1}))
     differences = compare(before, propose(before, Proposal(rows)), {}, {"m": 30.0, "new": 10.0})
@@ -76,12 +76,12 @@
 
 def test_a_drain_that_goes_below_the_floor_is_harmful():
     before = make_mesh_state()
-    fine = compare(before, propose(before, Proposal(drains=("a1",))), {"a": 10}, {})
-    assert fine.faults == ()
-    # Cold and draining targets count for nothing.
-    assert [row.before for row in fine.capacity] == [20, 5]
-    bad = compare(before, propose(before, Proposal(drains=("a1",))), {"a": 11}, {})
-    assert bad.faults == ("a: 10 slots left, the floor is 11",)
+    harmless = compare(before, propose(before, Proposal(drains=("a1",))), {"a": 10}, {})
+    assert harmless.faults == ()
+    # Cold and draining targets do not count.
+    assert [row.before for row in harmless.capacity] == [20, 5]
+    harmful = compare(before, propose(before, Proposal(drains=("a1",))), {"a": 11}, {})
+    assert harmful.faults == ("a: 10 slots left, the floor is 11",)
 
 
 def test_an_evacuation_that_leaves_a_route_without_targets_is_harmful():
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    "proposal, fault",
+    "proposal, error",
     [
         (Proposal(drains=("zz",)), "no target 'zz'"),
         (Proposal(evacuations=("zz",)), "zone 'zz'"),
@@ -102,10 +102,10 @@
         (Proposal(rows=read_configuration_rows(make_configuration(1, m={"a": 1}))), "not above"),
     ],
 )
-def test_a_proposal_that_cannot_be_is_refused_with_its_place(proposal, fault):
+def test_an_impossible_proposal_is_refused_with_the_reason(proposal, error):
     with pytest.raises(ExceptionGroup) as caught:
         propose(make_mesh_state(), proposal)
-    assert fault in str(caught.value.exceptions[0])
+    assert error in str(caught.value.exceptions[0])
 
 
 @given(
@@ -132,15 +132,15 @@
     drains = tuple(f"t{index}" for index in drained if index < len(known))
     zones = tuple(zone for zone in evacuated if any(target.zone == zone for target in known))
     differences = compare(before, propose(before, Proposal(None, drains, zones)), {"a": floor}, {})
-    left = 0
+    remaining = 0
     for index, (upstream, zone, slots, draining, cold) in enumerate(targets):
         if upstream == "a" and zone not in evacuated and f"t{index}" not in drains:
-            left += 0 if draining or cold else slots
-    assert {row.upstream: row.after for row in differences.capacity}["a"] == left
-    assert any("floor" in fault for fault in differences.faults) == (left < floor)
+            remaining += 0 if draining or cold else slots
+    assert {row.upstream: row.after for row in differences.capacity}["a"] == remaining
+    assert any("floor" in fault for fault in differences.faults) == (remaining < floor)
 
 
-def plan(folder, *arguments, **files):
+def run_plan(folder, *arguments, **files):
     for name, data in files.items():
         (folder / name).write_bytes(data)
     return subprocess.run(
@@ -161,7 +161,7 @@
 ).encode()
 
 
-def test_the_command_tells_by_its_exit_status_what_it_found(tmp_path):
+def test_the_exit_status_of_the_command_gives_the_result(tmp_path):
     files = {
         "now": make_configuration(1, m={"a": 1}),
         "then": make_configuration(2, m={"a": 1}, n={"a": 1}),
@@ -170,11 +170,11 @@
         "bad": make_configuration(3, m={"zz": 1}),
     }
     base = [f"--current={tmp_path}/now", f"--state={tmp_path}/state"]
-    fine = plan(tmp_path, *base, f"--proposed={tmp_path}/then", **files)
-    assert fine.returncode == 0 and "route n: added" in fine.stdout
-    harmful = plan(tmp_path, *base, "--drain=a1", f"--floors={tmp_path}/floors", "--json")
+    harmless = run_plan(tmp_path, *base, f"--proposed={tmp_path}/then", **files)
+    assert harmless.returncode == 0 and "route n: added" in harmless.stdout
+    harmful = run_plan(tmp_path, *base, "--drain=a1", f"--floors={tmp_path}/floors", "--json")
     assert harmful.returncode == 1 and json.loads(harmful.stdout)["harmful"]
-    invalid = plan(tmp_path, *base, f"--proposed={tmp_path}/bad")
+    invalid = run_plan(tmp_path, *base, f"--proposed={tmp_path}/bad")
     assert invalid.returncode == 1 and "zz" in invalid.stderr
     for arguments in (
         ["--drain=a1"],
@@ -183,6 +183,6 @@
         [*base[:1], f"--state={tmp_path}/floors", f"--floors={tmp_path}/now"],
         ["--from_system=127.0.0.1:9"],
     ):
-        wrong = plan(tmp_path, *arguments)
+        wrong = run_plan(tmp_path, *arguments)
         assert wrong.returncode == 2, wrong
         assert "Traceback" not in wrong.stderr + wrong.stdout
--- a/tests/test_rehearsal.py
+++ b/tests/test_rehearsal.py
@@ -1,4 +1,4 @@
-"""What a rehearsal says, refuses and leaves alone."""
+"""Tests what a rehearsal reports, which input it refuses, and that it changes nothing."""
 
 import asyncio
 import copy
@@ -12,8 +12,8 @@
 from tests.region_document import EAST, make_document
 
 
-def make_known(**more):
-    document = make_document(**more)
+def make_document_with_traffic(**options):
+    document = make_document(**options)
     document["traffic"] = [
         {"route": name, "zone": zone, "per-second": 5.0, "seconds": 0.3}
         for name in ("look", "book")
@@ -22,29 +22,29 @@
     return document
 
 
-def test_a_rehearsal_changes_nothing_and_says_the_same_again(capsys):
-    document = make_known(slots=1, per_zone=2)
+def test_a_rehearsal_changes_nothing_and_is_repeatable(capsys):
+    document = make_document_with_traffic(slots=1, per_zone=2)
     before = json.dumps(document)
     snapshot = read_snapshot(before.encode())
-    kept = copy.deepcopy(snapshot)
+    snapshot_before = copy.deepcopy(snapshot)
     first = to_json_object(rehearse(snapshot, EAST))
-    assert json.dumps(document) == before and snapshot == kept
+    assert json.dumps(document) == before and snapshot == snapshot_before
     assert to_json_object(rehearse(snapshot, EAST)) == first
-    steps = rehearse_in_slices(snapshot, EAST)
-    slices = 0
+    slices = rehearse_in_slices(snapshot, EAST)
+    slice_count = 0
     while True:
         try:
-            next(steps)
-            slices += 1
+            next(slices)
+            slice_count += 1
         except StopIteration as end:
-            assert to_json_object(end.value) == first and slices > 5
+            assert to_json_object(end.value) == first and slice_count > 5
             break
-    # Breakers open in it; the log of whoever rehearses says nothing of that.
+    # Circuit breakers open in the simulation, which the log of the process must not show.
     assert capsys.readouterr().out == ""
 
 
-def test_the_report_names_services_reasons_and_the_control_side():
-    document = make_known(homes={"book": ["east"]}, owner="a1:1")
+def test_the_report_names_services_reasons_and_the_control_plane():
+    document = make_document_with_traffic(allowed_regions={"book": ["east"]}, owner="a1:1")
     document["partners"] = True
     document["registries"] = {"a1:1": "a1", "a2:1": "a2", "b1:1": "b1"}
     snapshot = read_snapshot(json.dumps(document).encode())
@@ -56,8 +56,8 @@
     assert sum(route.gone_with_clients for route in forecast.routes) > 10
 
 
-def test_work_is_divided_over_routes_as_their_whole_times_are():
-    document = make_known()
+def test_service_time_is_divided_over_routes_by_their_durations():
+    document = make_document_with_traffic()
     for row in document["configuration"]["route-list"]:
         row["upstream"] = "quotes"
     for row in document["traffic"]:
@@ -66,29 +66,35 @@
     simulation = Simulation(read_snapshot(json.dumps(document).encode()), EAST)
     assert abs(simulation.route_service_seconds("look", "quotes") - 0.08) < 1e-9
     assert abs(simulation.route_service_seconds("book", "quotes") - 0.40) < 1e-9
-    # A route nobody counted takes what the service takes.
+    # A route without known traffic has the mean service time of the service.
     assert simulation.route_service_seconds("other", "quotes") == 0.24
 
 
-def faults_of(body, regions=(), zones=()):
+def find_errors(body, regions=(), zones=()):
     try:
         find_lost_zones(read_snapshot(body), list(regions), list(zones))
     except ExceptionGroup as group:
-        return " ".join(str(fault) for fault in group.exceptions)
+        return " ".join(str(error) for error in group.exceptions)
     return ""
 
 
-def test_what_is_wrong_is_named_with_its_place():
-    document = make_known()
-    good = json.dumps(document).encode()
-    assert faults_of(good, ["east"]) == ""
-    assert "no region 'north'" in faults_of(good, ["north"])
-    assert "no zone 'z'" in faults_of(good, zones=["z"])
-    assert "every zone" in faults_of(good, ["east", "west", "south"])
-    assert "none is named" in faults_of(good)
-    for torn in (b"", b"[]", good[:-20], b"{}", b'{"format": "marblefold-snapshot", "version": 9}'):
-        assert faults_of(torn, ["east"])
-    for place, value in (
+def test_errors_name_the_invalid_field():
+    document = make_document_with_traffic()
+    valid = json.dumps(document).encode()
+    assert find_errors(valid, ["east"]) == ""
+    assert "no region 'north'" in find_errors(valid, ["north"])
+    assert "no zone 'z'" in find_errors(valid, zones=["z"])
+    assert "every zone" in find_errors(valid, ["east", "west", "south"])
+    assert "none is named" in find_errors(valid)
+    for invalid in (
+        b"",
+        b"[]",
+        valid[:-20],
+        b"{}",
+        b'{"format": "marblefold-snapshot", "version": 9}',
+    ):
+        assert find_errors(invalid, ["east"])
+    for field, value in (
         ("taken-at", "yesterday"),
         ("traffic", [{"route": "m"}]),
         ("zones", {}),
@@ -101,38 +107,40 @@
         ("retry-budget", {"ratio": "much"}),
         ("owners", {"orders": 1}),
     ):
-        assert place in faults_of(json.dumps({**document, place: value}).encode(), ["east"]), place
+        assert field in find_errors(json.dumps({**document, field: value}).encode(), ["east"]), (
+            field
+        )
 
 
 def test_gaps_are_shown():
-    document = make_known()
+    document = make_document_with_traffic()
     document.update({"service-seconds": {"quotes": 0.2}, "nodes-heard": 3})
     document["traffic"].append(
         {"route": "nobody", "zone": "a1", "per-second": 1, "seconds": 1, "age-s": 90}
     )
     gaps = " ".join(read_snapshot(json.dumps(document).encode()).gaps)
-    for words in (
+    for text in (
         "orders: how long",
         "3 of",
         "older than",
         "nobody belongs to no route",
         "look: how much its requests move is not known",
     ):
-        assert words in gaps
+        assert text in gaps
     del document["traffic"]
     assert "no traffic" in read_snapshot(json.dumps(document).encode()).gaps[0]
 
 
-def test_a_second_rehearsal_at_a_registry_is_refused_for_now():
+def test_a_concurrent_rehearsal_at_a_registry_is_answered_503():
     from types import SimpleNamespace
 
     from marblefold.http_connections.call_router import Call
     from marblefold.rehearsal.calls import RehearsalCalls
 
-    document = make_known()
+    document = make_document_with_traffic()
 
     class RegisterClient:
-        async def ask(self, *_store_client):
+        async def ask(self, *_arguments):
             return SimpleNamespace(value=json.dumps(document["configuration"]).encode())
 
     async def test():
