--- a/marblefold/planner/comparing.py
+++ b/marblefold/planner/comparison.py
@@ -1,19 +1,19 @@
-"""The effects of a change: a pure comparison of the mesh before and after it."""
+"""Compares the state of the mesh before and after a change."""
 
 from collections import defaultdict
 from collections.abc import Collection
 from typing import NamedTuple
 
 from marblefold.configuration.rows import Route, Rows
-from marblefold.planner.facts import Facts
+from marblefold.planner.mesh_state import MeshState
 from marblefold.request_path.eligibility import is_eligible, is_last_resort
 from marblefold.request_path.mesh_view import KnownTarget
 
-__all__ = ["Capacity", "RouteChange", "Moved", "Share", "compare"]
+__all__ = ["Capacity", "RouteChange", "Differences", "Share", "compare"]
 
 
 class RouteChange(NamedTuple):
-    """One field that differs in a route which both states have."""
+    """One changed field of a route that exists in both states."""
 
     route: str
     field: str
@@ -22,7 +22,7 @@
 
 
 class Share(NamedTuple):
-    """The share of the traffic (0 to 1) of an upstream or zone."""
+    """The share of the traffic that an upstream or zone receives, from 0 to 1."""
 
     name: str
     before: float
@@ -30,7 +30,7 @@
 
 
 class Capacity(NamedTuple):
-    """The slots of an upstream, and its floor: the slots that must remain."""
+    """The slots of an upstream, and its floor: the number of slots that must remain."""
 
     upstream: str
     before: int
@@ -38,13 +38,13 @@
     floor: int
 
     @property
-    def is_below(self) -> bool:
-        """Whether the change takes it below the floor."""
+    def is_below_floor(self) -> bool:
+        """Whether fewer slots than the floor remain after the change."""
         return self.after < self.floor
 
 
-class Moved(NamedTuple):
-    """All differences, and as `faults` what would be harmful."""
+class Differences(NamedTuple):
+    """The differences between two states; `faults` lists the harmful ones."""
 
     added: tuple[str, ...]
     removed: tuple[str, ...]
@@ -56,20 +56,20 @@
 
 
 def compare(
-    before: Facts,
-    after: Facts,
+    before: MeshState,
+    after: MeshState,
     floors: dict[str, int],
     traffic: dict[str, float],
-) -> Moved:
-    """Compares two states of the mesh.
+) -> Differences:
+    """Returns the differences between two states of the mesh; a pure function.
 
-    `floors` are slots by upstream, `traffic` requests per second by route; without
-    traffic all routes count alike.
+    `floors` gives slots by upstream, `traffic` requests per second by route. If
+    `traffic` is empty, all routes have the same weight.
     """
     old = {(route.host, route.prefix): route for route in before.rows.routes}
     new = {(route.host, route.prefix): route for route in after.rows.routes}
     capacity = _compare_capacity(before, after, floors)
-    return Moved(
+    return Differences(
         added=tuple(new[key].name for key in new if key not in old),
         removed=tuple(old[key].name for key in old if key not in new),
         changed=tuple(
@@ -97,8 +97,8 @@
     )
 
 
-def _flows(rows: Rows, traffic: dict[str, float]):
-    """Each route's part of the traffic, split over its upstreams."""
+def _split_traffic(rows: Rows, traffic: dict[str, float]):
+    """Yields the share of the traffic of each route and upstream."""
     rates = {route.name: traffic.get(route.name, 0.0) if traffic else 1.0 for route in rows.routes}
     total = sum(rates.values()) or 1.0
     for route in rows.routes:
@@ -109,47 +109,50 @@
 
 def _share_upstreams(rows: Rows, traffic: dict[str, float]) -> dict[str, float]:
     shares: dict[str, float] = defaultdict(float)
-    for _route, upstream, part in _flows(rows, traffic):
-        shares[upstream] += part
+    for _route, upstream, share in _split_traffic(rows, traffic):
+        shares[upstream] += share
     return shares
 
 
-def _share_zones(facts: Facts, traffic: dict[str, float]) -> dict[str, float]:
-    """Traffic by zone, spread evenly over the slots."""
+def _share_zones(mesh_state: MeshState, traffic: dict[str, float]) -> dict[str, float]:
+    """Returns the share of the traffic of each zone, spread evenly over the slots."""
     shares: dict[str, float] = defaultdict(float)
-    for route, upstream, part in _flows(facts.rows, traffic):
-        targets = _selectable(facts, upstream, route.allowed_regions)
+    for route, upstream, share in _split_traffic(mesh_state.rows, traffic):
+        targets = _find_selectable(mesh_state, upstream, route.allowed_regions)
         slots = sum(target.slots for target in targets)
         for target in targets:
-            shares[target.zone] += part * target.slots / slots
+            shares[target.zone] += share * target.slots / slots
         if not targets:
-            shares["(nowhere)"] += part
+            shares["(nowhere)"] += share
     return shares
 
 
-def _selectable(facts: Facts, upstream: str, homes: Collection[str]) -> list[KnownTarget]:
-    """The targets that proxies would select, by the rules of the request path."""
+def _find_selectable(
+    mesh_state: MeshState, upstream: str, allowed_regions: Collection[str]
+) -> list[KnownTarget]:
+    """Returns the targets that proxies may select, by the rules of the request path."""
     eligible = [
         target
-        for target in facts.targets
-        if target.upstream == upstream and is_eligible(target, facts.evacuated, homes)
+        for target in mesh_state.targets
+        if target.upstream == upstream
+        and is_eligible(target, mesh_state.evacuated, allowed_regions)
     ]
     return [target for target in eligible if not is_last_resort(target)] or eligible
 
 
-def count_slots(facts: Facts, upstream: str) -> int:
-    """The slots of an upstream, without those of cold, draining and leaving targets."""
+def count_slots(mesh_state: MeshState, upstream: str) -> int:
+    """Returns the slots of an upstream, without those of cold, draining and leaving targets."""
     return sum(
         target.slots
-        for target in facts.targets
+        for target in mesh_state.targets
         if target.upstream == upstream
-        and is_eligible(target, facts.evacuated, None)
+        and is_eligible(target, mesh_state.evacuated, None)
         and not is_last_resort(target)
         and not target.cold_until
     )
 
 
-def _compare_capacity(before: Facts, after: Facts, floors: dict[str, int]):
+def _compare_capacity(before: MeshState, after: MeshState, floors: dict[str, int]):
     names = {target.upstream for target in before.targets + after.targets} | set(floors)
     names |= {upstream.name for upstream in after.rows.upstreams}
     return tuple(
@@ -158,12 +161,12 @@
     )
 
 
-def _find_faults(after: Facts, capacity: tuple[Capacity, ...]):
+def _find_faults(after: MeshState, capacity: tuple[Capacity, ...]):
     for row in capacity:
-        if row.is_below:
+        if row.is_below_floor:
             yield f"{row.upstream}: {row.after} slots left, the floor is {row.floor}"
     for route in after.rows.routes:
         for upstream in route.upstreams:
-            # Without any known targets (no state given) nothing can be said.
-            if after.targets and not _selectable(after, upstream, route.allowed_regions):
+            # Without known targets (no state was given) this cannot be checked.
+            if after.targets and not _find_selectable(after, upstream, route.allowed_regions):
                 yield f"route {route.name}: no target of {upstream} is left"
--- a/marblefold/rehearsal/forecast_model.py
+++ b/marblefold/rehearsal/forecast_model.py
@@ -1,21 +1,24 @@
-"""What a forecast says; rates are per second, times in seconds."""
+"""The types of a forecast; rates are per second, times in seconds."""
 
 from typing import NamedTuple
 
-__all__ = ["Capacity", "Control", "Forecast", "Kind"]
+__all__ = ["Capacity", "ControlPlane", "Forecast", "RouteForecast"]
 
 
-class Kind(NamedTuple):
-    """The requests of one route to one service; rates per second, `late_*` as shares."""
+class RouteForecast(NamedTuple):
+    """The forecast for the requests of one route to one service.
+
+    Rates are per second; `late_before` and `late_after` are shares from 0 to 1.
+    """
 
     route: str
     upstream: str
     kind: str
     before: float
-    # Where it is answered, by zone.
+    # The rate of answers by zone.
     zones_before: dict[str, float]
     zones_after: dict[str, float]
-    # The part of what the lost zones answered that is now answered elsewhere.
+    # The rate of requests that the lost zones answered and other zones answer now.
     carried_elsewhere: float
     gone_with_clients: float
     stalls_before: float
@@ -29,7 +32,7 @@
 
 
 class Capacity(NamedTuple):
-    """The slots of a service, and their mean use."""
+    """The slots of a service, and how many are in use on average."""
 
     upstream: str
     slots_before: int
@@ -38,8 +41,8 @@
     used_after: float
 
 
-class Control(NamedTuple):
-    """The stores: how many are left, and what follows for control."""
+class ControlPlane(NamedTuple):
+    """The remaining stores, and the consequences for the control plane."""
 
     stores: int
     stores_left: int
@@ -48,25 +51,28 @@
 
 
 class Forecast(NamedTuple):
-    """The forecast; `settles_after` is the time until all nodes know of the loss."""
+    """The forecast; `settled_after_seconds` is the time until all nodes know of the loss."""
 
     lost: tuple[str, ...]
-    settles_after: float
-    kinds: tuple[Kind, ...]
+    settled_after_seconds: float
+    routes: tuple[RouteForecast, ...]
     capacity: tuple[Capacity, ...]
-    control: Control
+    control: ControlPlane
     gaps: tuple[str, ...]
 
     @property
     def is_harmless(self) -> bool:
-        """Whether nothing stalls beyond what did before, nothing may run twice, and a majority
-        of the stores is left."""
+        """Whether a majority of the stores remains, and no route suffers from the loss.
+
+        No request may run twice. The rate of stalls may grow by at most 2 % of the previous
+        request rate until all nodes know of the loss, and by at most 0.5 % after that.
+        """
         return (
             not any(
-                kind.may_go_twice
-                or kind.stalls_after > kind.stalls_before + 0.005 * kind.before
-                or kind.stalls_unsettled > kind.stalls_before + 0.02 * kind.before
-                for kind in self.kinds
+                route.may_go_twice
+                or route.stalls_after > route.stalls_before + 0.005 * route.before
+                or route.stalls_unsettled > route.stalls_before + 0.02 * route.before
+                for route in self.routes
             )
             and self.control.has_majority
         )
--- a/marblefold/rehearsal/reporting.py
+++ b/marblefold/rehearsal/reporting.py
@@ -1,40 +1,43 @@
-"""Prints a forecast as text, or turns it into plain objects for JSON."""
+"""Formats a forecast as text or as a JSON object."""
 
 from collections.abc import Iterator
 
-from marblefold.rehearsal.forecast_model import Forecast, Kind
+from marblefold.rehearsal.forecast_model import Forecast, RouteForecast
 
-__all__ = ["to_plain", "to_text"]
+__all__ = ["to_json_object", "to_text"]
 
-_LEAST_RATE = 0.05
+_MIN_SHOWN_RATE = 0.05
 
 
-def to_plain(forecast: Forecast) -> dict:
-    """The forecast as one JSON object."""
+def to_json_object(forecast: Forecast) -> dict:
+    """Returns the forecast as a JSON object."""
     return {
         "lost": list(forecast.lost),
         "harmless": forecast.is_harmless,
-        "settles-after-s": round(forecast.settles_after, 2),
-        "services": [_plain(kind._asdict()) for kind in forecast.kinds],
-        "capacity": [_plain(row._asdict()) for row in forecast.capacity],
-        "control": _plain(forecast.control._asdict()),
+        "settles-after-s": round(forecast.settled_after_seconds, 2),
+        "services": [_to_json_fields(route._asdict()) for route in forecast.routes],
+        "capacity": [_to_json_fields(row._asdict()) for row in forecast.capacity],
+        "control": _to_json_fields(forecast.control._asdict()),
         "gaps": list(forecast.gaps),
     }
 
 
 def to_text(forecast: Forecast) -> str:
-    """The forecast as lines."""
+    """Returns the forecast as lines of text."""
     return "\n".join(_lines(forecast)) + "\n"
 
 
 def _lines(forecast: Forecast) -> Iterator[str]:
-    yield f"losing {', '.join(forecast.lost)}; all nodes know after {forecast.settles_after:.1f} s"
+    yield (
+        f"losing {', '.join(forecast.lost)}; "
+        f"all nodes know after {forecast.settled_after_seconds:.1f} s"
+    )
     upstream = None
-    for kind in sorted(forecast.kinds, key=lambda kind: (kind.upstream, kind.route)):
-        if kind.upstream != upstream:
-            upstream = kind.upstream
+    for route in sorted(forecast.routes, key=lambda route: (route.upstream, route.route)):
+        if route.upstream != upstream:
+            upstream = route.upstream
             yield f"service {upstream}"
-        yield from _kind_lines(kind)
+        yield from _route_lines(route)
     for row in forecast.capacity:
         yield (
             f"capacity {row.upstream}: {row.slots_before} -> {row.slots_after} slots, in use "
@@ -51,40 +54,43 @@
     yield "all carried" if forecast.is_harmless else "NOT all carried"
 
 
-def _kind_lines(kind: Kind) -> Iterator[str]:
-    yield f"  {kind.route} ({kind.kind}): {kind.before:.1f}/s before"
-    if kind.gone_with_clients >= _LEAST_RATE:
-        yield f"    {kind.gone_with_clients:.1f}/s no longer come: their clients' machines are lost"
-    yield f"    carried elsewhere: {kind.carried_elsewhere:.1f}/s; answered in " + (
+def _route_lines(forecast: RouteForecast) -> Iterator[str]:
+    yield f"  {forecast.route} ({forecast.kind}): {forecast.before:.1f}/s before"
+    if forecast.gone_with_clients >= _MIN_SHOWN_RATE:
+        yield (
+            f"    {forecast.gone_with_clients:.1f}/s no longer come: "
+            f"their clients' machines are lost"
+        )
+    yield f"    carried elsewhere: {forecast.carried_elsewhere:.1f}/s; answered in " + (
         ", ".join(
-            f"{zone} {kind.zones_before.get(zone, 0.0):.1f}"
-            f" -> {kind.zones_after.get(zone, 0.0):.1f}/s"
-            for zone in sorted(kind.zones_before.keys() | kind.zones_after.keys())
+            f"{zone} {forecast.zones_before.get(zone, 0.0):.1f}"
+            f" -> {forecast.zones_after.get(zone, 0.0):.1f}/s"
+            for zone in sorted(forecast.zones_before.keys() | forecast.zones_after.keys())
         )
         or "no zone"
     )
     yield (
-        f"    stalls: {kind.stalls_before:.1f}/s before, {kind.stalls_unsettled:.1f}/s until all "
-        f"know, {kind.stalls_after:.1f}/s after"
+        f"    stalls: {forecast.stalls_before:.1f}/s before, {forecast.stalls_unsettled:.1f}/s "
+        f"until all know, {forecast.stalls_after:.1f}/s after"
     )
-    for reason, count in sorted(kind.reasons.items()):
+    for reason, count in sorted(forecast.reasons.items()):
         yield f"      {reason}: {count} in all"
-    yield f"    late: {kind.late_before:.1%} before, {kind.late_after:.1%} after"
-    if kind.repeated_reads:
-        yield f"    repeated: {kind.repeated_reads} in all"
-    if kind.may_go_twice:
+    yield f"    late: {forecast.late_before:.1%} before, {forecast.late_after:.1%} after"
+    if forecast.repeated_reads:
+        yield f"    repeated: {forecast.repeated_reads} in all"
+    if forecast.may_go_twice:
         yield (
-            f"    may go through twice: {kind.may_go_twice} in all (outcome unknown, answered 502 "
-            f"or 504 and never sent again by the mesh; the customer may)"
+            f"    may go through twice: {forecast.may_go_twice} in all (outcome unknown, "
+            f"answered 502 or 504 and never sent again by the mesh; the customer may)"
         )
 
 
-def _plain(row: dict) -> dict:
-    def tidy(value):
+def _to_json_fields(row: dict) -> dict:
+    def to_json_value(value):
         if isinstance(value, float):
             return round(value, 3)
         if isinstance(value, dict):
-            return {key: tidy(item) for key, item in value.items()}
+            return {key: to_json_value(item) for key, item in value.items()}
         return list(value) if isinstance(value, tuple) else value
 
-    return {key.replace("_", "-"): tidy(value) for key, value in row.items()}
+    return {key.replace("_", "-"): to_json_value(value) for key, value in row.items()}
