--- a/marblefold/inner_protocol/peer_book.py
+++ b/marblefold/inner_protocol/peer_connection_pool.py
@@ -7,13 +7,13 @@
 from marblefold.inner_protocol.peer_connection import ConnectionOwner, PeerConnection
 from marblefold.node_config.reading import Address
 
-__all__ = ["PeerBook"]
+__all__ = ["PeerConnectionPool"]
 
 # A peer that could not be reached is not tried again for so many seconds.
 _SHUN_SECONDS = 0.25
 
 
-class PeerBook:
+class PeerConnectionPool:
     """The outgoing connections of a process."""
 
     def __init__(
@@ -38,7 +38,7 @@
             return None
         return connection
 
-    async def reach(self, peer: str) -> PeerConnection:
+    async def connect(self, peer: str) -> PeerConnection:
         """An open connection to the peer; MeshError if it cannot be opened in time."""
         connection = self.find(peer)
         if connection is not None:
@@ -65,7 +65,7 @@
         if connection is not None:
             connection.close()
 
-    def drop_idle(self, peer: str) -> None:
+    def close_idle_connection(self, peer: str) -> None:
         """Closes the connection to a peer that may be lost, if it is idle.
 
         If a new connection then fails, it is certain that nothing was sent.
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -12,8 +12,8 @@
 from marblefold.http_connections.http_server import HttpServer
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.messages import unpack_message
-from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PEER_KEEP_ALIVE, PeerConnection
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.inner_protocol.ports import PROXY, REGISTRY, inner_address
 from marblefold.logs import log
 from marblefold.membership.members import Liveness, Member
@@ -67,7 +67,7 @@
         self._membership = NodeMembership(watch, "proxy", PROXY, self._on_member)
         selector = TargetSelector(self.view, config.zone)
         self.surroundings = Surroundings(self.view, selector, config.bounds, config.limits)
-        self._peers = PeerBook(self, keep_alive=PEER_KEEP_ALIVE)
+        self._peers = PeerConnectionPool(self, keep_alive=PEER_KEEP_ALIVE)
         self._hops = HopSender(
             self._peers,
             lambda peer: selector.note_silent(peer, time.monotonic()),
@@ -200,7 +200,7 @@
             self.view.suspects.discard(member.node)
         else:
             self.view.suspects.add(member.node)
-            self._peers.drop_idle(member.address)
+            self._peers.close_idle_connection(member.address)
 
     def _on_target_change(self) -> None:
         self.follower.tell()
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -10,8 +10,8 @@
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
-from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PeerConnection
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.logs import log
 from marblefold.proxy.first_news import FirstNews, ReceivedEntry
 from marblefold.proxy.lease_client import LeaseClient
@@ -61,7 +61,7 @@
         self._asker = asker
         # How many registries are followed at once; None follows them all.
         self._most = most
-        self._peers = PeerBook(self)
+        self._peers = PeerConnectionPool(self)
         self._wants = Wants(view.is_news, self.send_to)
         self._first_news = FirstNews()
         self._places: dict[str, tuple[int, int]] = {}
@@ -135,12 +135,12 @@
         wanted = ranked[: self._most]
         for peer in list(self._following):
             if peer not in wanted:
-                self._peers.drop(peer)
+                self._peers.close_connection(peer)
         return wanted
 
     async def _follow(self, peer: str) -> None:
         try:
-            connection = await self._peers.reach(peer)
+            connection = await self._peers.connect(peer)
         except MeshError:
             self._passed_over[peer] = time.monotonic() + _PASS_OVER_SECONDS
             return
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -6,7 +6,7 @@
 from marblefold.errors import DiskError, MeshError
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
-from marblefold.inner_protocol.peer_book import PeerBook
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.ballots import Holding, pack_holding
 from marblefold.register_store.calls import CallKind
@@ -52,7 +52,7 @@
     def __init__(
         self,
         acceptor: Acceptor,
-        peers: PeerBook,
+        peers: PeerConnectionPool,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.heard: dict[str, float] = {}
@@ -92,7 +92,7 @@
             return answer
         call.sender = own.address
         call.sender_life = own.life
-        connection = await self._peers.reach(peer)
+        connection = await self._peers.connect(peer)
         reply: kinds.StoreAnswer = unpack_message(
             await connection.call(pack_message(call), _CALL_SECONDS)
         )
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -10,8 +10,8 @@
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
-from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PeerConnection
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.inner_protocol.ports import STORE, inner_address
 from marblefold.logs import log
 from marblefold.node_config.watching import ConfigWatch
@@ -49,7 +49,7 @@
         self._acceptor = open_acceptor(
             self._address, config.data_directory, seeds, config.is_first_start
         )
-        self._peers = StorePeers(self._acceptor, PeerBook(self))
+        self._peers = StorePeers(self._acceptor, PeerConnectionPool(self))
         self._proposer = Proposer(
             self._peers, f"{self._address}/{self._acceptor.life}/{os.urandom(4).hex()}"
         )
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -10,8 +10,8 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
-from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PeerConnection
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.logs import log
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.view import read_view
@@ -53,7 +53,7 @@
         seeds: Callable[[], list[str]],
         on_record: Callable[[ChosenRecord], None],
         contact: QuorumContact,
-        peers: PeerBook | None = None,
+        peers: PeerConnectionPool | None = None,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.stores: set[str] = set()
@@ -61,7 +61,7 @@
         self._seeds = seeds
         self._on_record = on_record
         self._contact = contact
-        self._peers = peers or PeerBook(self)
+        self._peers = peers or PeerConnectionPool(self)
         self._clock = clock
         self._watched: set[str] = set()
         self._deprioritized_until: dict[str, float] = {}
@@ -87,7 +87,7 @@
 
         async def call_store(peer: str, seconds: float) -> kinds.RegisterAnswer:
             unanswered.add(peer)
-            connection = await self._peers.reach(peer)
+            connection = await self._peers.connect(peer)
             answer: kinds.RegisterAnswer = unpack_message(await connection.call(call, seconds))
             unanswered.discard(peer)
             if answer.outcome == Outcome.UNKNOWN:
@@ -123,7 +123,7 @@
     async def _watch_store(self, peer: str) -> None:
         """Watches one store and sends it heartbeats until its connection is lost."""
         try:
-            connection = await self._peers.reach(peer)
+            connection = await self._peers.connect(peer)
             watch = pack_message(kinds.RegisterCall(kind=RegisterCallKind.WATCH))
             # Sent once per connection: a store that hangs handles it when it resumes.
             with contextlib.suppress(MeshError):
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -14,7 +14,7 @@
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
-from marblefold.inner_protocol.peer_book import PeerBook
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.request_path.outcome import HopOutcome, HopResult, TargetLoad
 
 __all__ = ["HopSender", "Hops", "make_result"]
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        peers: PeerBook,
+        peers: PeerConnectionPool,
         on_silent: Callable[[str], None],
         link_bytes_per_second: float = 1e9,
     ) -> None:
@@ -94,7 +94,7 @@
         """
         started = time.monotonic()
         try:
-            connection = await self._peers.reach(peer)
+            connection = await self._peers.connect(peer)
             exchange = connection.open_exchange()
         except MeshError as error:
             # No connection, nothing sent: certain.
--- a/marblefold/tracing/node_tracing.py
+++ b/marblefold/tracing/node_tracing.py
@@ -6,7 +6,7 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message
-from marblefold.inner_protocol.peer_book import PeerBook
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.node_config.reading import NodeConfig
 from marblefold.program_flags import TraceOptions
 from marblefold.proxy.registry_follower import RegistryFollower
@@ -35,7 +35,7 @@
         view: MeshView,
         follower: RegistryFollower,
         tasks: TaskKeeper,
-        peers: PeerBook | None = None,
+        peers: PeerConnectionPool | None = None,
     ) -> None:
         self._peers = peers
         self._tasks = tasks
@@ -83,11 +83,11 @@
             if peer != self._address:
                 self._tasks.start(self._tell(self._peers, peer, trace_id))
 
-    async def _tell(self, peers: PeerBook, peer: str, trace_id: bytes) -> None:
+    async def _tell(self, peers: PeerConnectionPool, peer: str, trace_id: bytes) -> None:
         payload = pack_message(kinds.TraceMark(trace_id=trace_id))
         for _ in range(_MARK_TRIES):
             try:
-                connection = await peers.reach(peer)
+                connection = await peers.connect(peer)
             except MeshError:
                 # It may be down: its spans are then shown as missing.
                 await asyncio.sleep(_MARK_PAUSE.total_seconds())
--- a/marblefold/tracing/starting.py
+++ b/marblefold/tracing/starting.py
@@ -1,6 +1,6 @@
 """Sets up tracing in a program whose flags ask for it."""
 
-from marblefold.inner_protocol.peer_book import PeerBook
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.node_config.model import NodeConfig
 from marblefold.program_flags import read_trace_options
 from marblefold.proxy.registry_follower import RegistryFollower
@@ -16,7 +16,7 @@
     view: MeshView,
     follower: RegistryFollower,
     tasks: TaskKeeper,
-    peers: PeerBook | None = None,
+    peers: PeerConnectionPool | None = None,
 ):
     """The NodeTracing, or None without --trace, which then imports none of its parts."""
     options = read_trace_options()
--- a/tests/simulated_cold.py
+++ b/tests/simulated_cold.py
@@ -13,8 +13,8 @@
 from marblefold.configuration.rows import Upstream
 from marblefold.http_connections.client_connection import ClientConnection
 from marblefold.http_connections.http_server import HttpServer
-from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PeerConnection
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.node_config.model import Address, Limits
 from marblefold.node_config.reading import parse_config
 from marblefold.request_path.executor import RequestExecutor
@@ -62,7 +62,7 @@
         selector = TargetSelector(view, "hall", seed=1)
         limits = Limits(1e6, 1_000_000)
         surroundings = Surroundings(view, selector, self.bounds, limits)
-        peers = PeerBook(SimpleNamespace(on_lost=lambda _connection: None))
+        peers = PeerConnectionPool(SimpleNamespace(on_lost=lambda _connection: None))
         sender = HopSender(peers, lambda _peer: None)
         executor = RequestExecutor(surroundings, sender, RunningWork(), "shop")
         self._server = HttpServer(executor.serve, may_run_ahead=executor.may_run_ahead)
--- a/tests/simulated_core.py
+++ b/tests/simulated_core.py
@@ -99,7 +99,7 @@
     def find(self, peer):
         return Wire(self.machine, self.run, peer) if peer in self.machine.core.machines else None
 
-    async def reach(self, peer):
+    async def connect(self, peer):
         target = self.machine.core.machines.get(peer)
         if target is None or not target.is_up:
             await asyncio.sleep(0.01)
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -84,5 +84,5 @@
             peer, SimulatedConnection(self.cluster, self.source, peer, self.owner)
         )
 
-    async def reach(self, peer):
+    async def connect(self, peer):
         return self.find(peer)
--- a/tests/test_peer_connection_model.py
+++ b/tests/test_peer_connection_model.py
@@ -15,8 +15,8 @@
 from marblefold.inner_protocol import peer_connection
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
-from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PeerConnection
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.request_path.hop_sender import HopSender
 from marblefold.request_path.outcome import HopOutcome
 from tests.simulated_connections import ListTransport, Stage
@@ -39,7 +39,7 @@
         self.is_dying = False
         self.is_down, self.said_not, self.begun = False, set(), {}
         self.far = Far(self)
-        self.book = PeerBook(SimpleNamespace(on_lost=lambda _connection: None))
+        self.book = PeerConnectionPool(SimpleNamespace(on_lost=lambda _connection: None))
         self.sender = HopSender(self.book, lambda _peer: None)
         self.looking = self.stage.start(self.sender.run())
 
--- a/tests/test_sent_at_most_once.py
+++ b/tests/test_sent_at_most_once.py
@@ -15,8 +15,8 @@
 from marblefold.configuration.route_table import RouteTable
 from marblefold.http_connections.client_connection import ClientConnection
 from marblefold.http_connections.http_server import HttpServer
-from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PeerConnection
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.node_config.model import Address, Limits
 from marblefold.node_config.reading import parse_config
 from marblefold.request_path.executor import RequestExecutor
@@ -60,7 +60,7 @@
             self.guards[number] = self.stage.call(self.make_guard, number, config.bounds)
         selector = TargetSelector(self.view, "hall", seed=1)
         surroundings = Surroundings(self.view, selector, config.bounds, Limits(1e6, 1_000_000))
-        peers = PeerBook(SimpleNamespace(on_lost=lambda _connection: None))
+        peers = PeerConnectionPool(SimpleNamespace(on_lost=lambda _connection: None))
         sender = HopSender(peers, lambda peer: selector.note_silent(peer, self.stage.now))
         executor = RequestExecutor(surroundings, sender, RunningWork(), "shop")
         self.server = HttpServer(executor.serve, may_run_ahead=executor.may_run_ahead)
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -194,7 +194,7 @@
                 _cuts[node.host] = hosts if command["on"] else set()
                 for peer in list(node.follower._peers._connections):
                     if command["on"] and peer.rpartition(":")[0] in hosts:
-                        node.follower._peers.drop(peer)
+                        node.follower._peers.close_connection(peer)
                 node.follower._peers._shunned_until = {
                     peer: time.monotonic() + 3600
                     for peer in node.view.registries
