--- a/marblefold/inner_protocol/peer_connection_pool.py
+++ b/marblefold/inner_protocol/peer_connection_pool.py
@@ -59,7 +59,7 @@
         known = [*self._connections.values(), *self._replaced]
         return [connection for connection in known if connection.is_open]
 
-    def drop(self, peer: str) -> None:
+    def close_connection(self, peer: str) -> None:
         """Closes the connection to a peer that is gone."""
         connection = self._connections.pop(peer, None)
         if connection is not None:
@@ -72,12 +72,12 @@
         """
         connection = self._connections.get(peer)
         if connection is not None and connection.is_idle:
-            self.drop(peer)
+            self.close_connection(peer)
 
     def close(self) -> None:
         """Closes all connections."""
         for peer in list(self._connections):
-            self.drop(peer)
+            self.close_connection(peer)
         for connection in self._replaced:
             connection.close()
 
