--- a/marblefold/http_connections/http_server.py
+++ b/marblefold/http_connections/http_server.py
@@ -9,8 +9,8 @@
 from marblefold.http_connections.answer import Answer, own_answer
 from marblefold.http_connections.client_connection import ClientConnection
 from marblefold.http_connections.client_request import ClientRequest
-from marblefold.loop_watch import LoopWatch
 from marblefold.node_config.reading import Address
+from marblefold.stall_detector import StallDetector
 
 __all__ = ["HttpServer"]
 
@@ -42,7 +42,7 @@
         self.in_progress = 0
         self._handle = handle
         self._may_run_ahead = may_run_ahead
-        self._watch = LoopWatch(_SWEEP.total_seconds())
+        self._watch = StallDetector(_SWEEP.total_seconds())
         self._most_connections = most_connections
         self._connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
@@ -59,7 +59,7 @@
         self.last_arrival = request.arrived
         self.in_progress += 1
         try:
-            await self._watch.settle()
+            await self._watch.catch_up()
             if self.turns_away:
                 # Read whole first: a close with unread bytes resets the answer.
                 await request.gather(_LARGEST_UNSERVED, _LARGEST_UNSERVED)
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -13,7 +13,6 @@
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
-from marblefold.loop_watch import LoopWatch
 from marblefold.node_config.model import Address, Bounds
 from marblefold.request_path.cold_start import COLD_STEP, ColdStart
 from marblefold.request_path.intake import Intake
@@ -27,6 +26,7 @@
 from marblefold.request_path.target_caller import TargetCaller
 from marblefold.request_path.tracers import GuardTracer
 from marblefold.request_path.upstream_limits import find_slots
+from marblefold.stall_detector import StallDetector
 
 __all__ = ["Guard"]
 
@@ -65,7 +65,7 @@
         self._caller: TargetCaller | None = None
         self._tasks: set[asyncio.Task] = set()
         self._offered = OfferedHops()
-        self._watch = LoopWatch(_LOOK_SECONDS)
+        self._watch = StallDetector(_LOOK_SECONDS)
         self._unreachable_until = 0.0
         self._leaving = LeavingRule(bounds)
         # Records every hop, if this node traces.
@@ -126,7 +126,7 @@
         span = tracer.begin_serve(head) if tracer is not None and head.trace_id else None
         answer = None
         try:
-            await self._watch.settle()
+            await self._watch.catch_up()
             answer = await self._pass(exchange, head, came, span)
             answer.running = self.slots.running
             answer.waiting = self.slots.waiting + self._intake.waiting
--- a/marblefold/loop_watch.py
+++ b/marblefold/stall_detector.py
@@ -8,7 +8,7 @@
 import asyncio
 import time
 
-__all__ = ["LoopWatch"]
+__all__ = ["StallDetector"]
 
 # A tick that is later than so many periods means that the loop was stalled.
 _LATE_PERIODS = 2.0
@@ -18,7 +18,7 @@
 _TURNS = 3
 
 
-class LoopWatch:
+class StallDetector:
     """Ticked once every period; consulted before work is begun."""
 
     def __init__(self, period: float) -> None:
@@ -37,7 +37,7 @@
         """Whether sockets may hold what arrived while the loop was stalled."""
         return self._is_late(now) or now < self._catches_up_until
 
-    async def settle(self) -> None:
+    async def catch_up(self) -> None:
         """Lets the loop read its sockets, if it was stalled recently."""
         if self.is_catching_up(time.monotonic()):
             for _turn in range(_TURNS):
--- a/tests/test_given_up_in_time.py
+++ b/tests/test_given_up_in_time.py
@@ -13,7 +13,6 @@
 from marblefold.inner_protocol.frames import FrameKind, FrameReader, pack_frame
 from marblefold.inner_protocol.messages import kinds
 from marblefold.inner_protocol.peer_connection import PeerConnection
-from marblefold.loop_watch import LoopWatch
 from marblefold.node_config.model import Address
 from marblefold.node_config.reading import parse_config
 from marblefold.request_path.executor import _gather
@@ -22,6 +21,7 @@
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.outcome import HopOutcome
 from marblefold.request_path.target_caller import TargetCaller
+from marblefold.stall_detector import StallDetector
 from tests.mesh_on_loopback import make_config
 from tests.simulated_connections import ListTransport, Stage
 
@@ -68,7 +68,7 @@
 
 
 def test_a_watch_tells_a_freeze_from_an_idle_loop():
-    watch = LoopWatch(0.5)
+    watch = StallDetector(0.5)
     assert not watch.is_catching_up(1e9)
     watch.tick(10.0)
     assert not watch.is_catching_up(11.0) and watch.is_catching_up(11.1)
