--- a/marblefold/task_keeper.py
+++ b/marblefold/background_tasks.py
@@ -5,10 +5,10 @@
 
 from marblefold.logs import log
 
-__all__ = ["TaskKeeper"]
+__all__ = ["BackgroundTasks"]
 
 
-class TaskKeeper:
+class BackgroundTasks:
     """Owns tasks until they end or the program does."""
 
     def __init__(self) -> None:
--- a/marblefold/gateway/partner_hops.py
+++ b/marblefold/gateway/partner_hops.py
@@ -6,6 +6,7 @@
 
 import time
 
+from marblefold.background_tasks import BackgroundTasks
 from marblefold.gateway.target_hops import TargetHops
 from marblefold.gateway.target_pool import TargetPool
 from marblefold.http_connections.client_request import SentRequest
@@ -13,7 +14,6 @@
 from marblefold.request_path.hop_sender import Hops
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.outcome import HopResult
-from marblefold.task_keeper import TaskKeeper
 
 __all__ = ["PartnerHops", "add_partner_hops"]
 
@@ -72,7 +72,7 @@
         return partners is not None and partners.addresses.get(partner) == peer
 
 
-def add_partner_hops(usual: Hops, view: MeshView, tasks: TaskKeeper) -> PartnerHops:
+def add_partner_hops(usual: Hops, view: MeshView, tasks: BackgroundTasks) -> PartnerHops:
     """Adds a sender for hops to partners to the usual one of a proxy."""
     pool = TargetPool(
         _DESCRIPTORS, lambda: set(view.partners.addresses.values()) if view.partners else set()
--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -5,6 +5,7 @@
 from datetime import timedelta
 
 from marblefold import wire_names
+from marblefold.background_tasks import BackgroundTasks
 from marblefold.configuration.route_table import RouteTable
 from marblefold.gateway.partner_hops import PartnerHops
 from marblefold.gateway.target_hops import TargetHops
@@ -25,7 +26,6 @@
 from marblefold.request_path.running_work import RunningWork
 from marblefold.request_path.surroundings import Surroundings
 from marblefold.request_path.target_selection import TargetSelector
-from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.starting import start_tracing
 
 __all__ = ["GatewayProgram"]
@@ -74,7 +74,7 @@
         self._readiness_server = HttpServer(ready.handle)
         self.view.on_configuration = self._on_configuration
         self._stop = asyncio.Event()
-        self._tasks = TaskKeeper()
+        self._tasks = BackgroundTasks()
         # Hops end at targets: there are no peers to pass marks on to.
         self._tracing = start_tracing(
             config, str(config.listen.get("front-http", "")), self.view, self.follower, self._tasks
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -6,6 +6,7 @@
 from datetime import timedelta
 
 from marblefold import wire_names
+from marblefold.background_tasks import BackgroundTasks
 from marblefold.configuration.route_table import RouteTable
 from marblefold.http_connections.answer import Answer
 from marblefold.http_connections.call_router import Call, CallRouter, json_answer
@@ -34,7 +35,6 @@
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.surroundings import Surroundings
 from marblefold.request_path.target_selection import TargetSelector
-from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.starting import start_tracing
 
 __all__ = ["ProxyProgram"]
@@ -52,7 +52,7 @@
         self._watch = watch
         self._config = config
         self.is_leaving = False
-        self._tasks = TaskKeeper()
+        self._tasks = BackgroundTasks()
         self.view = MeshView(config.node_name)
         self.target = LocalTarget(self._on_target_change)
         self.guard = Guard(self.target, self.view, config.bounds, config.limits.link_mbps * 125_000)
--- a/marblefold/proxy/target_prober.py
+++ b/marblefold/proxy/target_prober.py
@@ -4,13 +4,13 @@
 import time
 from collections.abc import Callable
 
+from marblefold.background_tasks import BackgroundTasks
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
 from marblefold.proxy.health_probe import ask_health
 from marblefold.request_path.cold_start import ColdStart
 from marblefold.request_path.local_target import LocalTarget, TargetState
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.task_keeper import TaskKeeper
 
 __all__ = ["TargetProber"]
 
@@ -26,7 +26,7 @@
         view: MeshView,
         target: LocalTarget,
         cold: ColdStart,
-        tasks: TaskKeeper,
+        tasks: BackgroundTasks,
     ) -> None:
         self._read_config = read_config
         self._view = view
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -9,6 +9,7 @@
 from datetime import timedelta
 from typing import Any
 
+from marblefold.background_tasks import BackgroundTasks
 from marblefold.configuration.laying_out import lay_out
 from marblefold.configuration.reading import read_configuration
 from marblefold.history.keeper import HistoryKeeper
@@ -42,7 +43,6 @@
 from marblefold.registry.store_client import ChosenRecord, StoreClient
 from marblefold.registry.traffic_rates import TrafficRates
 from marblefold.rehearsal.calls import RehearsalCalls
-from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.calls import TraceCalls
 from marblefold.tracing.collector import Collector
 
@@ -123,7 +123,7 @@
         await self._membership.start()
         await self._control_server.start(self._config.listen["control-plane"])
         log.info("serving", node=self._config.node_name, inner=inner)
-        tasks = TaskKeeper()
+        tasks = BackgroundTasks()
         for coroutine in (
             self._watch.run(),
             self.store_client.run(),
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -7,6 +7,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
+from marblefold.background_tasks import BackgroundTasks
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
@@ -18,7 +19,6 @@
 from marblefold.registry.command_router import check_command, remaining_seconds
 from marblefold.registry.hedging import call_hedged
 from marblefold.registry.quorum_contact import QuorumContact
-from marblefold.task_keeper import TaskKeeper
 
 __all__ = ["ChosenRecord", "StoreClient"]
 
@@ -65,7 +65,7 @@
         self._clock = clock
         self._watched: set[str] = set()
         self._deprioritized_until: dict[str, float] = {}
-        self._tasks = TaskKeeper()
+        self._tasks = BackgroundTasks()
 
     async def ask(
         self, kind: str, register: str, number: int = 0, value: bytes = b""
--- a/marblefold/tracing/node_tracing.py
+++ b/marblefold/tracing/node_tracing.py
@@ -3,6 +3,7 @@
 import asyncio
 from datetime import timedelta
 
+from marblefold.background_tasks import BackgroundTasks
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message
@@ -11,7 +12,6 @@
 from marblefold.program_flags import TraceOptions
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.exporter import Exporter, ExporterConfig
 from marblefold.tracing.recorder import Recorder, RecorderConfig
 from marblefold.tracing.tracer import Tracer, TraceSettings
@@ -34,7 +34,7 @@
         address: str,
         view: MeshView,
         follower: RegistryFollower,
-        tasks: TaskKeeper,
+        tasks: BackgroundTasks,
         peers: PeerConnectionPool | None = None,
     ) -> None:
         self._peers = peers
--- a/marblefold/tracing/starting.py
+++ b/marblefold/tracing/starting.py
@@ -1,11 +1,11 @@
 """Sets up tracing in a program whose flags ask for it."""
 
+from marblefold.background_tasks import BackgroundTasks
 from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.node_config.model import NodeConfig
 from marblefold.program_flags import read_trace_options
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.task_keeper import TaskKeeper
 
 __all__ = ["start_tracing"]
 
@@ -15,7 +15,7 @@
     address: str,
     view: MeshView,
     follower: RegistryFollower,
-    tasks: TaskKeeper,
+    tasks: BackgroundTasks,
     peers: PeerConnectionPool | None = None,
 ):
     """The NodeTracing, or None without --trace, which then imports none of its parts."""
