--- a/marblefold/inner_protocol/frames.py
+++ b/marblefold/inner_protocol/frames.py
@@ -27,7 +27,7 @@
     RESET = 7  # the answer is aborted
     CALL = 8  # a message that expects a reply
     REPLY = 9  # the reply
-    TELL = 10  # a message that expects none
+    NOTIFICATION = 10  # a message that expects none
     PING = 11  # asks an idle peer for a pong
     PONG = 12  # the answer to a ping
 
--- a/marblefold/inner_protocol/peer_connection.py
+++ b/marblefold/inner_protocol/peer_connection.py
@@ -30,7 +30,7 @@
 
     def on_call(self, connection: "PeerConnection", number: int, payload: bytes) -> None: ...
 
-    def on_tell(self, connection: "PeerConnection", payload: bytes) -> None: ...
+    def on_notification(self, connection: "PeerConnection", payload: bytes) -> None: ...
 
     def on_lost(self, connection: "PeerConnection") -> None: ...
 
@@ -194,8 +194,8 @@
             return
         elif kind == FrameKind.CALL:
             self._owner.on_call(self, number, payload)
-        elif kind == FrameKind.TELL:
-            self._owner.on_tell(self, payload)
+        elif kind == FrameKind.NOTIFICATION:
+            self._owner.on_notification(self, payload)
         elif kind == FrameKind.REPLY:
             future = self._calls.get(number)
             if future is not None and not future.done():
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -177,7 +177,7 @@
     def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
         """Peers make no calls."""
 
-    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
+    def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
         """A peer requests that a trace be kept."""
         if self._tracing is not None:
             self._tracing.take(unpack_message(payload))
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -92,7 +92,7 @@
         """Sends a message to one registry; returns whether it is connected."""
         connection = self._peers.find(peer)
         if connection is not None:
-            connection.send(FrameKind.TELL, 0, pack_message(message))
+            connection.send(FrameKind.NOTIFICATION, 0, pack_message(message))
         return connection is not None
 
     async def run(self) -> None:
@@ -147,15 +147,15 @@
         self._following.add(peer)
         self._heard[peer] = self._touched[peer] = time.monotonic()
         if self._make_notice is not None:
-            connection.send(FrameKind.TELL, 0, pack_message(self._make_notice()))
+            connection.send(FrameKind.NOTIFICATION, 0, pack_message(self._make_notice()))
         life, place = self._places.get(peer, (0, 0))
         connection.send(
-            FrameKind.TELL,
+            FrameKind.NOTIFICATION,
             0,
             pack_message(kinds.Follow(node=self._node, registry_life=life, place=place)),
         )
 
-    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
+    def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
         """Applies a message of a registry: a part of its feed, an entry or a lease.
 
         Raises ValueError, zlib.error or DecodeError if it is malformed.
@@ -176,7 +176,7 @@
         joins = feed.snapshot or (feed.registry_life == life and feed.place - len(entries) <= place)
         if not joins:
             self._places.pop(connection.peer, None)
-            connection.send(FrameKind.TELL, 0, pack_message(kinds.Follow(node=self._node)))
+            connection.send(FrameKind.NOTIFICATION, 0, pack_message(kinds.Follow(node=self._node)))
             return
         self._places[connection.peer] = (feed.registry_life, feed.place)
         if feed.in_touch:
--- a/marblefold/register_store/chosen_registers.py
+++ b/marblefold/register_store/chosen_registers.py
@@ -32,14 +32,16 @@
         self._digest = b""
         payload = pack_message(pack_holding(register, holding))
         for connection in self._watchers:
-            connection.send(FrameKind.TELL, 0, payload)
+            connection.send(FrameKind.NOTIFICATION, 0, payload)
         return True
 
     def watch(self, connection: PeerConnection) -> None:
         """Sends all chosen states to the connection, and every later change."""
         self._watchers.add(connection)
         for register, holding in self.holdings.items():
-            connection.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
+            connection.send(
+                FrameKind.NOTIFICATION, 0, pack_message(pack_holding(register, holding))
+            )
 
     def remove_watcher(self, connection: PeerConnection) -> None:
         """Stops sending changes to the connection."""
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -80,7 +80,9 @@
         """Sends a peer that is in reach what was chosen; comparing does the rest."""
         connection = self._peers.find(peer)
         if connection is not None:
-            connection.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
+            connection.send(
+                FrameKind.NOTIFICATION, 0, pack_message(pack_holding(register, holding))
+            )
 
     async def call(self, peer: str, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """The peer's answer, or a MeshError."""
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -95,7 +95,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
+    def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
         """Takes in a newly chosen record that another store sent."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Accepted):
@@ -142,7 +142,7 @@
         view = self._acceptor.view
         if view is not None:
             connection.send(
-                FrameKind.TELL,
+                FrameKind.NOTIFICATION,
                 0,
                 pack_message(
                     kinds.Accepted(register=VIEW_REGISTER, number=view.number, value=view.pack())
--- a/marblefold/registry/feed.py
+++ b/marblefold/registry/feed.py
@@ -47,7 +47,7 @@
         """Adds a follower and sends it the changes since its revision, or a snapshot."""
         changes = self._catalogue.changes_since(follow.registry_life, follow.place)
         self._revisions[connection] = self._catalogue.revision
-        connection.send(FrameKind.TELL, 0, self._pack(changes))
+        connection.send(FrameKind.NOTIFICATION, 0, self._pack(changes))
 
     @property
     def follower_count(self) -> int:
@@ -70,7 +70,7 @@
         for connection, revision in list(self._revisions.items()):
             # Followers that are behind receive the same fields with the pending push.
             if revision == self._catalogue.revision:
-                connection.send(FrameKind.TELL, 0, payload)
+                connection.send(FrameKind.NOTIFICATION, 0, payload)
 
     def _on_change(self, _revision: int, _entry: kinds.Entry) -> None:
         # Batches changes that arrive in quick succession.
@@ -95,13 +95,13 @@
                     catalogue.changes_since(catalogue.generation, revision)
                 )
             self._revisions[connection] = catalogue.revision
-            connection.send(FrameKind.TELL, 0, payload)
+            connection.send(FrameKind.NOTIFICATION, 0, payload)
 
     def send_entry(self, connection: PeerConnection, want: kinds.Want) -> None:
         """Sends a follower a whole entry that the feed deferred."""
         entry = self._catalogue.find(want.kind, want.key)
         if entry is not None:
-            connection.send(FrameKind.TELL, 0, pack_message(entry))
+            connection.send(FrameKind.NOTIFICATION, 0, pack_message(entry))
 
     def _pack(self, changes: list[kinds.Entry] | None) -> bytes:
         """Encodes the changes, or a snapshot of the catalogue if `changes` is None."""
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -171,7 +171,7 @@
         )
         return [follower.run(), list_sync.run()]
 
-    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
+    def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
         """Handles a one-way message of a node: a notice, a subscription or a lease request."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Follow):
@@ -186,7 +186,9 @@
             self.feed.send_entry(connection, message)
         elif isinstance(message, kinds.RenewLease):
             connection.send(
-                FrameKind.TELL, 0, pack_message(self._site_coordinator.granter.grant(message))
+                FrameKind.NOTIFICATION,
+                0,
+                pack_message(self._site_coordinator.granter.grant(message)),
             )
 
     def on_lost(self, connection: PeerConnection) -> None:
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -165,7 +165,7 @@
 
         return sorted({*self._seeds(), *self.stores, self._local_store}, key=rank)
 
-    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
+    def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
         """Handles a chosen record that a store sent."""
         accepted = unpack_message(payload)
         if isinstance(accepted, kinds.Accepted):
--- a/marblefold/tracing/node_tracing.py
+++ b/marblefold/tracing/node_tracing.py
@@ -92,5 +92,5 @@
                 # It may be down: its spans are then shown as missing.
                 await asyncio.sleep(_MARK_PAUSE.total_seconds())
                 continue
-            connection.send(FrameKind.TELL, 0, payload)
+            connection.send(FrameKind.NOTIFICATION, 0, payload)
             return
--- a/tests/many_changes.py
+++ b/tests/many_changes.py
@@ -106,7 +106,7 @@
     # Takes the place of the connection from the store to the registry.
     def send(self, _kind, _number, payload):
         self.notification_count += 1
-        self.client.on_tell(None, payload)
+        self.client.on_notification(None, payload)
 
     def numbers(self):
         return {
--- a/tests/simulated_links.py
+++ b/tests/simulated_links.py
@@ -67,10 +67,14 @@
     def send(self, kind, _number, payload):
         """Sends from a store to the registry that watches it, or from store to store."""
         if self.owner is not None:
-            self.cluster.send(self.peer, self.source, lambda: self.owner.on_tell(self, payload))
+            self.cluster.send(
+                self.peer, self.source, lambda: self.owner.on_notification(self, payload)
+            )
         else:
             target = self.cluster.machines[self.peer]
-            self.cluster.send(self.source, self.peer, lambda: target.program.on_tell(self, payload))
+            self.cluster.send(
+                self.source, self.peer, lambda: target.program.on_notification(self, payload)
+            )
 
 
 class SimulatedPeers:
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -26,7 +26,7 @@
         if isinstance(message, kinds.Follow):
             self.requests.append(message)
         elif not self.drops_messages:
-            self.follower.on_tell(self, payload)
+            self.follower.on_notification(self, payload)
 
 
 def make_entry(zone, number, value):
--- a/tests/test_starting_proxies.py
+++ b/tests/test_starting_proxies.py
@@ -18,7 +18,7 @@
         self.follower, self.peer = follower, peer
 
     def send(self, _kind, _number, payload):
-        self.follower.on_tell(self, payload)
+        self.follower.on_notification(self, payload)
 
 
 def start_proxy():
