--- a/marblefold/gateway/target_hops.py
+++ b/marblefold/gateway/target_hops.py
@@ -48,7 +48,7 @@
         elif kind == FrameKind.BODY_END:
             self.pipe.finish()
         elif kind == FrameKind.RESET:
-            self.pipe.break_off(MeshError("answer", "aborted by the target"))
+            self.pipe.fail(MeshError("answer", "aborted by the target"))
 
     async def send_body(self, chunk: bytes) -> None:
         """A part of the answer's body; waits for a client that reads slowly."""
--- a/marblefold/inner_protocol/exchange.py
+++ b/marblefold/inner_protocol/exchange.py
@@ -53,7 +53,7 @@
             self.answer.set_exception(error)
             # Nobody may be waiting any more: mark the exception as retrieved.
             self.answer.exception()
-        self.incoming.break_off(error)
+        self.incoming.fail(error)
         self._wake_sender()
         if self.on_cancel is not None:
             self.on_cancel()
@@ -118,6 +118,6 @@
     elif kind == FrameKind.CREDIT:
         exchange.take_credit(_CREDIT.unpack(payload)[0])
     elif kind == FrameKind.RESET:
-        exchange.break_off(MeshError("answer", "reset by peer", exchange.connection.peer))
+        exchange.fail(MeshError("answer", "reset by peer", exchange.connection.peer))
     elif kind == FrameKind.CANCEL and exchange.on_cancel is not None:
         exchange.on_cancel()
--- a/marblefold/inner_protocol/peer_connection.py
+++ b/marblefold/inner_protocol/peer_connection.py
@@ -75,7 +75,7 @@
         error = MeshError("connection", str(exc or "closed"), self.peer)
         exchanges, self._exchanges = self._exchanges, {}
         for exchange in exchanges.values():
-            exchange.break_off(error)
+            exchange.fail(error)
         calls, self._calls = self._calls, {}
         for future in calls.values():
             if not future.done():
@@ -168,11 +168,11 @@
             self.send(FrameKind.PING, 0)
         return False
 
-    def break_off_repeatable(self, error: MeshError) -> None:
+    def fail_repeatable(self, error: MeshError) -> None:
         """Fails the exchanges whose requests may be repeated elsewhere."""
         for exchange in list(self._exchanges.values()):
             if exchange.is_repeatable:
-                exchange.break_off(error)
+                exchange.fail(error)
 
     def close(self) -> None:
         """Aborts the connection at once."""
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -72,7 +72,7 @@
             for connection in self._peers.connections():
                 if connection.is_silent(now, _QUIET_SECONDS, self._patience):
                     self._on_silent(connection.peer)
-                    connection.break_off_repeatable(
+                    connection.fail_repeatable(
                         MeshError("silent", "no sign of life", connection.peer)
                     )
 
@@ -121,7 +121,7 @@
             answer_head = kinds.AnswerHead.FromString(payload)
             has_answer = True
             is_over = not answer_head.body_follows
-            return make_result(answer_head, exchange.incoming, exchange.abandon, request.method)
+            return make_result(answer_head, exchange.incoming, exchange.cancel, request.method)
         except TimeoutError:
             return HopResult(HopOutcome.UNKNOWN, step="deadline")
         except MeshError as error:
@@ -138,7 +138,7 @@
             elif not has_answer:
                 # Cancels the hop at a guard still working on it; an unresponsive
                 # guard reads this right behind the hop and does not begin it.
-                exchange.abandon()
+                exchange.cancel()
 
 
 def _take_off(head, spent: float) -> None:
@@ -157,7 +157,7 @@
     except (ConnectionError, BodyTooLarge) as error:
         # The target must not mistake a partial body for a whole one.
         exchange.send(FrameKind.CANCEL)
-        exchange.break_off(MeshError("body", str(error) or "too large"))
+        exchange.fail(MeshError("body", str(error) or "too large"))
         raise
     except MeshError:
         return
--- a/tests/test_client_connection_model.py
+++ b/tests/test_client_connection_model.py
@@ -157,7 +157,7 @@
     def break_off(self, served):
         served.is_broken = True
         served.parts.append(b"")
-        self.stage.call(served.pipe.break_off, MeshError("answer", "cut"))
+        self.stage.call(served.pipe.fail, MeshError("answer", "cut"))
 
     @rule(choice=CHOICE, end=st.sampled_from(["more", "whole", "whole", "broken"]))
     def go_on(self, choice, end):
--- a/tests/test_guard_parts.py
+++ b/tests/test_guard_parts.py
@@ -239,7 +239,7 @@
         # Two places on a narrow link: the third is not let to send yet.
         assert [exchange.granted > 0 for exchange in exchanges] == [True, True, False]
         exchanges[0].send_all()
-        exchanges[1].incoming.break_off(MeshError("body", "left"))
+        exchanges[1].incoming.fail(MeshError("body", "left"))
         assert await tasks[0] == "" and heads[0].body == b"photo" and not heads[0].body_follows
         assert await tasks[1] == "body" and heads[1].body_follows
         exchanges[2].body = b"pho"
