--- a/marblefold/inner_protocol/body_pipe.py
+++ b/marblefold/inner_protocol/body_pipe.py
@@ -37,7 +37,7 @@
         self._ended = True
         self._wake()
 
-    def break_off(self, error: MeshError) -> None:
+    def fail(self, error: MeshError) -> None:
         """The rest of the body will not come: `read` raises the error."""
         self._broken = error
         self._wake()
--- a/marblefold/inner_protocol/exchange.py
+++ b/marblefold/inner_protocol/exchange.py
@@ -46,7 +46,7 @@
         # Whether the request may be repeated elsewhere if this peer is unresponsive.
         self.is_repeatable = False
 
-    def break_off(self, error: MeshError) -> None:
+    def fail(self, error: MeshError) -> None:
         """Fails the exchange: its connection was lost, or its peer reset it."""
         self.broken = error
         if not self.answer.done():
@@ -88,7 +88,7 @@
         """The exchange is over at this end."""
         self.connection.forget(self.number)
 
-    def abandon(self) -> None:
+    def cancel(self) -> None:
         """The sender waits no longer: cancels the hop at the peer."""
         if not self.incoming.is_ended:
             self.send(FrameKind.CANCEL)
