--- a/marblefold/gateway/target_hops.py
+++ b/marblefold/gateway/target_hops.py
@@ -11,7 +11,7 @@
 from marblefold.errors import MeshError
 from marblefold.gateway.target_pool import TargetPool
 from marblefold.http_connections.client_request import SentRequest
-from marblefold.inner_protocol.body_pipe import FIRST_CREDIT, BodyPipe
+from marblefold.inner_protocol.body_pipe import INITIAL_CREDIT_BYTES, BodyPipe
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
 from marblefold.request_path.hop_sender import make_result
@@ -38,7 +38,7 @@
         self.incoming = _RequestBody(request, bound)
         self.answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self.pipe = BodyPipe(self._grant)
-        self._credit = FIRST_CREDIT
+        self._credit = INITIAL_CREDIT_BYTES
         self._waiter: asyncio.Future | None = None
 
     def send(self, kind: FrameKind, payload: bytes = b"") -> None:
--- a/marblefold/inner_protocol/body_pipe.py
+++ b/marblefold/inner_protocol/body_pipe.py
@@ -9,9 +9,9 @@
 
 from marblefold.errors import MeshError
 
-__all__ = ["BodyPipe", "FIRST_CREDIT"]
+__all__ = ["BodyPipe", "INITIAL_CREDIT_BYTES"]
 
-FIRST_CREDIT = 256 * 1024
+INITIAL_CREDIT_BYTES = 256 * 1024
 
 
 class BodyPipe:
--- a/marblefold/inner_protocol/exchange.py
+++ b/marblefold/inner_protocol/exchange.py
@@ -9,7 +9,7 @@
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.frames import FrameKind
 
-__all__ = ["Exchange", "FrameCarrier", "take_frame"]
+__all__ = ["Exchange", "FrameCarrier", "apply_frame"]
 
 _CREDIT = struct.Struct("!I")
 _CHUNK = 64 * 1024
@@ -58,7 +58,7 @@
         if self.on_cancel is not None:
             self.on_cancel()
 
-    def take_credit(self, size: int) -> None:
+    def add_credit(self, size: int) -> None:
         """The peer grants credit for more bytes of the body."""
         self._credit += size
         self._wake_sender()
@@ -103,7 +103,7 @@
             self._credit_waiter.set_result(None)
 
 
-def take_frame(exchange: Exchange, kind: int, payload: bytes) -> None:
+def apply_frame(exchange: Exchange, kind: int, payload: bytes) -> None:
     """Applies a received frame to its exchange.
 
     Raises struct.error if the payload of a CREDIT frame is malformed.
@@ -116,7 +116,7 @@
     elif kind == FrameKind.BODY_END:
         exchange.incoming.finish()
     elif kind == FrameKind.CREDIT:
-        exchange.take_credit(_CREDIT.unpack(payload)[0])
+        exchange.add_credit(_CREDIT.unpack(payload)[0])
     elif kind == FrameKind.RESET:
         exchange.fail(MeshError("answer", "reset by peer", exchange.connection.peer))
     elif kind == FrameKind.CANCEL and exchange.on_cancel is not None:
--- a/marblefold/inner_protocol/peer_connection.py
+++ b/marblefold/inner_protocol/peer_connection.py
@@ -6,8 +6,8 @@
 from typing import Protocol
 
 from marblefold.errors import MeshError
-from marblefold.inner_protocol.body_pipe import FIRST_CREDIT
-from marblefold.inner_protocol.exchange import Exchange, take_frame
+from marblefold.inner_protocol.body_pipe import INITIAL_CREDIT_BYTES
+from marblefold.inner_protocol.exchange import Exchange, apply_frame
 from marblefold.inner_protocol.frames import Frame, FrameKind, FrameReader, pack_frame
 
 __all__ = ["ConnectionOwner", "LAST_NUMBER", "PEER_KEEP_ALIVE", "PeerConnection"]
@@ -185,7 +185,7 @@
             # No peer of ours begins two hops under one number.
             if number in self._exchanges:
                 raise ValueError(f"a second hop with number {number}")
-            hop = Exchange(self, number, FIRST_CREDIT)
+            hop = Exchange(self, number, INITIAL_CREDIT_BYTES)
             self._exchanges[number] = hop
             self._owner.on_hop(hop, payload)
         elif kind == FrameKind.PING:
@@ -204,4 +204,4 @@
             exchange = self._exchanges.get(number)
             # A frame after the end of its exchange is late, not an error.
             if exchange is not None:
-                take_frame(exchange, kind, payload)
+                apply_frame(exchange, kind, payload)
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -145,7 +145,9 @@
         finally:
             exchange.close()
             if tracer is not None and span is not None:
-                tracer.finish_serve(span, answer, exchange.incoming.taken or len(head.body))
+                tracer.finish_serve(
+                    span, answer, exchange.incoming.received_bytes or len(head.body)
+                )
 
     async def _pass(self, exchange: Exchange, head, came: float, span):
         refusal = self._find_refusal(head)
--- a/marblefold/request_path/intake.py
+++ b/marblefold/request_path/intake.py
@@ -56,14 +56,14 @@
         usual = _TIMES_USUAL * max(0, head.body_length) / self._link_bytes_per_second
         seconds = min(seconds, max(patience, usual))
         if not 0 <= head.body_length <= _LARGEST_HELD:
-            exchange.grant(self._window)
+            exchange.grant_credit(self._window)
             return ""
         self.waiting += 1
         has_place = False
         try:
             async with asyncio.timeout(seconds):
                 has_place = await self._enter()
-                exchange.grant(self._window)
+                exchange.grant_credit(self._window)
                 parts = [head.body]
                 while chunk := await exchange.incoming.read():
                     parts.append(chunk)
--- a/tests/simulated_peer.py
+++ b/tests/simulated_peer.py
@@ -41,7 +41,7 @@
         try:
             while chunk := await self.exchange.incoming.read():
                 body += chunk
-                self.exchange.grant(len(chunk))
+                self.exchange.grant_credit(len(chunk))
         except MeshError:
             return
         self.body = body
@@ -71,7 +71,7 @@
         self.hops.append(hop)
         self.machine.hops.append(hop)
         if head.body_follows:
-            exchange.grant(7)
+            exchange.grant_credit(7)
             hop.tasks.append(self.machine.stage.loop.create_task(hop.read()))
 
     def on_lost(self, connection):
--- a/tests/test_guard_parts.py
+++ b/tests/test_guard_parts.py
@@ -190,7 +190,7 @@
         for grant in [0, *grants]:
             granted += grant
             if grant:
-                exchange.take_credit(grant)
+                exchange.add_credit(grant)
             for _step in range(6):
                 await asyncio.sleep(0)
             sent = b"".join(payload for _kind, payload in connection.sent)
