--- a/marblefold/inner_protocol/body_pipe.py
+++ b/marblefold/inner_protocol/body_pipe.py
@@ -17,19 +17,19 @@
 class BodyPipe:
     """The receiving end of a body: chunks are fed in, one reader takes them."""
 
-    def __init__(self, grant=None) -> None:
+    def __init__(self, on_read=None) -> None:
         self._chunks: deque[bytes] = deque()
         self._waiter: asyncio.Future | None = None
         self._ended = False
         self._broken: MeshError | None = None
-        self._grant = grant
+        self._on_read = on_read
         # How many bytes of the body have arrived.
-        self.taken = 0
+        self.received_bytes = 0
 
     def feed(self, chunk: bytes) -> None:
         """Appends a chunk."""
         self._chunks.append(chunk)
-        self.taken += len(chunk)
+        self.received_bytes += len(chunk)
         self._wake()
 
     def finish(self) -> None:
@@ -60,8 +60,8 @@
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
         chunk = self._chunks.popleft()
-        if self._grant is not None:
-            self._grant(len(chunk))
+        if self._on_read is not None:
+            self._on_read(len(chunk))
         return chunk
 
     def _wake(self) -> None:
--- a/marblefold/inner_protocol/exchange.py
+++ b/marblefold/inner_protocol/exchange.py
@@ -24,7 +24,7 @@
 
     async def drain(self) -> None: ...
 
-    def forget(self, number: int) -> None: ...
+    def remove_exchange(self, number: int) -> None: ...
 
 
 class Exchange:
@@ -38,7 +38,7 @@
         self.connection = connection
         self.number = number
         self.answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        self.incoming = BodyPipe(self.grant)
+        self.incoming = BodyPipe(self.grant_credit)
         self.on_cancel: Callable[[], object] | None = None
         self._credit = credit
         self._credit_waiter: asyncio.Future | None = None
@@ -86,7 +86,7 @@
 
     def close(self) -> None:
         """The exchange is over at this end."""
-        self.connection.forget(self.number)
+        self.connection.remove_exchange(self.number)
 
     def cancel(self) -> None:
         """The sender waits no longer: cancels the hop at the peer."""
@@ -94,7 +94,7 @@
             self.send(FrameKind.CANCEL)
         self.close()
 
-    def grant(self, size: int) -> None:
+    def grant_credit(self, size: int) -> None:
         """Grants the peer credit for `size` more bytes of the body."""
         self.connection.send(FrameKind.CREDIT, self.number, _CREDIT.pack(size))
 
--- a/marblefold/inner_protocol/frames.py
+++ b/marblefold/inner_protocol/frames.py
@@ -9,10 +9,10 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-__all__ = ["Frame", "FrameKind", "FrameReader", "pack_frame", "LARGEST_PAYLOAD"]
+__all__ = ["Frame", "FrameKind", "FrameReader", "pack_frame", "MAX_PAYLOAD_BYTES"]
 
 _HEAD = struct.Struct("!IBI")
-LARGEST_PAYLOAD = 80 * 1024 * 1024
+MAX_PAYLOAD_BYTES = 80 * 1024 * 1024
 
 
 class FrameKind(enum.IntEnum):
@@ -54,7 +54,7 @@
     def feed(self, data: bytes) -> Iterator[Frame]:
         """Adds bytes and yields the frames that are complete.
 
-        Raises ValueError for a frame above LARGEST_PAYLOAD bytes.
+        Raises ValueError for a frame above MAX_PAYLOAD_BYTES bytes.
         """
         buffer = self._buffer
         buffer += data
@@ -63,7 +63,7 @@
             while len(buffer) - place >= _HEAD.size:
                 length, kind, number = _HEAD.unpack_from(buffer, place)
                 # No peer of ours sends such a frame: the stream is corrupt.
-                if length > LARGEST_PAYLOAD:
+                if length > MAX_PAYLOAD_BYTES:
                     raise ValueError(f"a frame of {length} bytes")
                 end = place + _HEAD.size + length
                 if len(buffer) < end:
--- a/marblefold/inner_protocol/peer_connection.py
+++ b/marblefold/inner_protocol/peer_connection.py
@@ -42,7 +42,7 @@
         self.peer = peer
         self._keep_alive = keep_alive
         self.is_open = False
-        self.heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
         self._pinged_at: float | None = None
         self._owner = owner
         self._transport: asyncio.Transport | None = None
@@ -63,7 +63,7 @@
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
 
     def data_received(self, data: bytes) -> None:
-        self.heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
         try:
             for frame in self._reader.feed(data):
                 self._take(frame)
@@ -108,7 +108,7 @@
         return not self._exchanges and not self._calls
 
     @property
-    def is_used_up(self) -> bool:
+    def is_exhausted(self) -> bool:
         """Whether every exchange number has been used.
 
         A number is never reused, so a late frame of an abandoned exchange cannot reach
@@ -125,14 +125,14 @@
         self._exchanges[exchange.number] = exchange
         return exchange
 
-    def forget(self, number: int) -> None:
+    def remove_exchange(self, number: int) -> None:
         """Removes an exchange that is over."""
         self._exchanges.pop(number, None)
-        if self.is_used_up and self.is_idle:
+        if self.is_exhausted and self.is_idle:
             self.close()
 
     def _take_number(self) -> int:
-        if self.is_used_up:
+        if self.is_exhausted:
             raise MeshError("connect", "numbers are used up", self.peer)
         self._next_number += 1
         return self._next_number
@@ -153,17 +153,17 @@
         finally:
             self._calls.pop(number, None)
 
-    def is_silent(self, now: float, quiet: float, patience: float) -> bool:
+    def is_unresponsive(self, now: float, quiet: float, patience: float) -> bool:
         """Whether the peer is unresponsive; all times are in monotonic seconds.
 
         A peer with exchanges in progress that sent nothing for `quiet` seconds is pinged,
         and is unresponsive if nothing comes within `patience` seconds after that.
         """
-        if self._pinged_at is not None and self.heard_at > self._pinged_at:
+        if self._pinged_at is not None and self.last_received_at > self._pinged_at:
             self._pinged_at = None
         if self._pinged_at is not None:
             return now - self._pinged_at > patience
-        if self._exchanges and now - self.heard_at > quiet:
+        if self._exchanges and now - self.last_received_at > quiet:
             self._pinged_at = now
             self.send(FrameKind.PING, 0)
         return False
--- a/marblefold/inner_protocol/peer_connection_pool.py
+++ b/marblefold/inner_protocol/peer_connection_pool.py
@@ -34,7 +34,7 @@
     def find(self, peer: str) -> PeerConnection | None:
         """The open connection to the peer, or None."""
         connection = self._connections.get(peer)
-        if connection is None or not connection.is_open or connection.is_used_up:
+        if connection is None or not connection.is_open or connection.is_exhausted:
             return None
         return connection
 
