--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -13,7 +13,7 @@
 from marblefold.http_connections.answer import Answer
 from marblefold.http_connections.call_router import Call, CallRouter, json_answer
 from marblefold.http_connections.http_server import HttpServer
-from marblefold.inner_protocol.ports import GATEWAY_FOLLOWS, REGISTRY, inner_address
+from marblefold.inner_protocol.ports import REGISTRIES_PER_GATEWAY, REGISTRY, inner_address
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
 from marblefold.node_config.watching import ConfigWatch
@@ -52,7 +52,7 @@
             config.node_name,
             self._seed_registries,
             self.view,
-            most=GATEWAY_FOLLOWS,
+            most=REGISTRIES_PER_GATEWAY,
             asker=LeaseClient(config.node_name, self.view),
         )
         selector = TargetSelector(
--- a/marblefold/inner_protocol/peer_connection.py
+++ b/marblefold/inner_protocol/peer_connection.py
@@ -10,17 +10,17 @@
 from marblefold.inner_protocol.exchange import Exchange, apply_frame
 from marblefold.inner_protocol.frames import Frame, FrameKind, FrameReader, pack_frame
 
-__all__ = ["ConnectionOwner", "LAST_NUMBER", "PEER_KEEP_ALIVE", "PeerConnection"]
+__all__ = ["ConnectionOwner", "MAX_EXCHANGE_NUMBER", "PEER_KEEP_ALIVE_SECONDS", "PeerConnection"]
 
 # A network partition sends no signal: the connection ends if bytes are not
 # acknowledged for so long.
 _UNHEARD_MILLISECONDS = 2000
 # The largest number that a frame holds.
-LAST_NUMBER = 0xFFFFFFFF
+MAX_EXCHANGE_NUMBER = 0xFFFFFFFF
 # Keep-alive seconds where many peers are connected: idle connections are probed
 # rarely, since every node has one to every other and the probes grow with all of
 # them.  Hops in flight are covered by pings, lost peers by the membership probes.
-PEER_KEEP_ALIVE = 20
+PEER_KEEP_ALIVE_SECONDS = 20
 
 
 class ConnectionOwner(Protocol):
@@ -114,7 +114,7 @@
         A number is never reused, so a late frame of an abandoned exchange cannot reach
         another one.
         """
-        return self._next_number >= LAST_NUMBER
+        return self._next_number >= MAX_EXCHANGE_NUMBER
 
     def open_exchange(self) -> Exchange:
         """Begins a hop to the peer; MeshError if that fails, and then nothing was sent."""
--- a/marblefold/inner_protocol/ports.py
+++ b/marblefold/inner_protocol/ports.py
@@ -2,10 +2,10 @@
 
 from marblefold.node_config.reading import NodeConfig
 
-__all__ = ["GATEWAY_FOLLOWS", "PROXY", "REGISTRY", "STORE", "inner_address"]
+__all__ = ["REGISTRIES_PER_GATEWAY", "PROXY", "REGISTRY", "STORE", "inner_address"]
 
 # How many registries a gateway follows at once.
-GATEWAY_FOLLOWS = 2
+REGISTRIES_PER_GATEWAY = 2
 
 PROXY = 0
 REGISTRY = 1
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -13,7 +13,7 @@
 from marblefold.http_connections.http_server import HttpServer
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.messages import unpack_message
-from marblefold.inner_protocol.peer_connection import PEER_KEEP_ALIVE, PeerConnection
+from marblefold.inner_protocol.peer_connection import PEER_KEEP_ALIVE_SECONDS, PeerConnection
 from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.inner_protocol.ports import PROXY, REGISTRY, inner_address
 from marblefold.logs import log
@@ -67,7 +67,7 @@
         self._membership = NodeMembership(watch, "proxy", PROXY, self._on_member)
         selector = TargetSelector(self.view, config.zone)
         self.surroundings = Surroundings(self.view, selector, config.bounds, config.limits)
-        self._peers = PeerConnectionPool(self, keep_alive=PEER_KEEP_ALIVE)
+        self._peers = PeerConnectionPool(self, keep_alive_seconds=PEER_KEEP_ALIVE_SECONDS)
         self._hops = HopSender(
             self._peers,
             lambda peer: selector.note_silent(peer, time.monotonic()),
@@ -118,7 +118,10 @@
         inner = inner_address(self._config.host, self._config, PROXY)
         host, _sign, port = inner.rpartition(":")
         await loop.create_server(
-            lambda: PeerConnection(self, keep_alive=PEER_KEEP_ALIVE), host, int(port), backlog=512
+            lambda: PeerConnection(self, keep_alive_seconds=PEER_KEEP_ALIVE_SECONDS),
+            host,
+            int(port),
+            backlog=512,
         )
         await self._control.start(listen["control-plane"])
         await self._readiness_server.start(listen["readiness"])
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -18,7 +18,7 @@
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
 from marblefold.inner_protocol.peer_connection import PeerConnection
-from marblefold.inner_protocol.ports import GATEWAY_FOLLOWS, REGISTRY, STORE, inner_address
+from marblefold.inner_protocol.ports import REGISTRIES_PER_GATEWAY, REGISTRY, STORE, inner_address
 from marblefold.logs import log
 from marblefold.maintenance.calls import MaintenanceCalls
 from marblefold.maintenance.duty import REGISTER as MAINTENANCE_REGISTER
@@ -297,11 +297,11 @@
     def _count_proxies(self) -> int:
         if self._config.cloud is None:
             return len(self.catalogue.entries("target"))
-        # Each gateway follows GATEWAY_FOLLOWS registries at most, and every other registry
+        # Each gateway follows REGISTRIES_PER_GATEWAY registries at most, and every other registry
         # follows this one.
         registries = max(1, len(self._registries))
         gateways = max(0, self.feed.follower_count - (registries - 1))
-        return max(1, math.ceil(gateways * registries / min(registries, GATEWAY_FOLLOWS)))
+        return max(1, math.ceil(gateways * registries / min(registries, REGISTRIES_PER_GATEWAY)))
 
     def _seed_stores(self) -> list[str]:
         config = self._watch.config
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -70,7 +70,7 @@
             await asyncio.sleep(_LOOK_SECONDS)
             now = time.monotonic()
             for connection in self._peers.connections():
-                if connection.is_silent(now, _QUIET_SECONDS, self._patience):
+                if connection.is_unresponsive(now, _QUIET_SECONDS, self._patience):
                     self._on_silent(connection.peer)
                     connection.fail_repeatable(
                         MeshError("silent", "no sign of life", connection.peer)
--- a/tests/test_peer_connection_model.py
+++ b/tests/test_peer_connection_model.py
@@ -31,7 +31,7 @@
 
     def __init__(self):
         super().__init__()
-        self.patch = mock.patch.object(peer_connection, "LAST_NUMBER", self.last_number)
+        self.patch = mock.patch.object(peer_connection, "MAX_EXCHANGE_NUMBER", self.last_number)
         self.patch.start()
         self.stage = Stage()
         self.stage.loop.connector = self.connect
@@ -218,7 +218,7 @@
 
 
 class ManyNumbers(PeerModel):
-    last_number = peer_connection.LAST_NUMBER
+    last_number = peer_connection.MAX_EXCHANGE_NUMBER
 
 
 TestPeerConnections = ManyNumbers.TestCase
--- a/tests/test_peer_connections.py
+++ b/tests/test_peer_connections.py
@@ -4,7 +4,7 @@
 import socket
 from types import SimpleNamespace
 
-from marblefold.inner_protocol.peer_connection import PEER_KEEP_ALIVE, PeerConnection
+from marblefold.inner_protocol.peer_connection import PEER_KEEP_ALIVE_SECONDS, PeerConnection
 from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.membership.members import Liveness, Member
 from marblefold.membership.prober import Prober, ProberConfig
@@ -28,10 +28,13 @@
         loop, server_owner, client_owner = asyncio.get_running_loop(), Owner(), Owner()
         server = await loop.create_server(lambda: PeerConnection(server_owner), "127.0.0.1", 0)
         peer = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        book = PeerConnectionPool(client_owner, keep_alive=PEER_KEEP_ALIVE)
+        book = PeerConnectionPool(client_owner, keep_alive_seconds=PEER_KEEP_ALIVE_SECONDS)
         connection = await book.connect(peer)
         peer_socket = connection._transport.get_extra_info("socket")
-        assert peer_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE) == PEER_KEEP_ALIVE
+        assert (
+            peer_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE)
+            == PEER_KEEP_ALIVE_SECONDS
+        )
         exchange = connection.open_exchange()
         book.close_idle_connection(peer)
         # A suspicion does not interrupt a hop in progress.
