--- a/marblefold/inner_protocol/peer_connection.py
+++ b/marblefold/inner_protocol/peer_connection.py
@@ -38,9 +38,9 @@
 class PeerConnection(asyncio.Protocol):
     """Multiplexes many exchanges, whatever they carry."""
 
-    def __init__(self, owner: ConnectionOwner, peer: str = "", keep_alive: int = 1) -> None:
+    def __init__(self, owner: ConnectionOwner, peer: str = "", keep_alive_seconds: int = 1) -> None:
         self.peer = peer
-        self._keep_alive = keep_alive
+        self._keep_alive_seconds = keep_alive_seconds
         self.is_open = False
         self.last_received_at = time.monotonic()
         self._pinged_at: float | None = None
@@ -58,7 +58,7 @@
         handle = transport.get_extra_info("socket")
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNHEARD_MILLISECONDS)
         handle.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, self._keep_alive)
+        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, self._keep_alive_seconds)
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
         handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
 
--- a/marblefold/inner_protocol/peer_connection_pool.py
+++ b/marblefold/inner_protocol/peer_connection_pool.py
@@ -20,10 +20,10 @@
         self,
         owner: ConnectionOwner,
         connect_seconds: float = 0.5,
-        keep_alive: int = 1,
+        keep_alive_seconds: int = 1,
     ) -> None:
         self._owner = owner
-        self._keep_alive = keep_alive
+        self._keep_alive_seconds = keep_alive_seconds
         self._connect_seconds = connect_seconds
         self._connections: dict[str, PeerConnection] = {}
         # Out of numbers; they are closed after their last exchange.
@@ -93,7 +93,7 @@
         try:
             async with asyncio.timeout(self._connect_seconds):
                 _transport, connection = await loop.create_connection(
-                    lambda: PeerConnection(self._owner, peer, self._keep_alive),
+                    lambda: PeerConnection(self._owner, peer, self._keep_alive_seconds),
                     address.host,
                     address.port,
                 )
