--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -87,8 +87,8 @@
         """Serves until a SIGTERM has been obeyed."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
-        self._watch.listen(self._on_config)
+        loop.add_signal_handler(signal.SIGHUP, self._watch.reload)
+        self._watch.add_listener(self._on_config)
         listen = self._config.listen
         await self._readiness_server.start(listen["readiness"])
         await self.outbound.start(listen["front-http"])
--- a/marblefold/node_config/model.py
+++ b/marblefold/node_config/model.py
@@ -71,7 +71,7 @@
     seeds: tuple[Address, ...]
     is_first_start: bool
     is_loss_counted: bool
-    beat_interval: timedelta
+    heartbeat_interval: timedelta
     bounds: Bounds
     limits: Limits
     data_directory: str
--- a/marblefold/node_config/reading.py
+++ b/marblefold/node_config/reading.py
@@ -144,7 +144,7 @@
         seeds=lines.get("seed-nodes", _addresses),
         is_first_start=lines.get("initial-start", _truth),
         is_loss_counted=lines.get("loss-counted", _truth, False),
-        beat_interval=lines.get("heartbeat-interval-ms", _milliseconds),
+        heartbeat_interval=lines.get("heartbeat-interval-ms", _milliseconds),
         bounds=_read_bounds(lines),
         limits=Limits(
             memory_mb=lines.get("limits.memory-mb", _positive),
--- a/marblefold/node_config/watching.py
+++ b/marblefold/node_config/watching.py
@@ -24,11 +24,11 @@
         self._listeners: list[Callable[[NodeConfig], None]] = []
         self._mark = self._read_mark()
 
-    def listen(self, listener: Callable[[NodeConfig], None]) -> None:
+    def add_listener(self, listener: Callable[[NodeConfig], None]) -> None:
         """Calls the listener with every config reloaded from now on."""
         self._listeners.append(listener)
 
-    def reread(self) -> None:
+    def reload(self) -> None:
         """Loads the file as it is now. A bad file is logged and changes nothing."""
         self._mark = self._read_mark()
         try:
@@ -49,7 +49,7 @@
         while True:
             await asyncio.sleep(_CHECK_EVERY.total_seconds())
             if self._read_mark() != self._mark:
-                self.reread()
+                self.reload()
 
     def _read_mark(self):
         try:
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -110,8 +110,8 @@
         """Serves until the shutdown after a SIGTERM is complete."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
-        self._watch.listen(self._on_config)
+        loop.add_signal_handler(signal.SIGHUP, self._watch.reload)
+        self._watch.add_listener(self._on_config)
         self._take_address(self._config)
         self.guard.cold.begin(time.monotonic())
         listen = self._config.listen
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -64,7 +64,7 @@
         """Serves until SIGTERM is received."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
+        loop.add_signal_handler(signal.SIGHUP, self._watch.reload)
         host, _separator, port = self._address.rpartition(":")
         await loop.create_server(lambda: PeerConnection(self), host, int(port), backlog=128)
         log.info(
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -116,7 +116,7 @@
         """Serves until SIGTERM; SIGHUP rereads the node configuration."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop_requested.set)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
+        loop.add_signal_handler(signal.SIGHUP, self._watch.reload)
         inner = inner_address(self._config.host, self._config, REGISTRY)
         host, _separator, port = inner.rpartition(":")
         await loop.create_server(lambda: PeerConnection(self), host, int(port), backlog=512)
--- a/tests/mesh_on_loopback.py
+++ b/tests/mesh_on_loopback.py
@@ -131,7 +131,7 @@
     async def run():
         await asyncio.Event().wait()
 
-    return types.SimpleNamespace(config=config, listen=lambda _l: None, reread=None, run=run)
+    return types.SimpleNamespace(config=config, add_listener=lambda _l: None, reload=None, run=run)
 
 
 def make_config(host, first, extra, place=("hall", "here")):
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -83,15 +83,15 @@
     path.write_text(GOOD)
     taken = []
     watch = ConfigWatch(parse_config(GOOD), {"MARBLEFOLD_NODE_FILE": str(path)})
-    watch.listen(taken.append)
+    watch.add_listener(taken.append)
     path.write_text("zone=\n")
-    watch.reread()
+    watch.reload()
     assert watch.config.upstream == "quotes" and taken == []
     path.write_text(GOOD.replace("upstream=quotes", "upstream=orders"))
-    watch.reread()
+    watch.reload()
     assert [config.upstream for config in taken] == ["orders"]
     path.unlink()
-    watch.reread()
+    watch.reload()
     assert watch.config.upstream == "orders"
 
 
