--- a/marblefold/configuration/checking.py
+++ b/marblefold/configuration/checking.py
@@ -11,7 +11,7 @@
 _KINDS = (wire_names.READ_ONLY, wire_names.MUTATING, wire_names.UPLOAD)
 _LONGEST_TIME_LIMIT = timedelta(minutes=10)
 _LONGEST_LIMIT = timedelta(days=1)
-# What the rows for proxies can hold of a number (configuration/laying_out.py).
+# What the rows for proxies can hold of a number (configuration/row_encoding.py).
 _MOST = 2**31 - 1
 
 
--- a/marblefold/configuration/route_table.py
+++ b/marblefold/configuration/route_table.py
@@ -1,6 +1,6 @@
 """Finds the route of a request."""
 
-from marblefold.configuration.rows import Route, Rows, Upstream
+from marblefold.configuration.rows import ConfigurationRows, Route, Upstream
 
 __all__ = ["RouteTable"]
 
@@ -8,7 +8,7 @@
 class RouteTable:
     """A configuration laid out for look-ups; made anew for each configuration, never changed."""
 
-    def __init__(self, rows: Rows) -> None:
+    def __init__(self, rows: ConfigurationRows) -> None:
         self.number = rows.number
         self.limits = rows.limits
         self.count = len(rows.routes)
--- a/marblefold/configuration/laying_out.py
+++ b/marblefold/configuration/row_encoding.py
@@ -6,17 +6,17 @@
 from marblefold.configuration.model import Configuration
 from marblefold.inner_protocol.messages import kinds
 
-__all__ = ["lay_out"]
+__all__ = ["encode_rows"]
 
 _MILLISECOND = timedelta(milliseconds=1)
 
 
-def lay_out(configuration: Configuration) -> bytes:
+def encode_rows(configuration: Configuration) -> bytes:
     """The rows of the configuration as bytes."""
     limits = configuration.limits
     # Hundreds of routes are much alike, and links may be narrow.
     return zlib.compress(
-        kinds.ConfigurationRows(
+        kinds.ConfigurationConfigurationRows(
             number=configuration.config_version,
             routes=[
                 kinds.RouteRow(
--- a/marblefold/configuration/rows.py
+++ b/marblefold/configuration/rows.py
@@ -10,7 +10,7 @@
 
 from marblefold.inner_protocol.messages import kinds
 
-__all__ = ["Limits", "Route", "Rows", "Upstream", "read_rows"]
+__all__ = ["Limits", "Route", "ConfigurationRows", "Upstream", "decode_rows"]
 
 
 class Route(NamedTuple):
@@ -48,7 +48,7 @@
     idle_time: timedelta
 
 
-class Rows(NamedTuple):
+class ConfigurationRows(NamedTuple):
     """A whole configuration under its number."""
 
     number: int
@@ -57,10 +57,10 @@
     limits: Limits
 
 
-def read_rows(data: bytes) -> Rows:
+def decode_rows(data: bytes) -> ConfigurationRows:
     """The rows in the bytes."""
-    message = kinds.ConfigurationRows.FromString(zlib.decompress(data))
-    return Rows(
+    message = kinds.ConfigurationConfigurationRows.FromString(zlib.decompress(data))
+    return ConfigurationRows(
         message.number,
         tuple(_read_route(row) for row in message.routes),
         tuple(_read_upstream(row) for row in message.upstreams),
--- a/marblefold/planner/comparing.py
+++ b/marblefold/planner/comparing.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection
 from typing import NamedTuple
 
-from marblefold.configuration.rows import Route, Rows
+from marblefold.configuration.rows import ConfigurationRows, Route
 from marblefold.planner.facts import Facts
 from marblefold.request_path.eligibility import is_eligible, is_last_resort
 from marblefold.request_path.mesh_view import KnownTarget
@@ -97,7 +97,7 @@
     )
 
 
-def _flows(rows: Rows, traffic: dict[str, float]):
+def _flows(rows: ConfigurationRows, traffic: dict[str, float]):
     """Each route's part of the traffic, split over its upstreams."""
     rates = {route.name: traffic.get(route.name, 0.0) if traffic else 1.0 for route in rows.routes}
     total = sum(rates.values()) or 1.0
@@ -107,7 +107,7 @@
             yield route, upstream, rates[route.name] / total * weight / weights
 
 
-def _share_upstreams(rows: Rows, traffic: dict[str, float]) -> dict[str, float]:
+def _share_upstreams(rows: ConfigurationRows, traffic: dict[str, float]) -> dict[str, float]:
     shares: dict[str, float] = defaultdict(float)
     for _route, upstream, part in _flows(rows, traffic):
         shares[upstream] += part
--- a/marblefold/planner/facts.py
+++ b/marblefold/planner/facts.py
@@ -4,9 +4,9 @@
 from typing import NamedTuple
 
 from marblefold import wire_names
-from marblefold.configuration.laying_out import lay_out
 from marblefold.configuration.reading import read_configuration
-from marblefold.configuration.rows import Rows, read_rows
+from marblefold.configuration.row_encoding import encode_rows
+from marblefold.configuration.rows import ConfigurationRows, decode_rows
 from marblefold.errors import MeshError
 from marblefold.request_path.mesh_view import KnownTarget
 
@@ -16,18 +16,18 @@
 class Facts(NamedTuple):
     """The mesh as it is, or as it would be."""
 
-    rows: Rows
+    rows: ConfigurationRows
     targets: tuple[KnownTarget, ...]
     evacuated: frozenset[str]
     members: tuple[str, ...]
 
 
-def read_configuration_rows(body: bytes) -> Rows:
+def read_configuration_rows(body: bytes) -> ConfigurationRows:
     """The rows of a configuration, checked as the registries check it.
 
     Raises InvalidConfiguration with every fault.
     """
-    return read_rows(lay_out(read_configuration(body)))
+    return decode_rows(encode_rows(read_configuration(body)))
 
 
 def read_state(body: bytes) -> tuple[tuple[KnownTarget, ...], frozenset[str], tuple[str, ...]]:
--- a/marblefold/planner/proposing.py
+++ b/marblefold/planner/proposing.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from marblefold.configuration.rows import Rows
+from marblefold.configuration.rows import ConfigurationRows
 from marblefold.errors import MeshError
 from marblefold.planner.facts import Facts
 
@@ -12,7 +12,7 @@
 class Proposal(NamedTuple):
     """A change: a configuration, targets to drain, zones to evacuate, stores to swap (OLD=NEW)."""
 
-    rows: Rows | None = None
+    rows: ConfigurationRows | None = None
     drains: tuple[str, ...] = ()
     evacuations: tuple[str, ...] = ()
     swaps: tuple[str, ...] = ()
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -10,8 +10,8 @@
 from typing import Any
 
 from marblefold.background_tasks import BackgroundTasks
-from marblefold.configuration.laying_out import lay_out
 from marblefold.configuration.reading import read_configuration
+from marblefold.configuration.row_encoding import encode_rows
 from marblefold.history.keeper import HistoryKeeper
 from marblefold.http_connections.http_server import HttpServer
 from marblefold.inner_protocol.exchange import Exchange
@@ -225,7 +225,7 @@
                     kind="configuration",
                     key="configuration",
                     number=record.number,
-                    value=lay_out(read_configuration(record.value)),
+                    value=encode_rows(read_configuration(record.value)),
                 )
             )
         elif record.register.startswith("evacuation/"):
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from marblefold.configuration.route_table import RouteTable
-from marblefold.configuration.rows import Route, read_rows
+from marblefold.configuration.rows import Route, decode_rows
 from marblefold.inner_protocol.messages import kinds
 from marblefold.leases.held_leases import HeldLeases
 from marblefold.logs import log
@@ -136,7 +136,7 @@
 
     def _take_configuration(self, entry) -> None:
         # Built whole first: a request sees the old configuration or the new one.
-        self.table = RouteTable(read_rows(entry.value))
+        self.table = RouteTable(decode_rows(entry.value))
         log.info("configuration in force", number=entry.number, routes=self.table.count)
         if self.on_configuration is not None:
             self.on_configuration(self.table)
--- a/tests/simulated_path.py
+++ b/tests/simulated_path.py
@@ -4,8 +4,8 @@
 from datetime import timedelta
 from types import SimpleNamespace
 
+from marblefold.configuration.rows import ConfigurationRows, Route, Upstream
 from marblefold.configuration.rows import Limits as RouteLimits
-from marblefold.configuration.rows import Route, Rows, Upstream
 from marblefold.inner_protocol.messages import kinds
 
 MOST = 2
@@ -30,7 +30,7 @@
         for name, kind in (("read", "read_only"), ("book", "mutating"))
     ]
     limits = RouteLimits(16384, 1_000_000, timedelta(seconds=3), timedelta(seconds=15))
-    return Rows(3, tuple(routes), (Upstream("quotes", "/health", 100, 0.0),), limits)
+    return ConfigurationRows(3, tuple(routes), (Upstream("quotes", "/health", 100, 0.0),), limits)
 
 
 def make_entry(number):
--- a/tests/test_bad_control_input.py
+++ b/tests/test_bad_control_input.py
@@ -12,8 +12,8 @@
 from hypothesis import strategies as st
 
 from marblefold import wire_names
-from marblefold.configuration.laying_out import lay_out
 from marblefold.configuration.reading import read_configuration
+from marblefold.configuration.row_encoding import encode_rows
 from marblefold.inner_protocol.messages import kinds
 from marblefold.maintenance.model import Document as MaintenanceDocument
 from marblefold.ownership.claims import read_owners
@@ -89,7 +89,7 @@
 def read_all(stores):
     """Reads what holds as every registry and proxy would."""
     held = stores.held
-    lay_out(read_configuration(held["configuration"].value))
+    encode_rows(read_configuration(held["configuration"].value))
     merge(held["partners"].number, held["partners"].value)
     read_owners(held["owners"].value)
     MaintenanceDocument.read(held["maintenance"].value)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -6,10 +6,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marblefold.configuration.laying_out import lay_out
 from marblefold.configuration.reading import InvalidConfiguration, read_configuration
 from marblefold.configuration.route_table import RouteTable
-from marblefold.configuration.rows import read_rows
+from marblefold.configuration.row_encoding import encode_rows
+from marblefold.configuration.rows import decode_rows
 
 ROUTE = {
     "name": "r1",
@@ -49,7 +49,7 @@
 
 
 def test_a_configuration_is_read_and_survives_being_laid_out():
-    table = RouteTable(read_rows(lay_out(read_configuration(make_configuration()))))
+    table = RouteTable(decode_rows(encode_rows(read_configuration(make_configuration()))))
     route = table.find("shop.example:80", "/a/x?y=/b/")
     assert (route.name, route.weights) == ("r1", (90.0, 10.0))
     assert route.time_limit.total_seconds() == 1.5
@@ -119,7 +119,7 @@
 def test_the_longest_prefix_is_found(prefixes, path, query):
     routes = [{**ROUTE, "name": prefix, "path-prefix": prefix} for prefix in prefixes]
     table = RouteTable(
-        read_rows(lay_out(read_configuration(make_configuration(**{"route-list": routes}))))
+        decode_rows(encode_rows(read_configuration(make_configuration(**{"route-list": routes}))))
     )
     fitting = [prefix for prefix in prefixes if path.startswith(prefix)]
     found = table.find("SHOP.example", path + query)
