--- a/marblefold/configuration/checking.py
+++ b/marblefold/configuration/checking.py
@@ -6,7 +6,7 @@
 from marblefold import wire_names
 from marblefold.configuration.model import Configuration, Limits, Route
 
-__all__ = ["find_faults"]
+__all__ = ["find_problems"]
 
 _KINDS = (wire_names.READ_ONLY, wire_names.MUTATING, wire_names.UPLOAD)
 _LONGEST_TIME_LIMIT = timedelta(minutes=10)
@@ -15,7 +15,7 @@
 _MOST = 2**31 - 1
 
 
-def find_faults(configuration: Configuration) -> Iterator[str]:
+def find_problems(configuration: Configuration) -> Iterator[str]:
     """Every fault of the configuration, each with its place."""
     if configuration.config_version < 0:
         yield "config-version: below zero"
--- a/marblefold/configuration/reading.py
+++ b/marblefold/configuration/reading.py
@@ -6,7 +6,7 @@
 import cattrs
 from cattrs.gen import make_dict_structure_fn, override
 
-from marblefold.configuration.checking import find_faults
+from marblefold.configuration.checking import find_problems
 from marblefold.configuration.model import Configuration, Limits, Route, Split, Upstream
 from marblefold.errors import MeshError
 from marblefold.json_bodies import BadBody, read_object, require_lists
@@ -98,7 +98,7 @@
             for line in cattrs.transform_error(error)
         ]
         raise InvalidConfiguration("configuration", faults) from error
-    faults = [MeshError("check configuration", line) for line in find_faults(configuration)]
+    faults = [MeshError("check configuration", line) for line in find_problems(configuration)]
     if faults:
         raise InvalidConfiguration("configuration", faults)
     return configuration
--- a/marblefold/planner/command.py
+++ b/marblefold/planner/command.py
@@ -50,7 +50,7 @@
         floors = read_floors(_read_file(FLAGS.floors)) if FLAGS.floors else {}
         traffic = _read_traffic() if FLAGS.traffic else {}
     except InvalidConfiguration as invalid:
-        return _complain(invalid.faults, _HARMFUL)
+        return _complain(invalid.problems, _HARMFUL)
     except ExceptionGroup as group:
         return _complain([str(fault) for fault in group.exceptions], _HARMFUL)
     except MeshError as error:
--- a/marblefold/registry/control_calls.py
+++ b/marblefold/registry/control_calls.py
@@ -58,8 +58,8 @@
         try:
             number = read_configuration(call.body).config_version
         except InvalidConfiguration as invalid:
-            log.info("configuration rejected", faults=invalid.faults[:5])
-            return json_answer(400, {wire_names.REASON: invalid.faults[:50]})
+            log.info("configuration rejected", faults=invalid.problems[:5])
+            return json_answer(400, {wire_names.REASON: invalid.problems[:50]})
         try:
             # The body is stored as received: stores compare contents byte for byte.
             stored = await self._store_client.ask(
--- a/marblefold/rehearsal/snapshot.py
+++ b/marblefold/rehearsal/snapshot.py
@@ -144,7 +144,7 @@
             *read_state(json.dumps(state).encode()),
         )
     except InvalidConfiguration as invalid:
-        for fault in invalid.faults:
+        for fault in invalid.problems:
             fields.fault("configuration", str(fault))
     except MeshError as error:
         fields.faults.append(error)
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -87,7 +87,7 @@
 def test_an_invalid_configuration_is_refused_with_the_place_of_each_fault(body, place):
     with pytest.raises(InvalidConfiguration) as caught:
         read_configuration(body)
-    assert any(place in fault for fault in caught.value.faults), caught.value.faults
+    assert any(place in fault for fault in caught.value.problems), caught.value.problems
 
 
 def test_all_faults_are_told_at_once():
@@ -101,7 +101,7 @@
     )
     with pytest.raises(InvalidConfiguration) as caught:
         read_configuration(body)
-    assert len(caught.value.faults) == 3
+    assert len(caught.value.problems) == 3
 
 
 PREFIXES = st.lists(st.sampled_from("abc"), max_size=3).map(
