--- a/marblefold/__main__.py
+++ b/marblefold/__main__.py
@@ -2,13 +2,13 @@
 
 import sys
 
-from marblefold.lean_imports import leave_out
+from marblefold.lean_imports import stub_unused_modules
 
 # The tools are clients: they need what the daemons can do without.
 if not {"plan", "windows", "partners", "owners", "trace", "rehearse", "history"} & set(
     sys.argv[1:]
 ):
-    leave_out()
+    stub_unused_modules()
 
 from marblefold.command_line import main
 
--- a/marblefold/lean_imports.py
+++ b/marblefold/lean_imports.py
@@ -9,10 +9,10 @@
 import sys
 import types
 
-__all__ = ["leave_out"]
+__all__ = ["stub_unused_modules"]
 
 
-def leave_out() -> None:
+def stub_unused_modules() -> None:
     """Replaces the modules; call it before anything else is imported.
 
     Raises ImportError where aiohttp is not installed.
--- a/tests/test_lean_imports.py
+++ b/tests/test_lean_imports.py
@@ -6,7 +6,7 @@
 
 def test_every_program_imports_without_the_parts_left_out():
     code = (
-        "from marblefold.lean_imports import leave_out; leave_out()\n"
+        "from marblefold.lean_imports import stub_unused_modules; stub_unused_modules()\n"
         "import sys\n"
         "import marblefold.proxy.program, marblefold.registry.program\n"
         "import marblefold.register_store.program\n"
@@ -19,7 +19,7 @@
 
 def test_a_proxy_does_not_import_the_reader_of_configurations():
     code = (
-        "from marblefold.lean_imports import leave_out; leave_out()\n"
+        "from marblefold.lean_imports import stub_unused_modules; stub_unused_modules()\n"
         "import sys, marblefold.proxy.program\n"
         "print([name for name in ('cattrs', 'urllib.error') if name in sys.modules])\n"
     )
@@ -29,7 +29,7 @@
 
 def test_a_proxy_without_tracing_imports_none_of_it_and_a_registry_no_rehearsal():
     code = (
-        "from marblefold.lean_imports import leave_out; leave_out()\n"
+        "from marblefold.lean_imports import stub_unused_modules; stub_unused_modules()\n"
         "import sys, marblefold.proxy.program, marblefold.registry.program\n"
         "names = ('tracing.tracer', 'tracing.recorder', 'rehearsal.playing', 'planner.facts')\n"
         "print([name for name in names if 'marblefold.' + name in sys.modules]\n"
--- a/tools/soak/node.py
+++ b/tools/soak/node.py
@@ -7,9 +7,9 @@
 import sys
 from pathlib import Path
 
-from marblefold.lean_imports import leave_out
+from marblefold.lean_imports import stub_unused_modules
 
-leave_out()
+stub_unused_modules()
 
 from marblefold.command_line import main  # noqa: E402
 from tools.soak.cut_loop import CutLoop  # noqa: E402
