--- a/marblefold/configuration/reading.py
+++ b/marblefold/configuration/reading.py
@@ -18,7 +18,7 @@
     """All the faults of one configuration, each a MeshError with its place."""
 
     @property
-    def faults(self) -> list[str]:
+    def problems(self) -> list[str]:
         """The faults as lines for the operator."""
         return [fault.reason for fault in self.exceptions if isinstance(fault, MeshError)]
 
