--- a/marblefold/configuration/row_encoding.py
+++ b/marblefold/configuration/row_encoding.py
@@ -16,7 +16,7 @@
     limits = configuration.limits
     # Hundreds of routes are much alike, and links may be narrow.
     return zlib.compress(
-        kinds.ConfigurationConfigurationRows(
+        kinds.ConfigurationRows(
             number=configuration.config_version,
             routes=[
                 kinds.RouteRow(
--- a/marblefold/configuration/rows.py
+++ b/marblefold/configuration/rows.py
@@ -59,7 +59,7 @@
 
 def decode_rows(data: bytes) -> ConfigurationRows:
     """The rows in the bytes."""
-    message = kinds.ConfigurationConfigurationRows.FromString(zlib.decompress(data))
+    message = kinds.ConfigurationRows.FromString(zlib.decompress(data))
     return ConfigurationRows(
         message.number,
         tuple(_read_route(row) for row in message.routes),
