--- a/tests/test_guard_parts.py
+++ b/tests/test_guard_parts.py
@@ -154,7 +154,7 @@
     def __init__(self, body):
         self.incoming, self.granted, self.body = BodyPipe(), 0, body
 
-    def grant(self, size):
+    def grant_credit(self, size):
         self.granted += size
 
     def send_all(self):
