--- a/marblefold/__main__.py
+++ b/marblefold/__main__.py
@@ -1,10 +1,10 @@
-"""The command line: python3 -m marblefold PROGRAM."""
+"""Entry point of the command line: python3 -m marblefold PROGRAM."""
 
 import sys
 
 from marblefold.lean_imports import stub_unused_modules
 
-# The tools are clients: they need what the daemons can do without.
+# The tools are clients and need modules that the daemons run without.
 if not {"plan", "windows", "partners", "owners", "trace", "rehearse", "history"} & set(
     sys.argv[1:]
 ):
--- a/marblefold/background_tasks.py
+++ b/marblefold/background_tasks.py
@@ -1,4 +1,4 @@
-"""Keeps the tasks of a program, and says so when one breaks down."""
+"""Owns the background tasks of a program and logs those that fail."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -9,23 +9,23 @@
 
 
 class BackgroundTasks:
-    """Owns tasks until they end or the program does."""
+    """Holds references to running tasks until they end."""
 
     def __init__(self) -> None:
         self._tasks: set[asyncio.Task] = set()
 
-    def start(self, run: Coroutine) -> None:
-        """Runs it beside all else."""
-        task = asyncio.get_running_loop().create_task(run)
+    def start(self, coroutine: Coroutine) -> None:
+        """Runs the coroutine in the background."""
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(self._note_end)
+        task.add_done_callback(self._on_done)
 
     def cancel(self) -> None:
-        """Ends them all."""
+        """Cancels all running tasks."""
         for task in self._tasks:
             task.cancel()
 
-    def _note_end(self, task: asyncio.Task) -> None:
+    def _on_done(self, task: asyncio.Task) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            log.error("task broke down", exc_info=task.exception())
+            log.error("background task failed", exc_info=task.exception())
--- a/marblefold/command_line.py
+++ b/marblefold/command_line.py
@@ -1,4 +1,4 @@
-"""The command line of the programs and tools."""
+"""Parses the command line and runs the program or tool that it names."""
 
 import asyncio
 import importlib
@@ -14,7 +14,7 @@
 
 __all__ = ["main"]
 
-# Only the program that runs is imported: imports dominate the time of a start.
+# Imports dominate the start-up time, so only the program that runs is imported.
 _PROGRAMS = {
     "gateway": ("marblefold.gateway.program", "GatewayProgram"),
     "proxy": ("marblefold.proxy.program", "ProxyProgram"),
@@ -23,11 +23,11 @@
 }
 
 FLAGS = flags.FLAGS
-flags.DEFINE_bool("check_settings", False, "Check the config file of the node and end.")
-flags.DEFINE_bool("version", False, "Print the version and end.")
+flags.DEFINE_bool("check_settings", False, "Check the config file of the node and exit.")
+flags.DEFINE_bool("version", False, "Print the version and exit.")
 
-_PLANNER = "plan"
-_WINDOWS = "windows"
+_PLANNER_TOOL = "plan"
+_WINDOWS_TOOL = "windows"
 _SITE_TOOLS = ("partners", "owners")
 
 
@@ -47,15 +47,15 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Runs the program or tool named by the arguments (argv); the exit status.
+    """Runs the program or tool that the arguments (argv) name; returns the exit status.
 
-    0 success, 1 a program that cannot run, 2 a wrong command line; tools have
-    statuses of their own.
+    0: success, 1: the program cannot run, 2: invalid command line.  The tools define
+    their own exit statuses.
     """
-    if _PLANNER in arguments[1:]:
-        # Each tool defines its flags at import: only the one that was asked for is imported.
+    if _PLANNER_TOOL in arguments[1:]:
+        # Each tool defines its flags on import, so only the requested one is imported.
         from marblefold.planner.command import run_planner
-    if _WINDOWS in arguments[1:]:
+    if _WINDOWS_TOOL in arguments[1:]:
         from marblefold.maintenance.command import run_windows
     if set(_SITE_TOOLS) & set(arguments[1:]):
         from marblefold.site_command import run_owners, run_partners
@@ -69,34 +69,34 @@
         print(_usage() + FLAGS.get_help())
         return 0
     try:
-        rest = FLAGS(arguments)
+        positional = FLAGS(arguments)
     except flags.Error as error:
         print(f"{error}\n{_usage()}")
         return 2
     if FLAGS.version:
         print(f"marblefold {marblefold.__version__}")
         return 0
-    if rest[1:] == [_PLANNER]:
+    if positional[1:] == [_PLANNER_TOOL]:
         return run_planner()
-    if rest[1:2] == [_WINDOWS]:
-        return run_windows(rest[2:])
-    if rest[1:2] == ["partners"]:
-        return run_partners(rest[2:])
-    if rest[1:2] == ["owners"]:
-        return run_owners(rest[2:])
-    if rest[1:2] == ["trace"]:
-        return run_trace(rest[2:])
-    if rest[1:2] == ["history"]:
-        return run_history(rest[2:])
-    if rest[1:2] == ["rehearse"]:
-        return run_rehearsal(rest[2:])
-    if len(rest) != 2 or rest[1] not in _PROGRAMS:
+    if positional[1:2] == [_WINDOWS_TOOL]:
+        return run_windows(positional[2:])
+    if positional[1:2] == ["partners"]:
+        return run_partners(positional[2:])
+    if positional[1:2] == ["owners"]:
+        return run_owners(positional[2:])
+    if positional[1:2] == ["trace"]:
+        return run_trace(positional[2:])
+    if positional[1:2] == ["history"]:
+        return run_history(positional[2:])
+    if positional[1:2] == ["rehearse"]:
+        return run_rehearsal(positional[2:])
+    if len(positional) != 2 or positional[1] not in _PROGRAMS:
         print(_usage())
         return 2
-    return _run(rest[1])
+    return _run_program(positional[1])
 
 
-def _run(name: str) -> int:
+def _run_program(name: str) -> int:
     from marblefold.logs import log, start_logs
     from marblefold.node_config.reading import read_config
     from marblefold.node_config.watching import ConfigWatch
@@ -105,11 +105,11 @@
     try:
         config = read_config(os.environ)
         if FLAGS.check_settings:
-            log.info("config is good", node=config.node_name)
+            log.info("config is valid", node=config.node_name)
             return 0
-        module, program = _PROGRAMS[name]
-        kind = getattr(importlib.import_module(module), program)
-        asyncio.run(_serve(kind, ConfigWatch(config)))
+        module, class_name = _PROGRAMS[name]
+        program_class = getattr(importlib.import_module(module), class_name)
+        asyncio.run(_serve(program_class, ConfigWatch(config)))
     except MeshError as error:
         log.error("cannot run", step=error.step, reason=error.reason)
         return 1
@@ -119,5 +119,5 @@
     return 0
 
 
-async def _serve(kind, watch) -> None:
-    await kind(watch).run()
+async def _serve(program_class, watch) -> None:
+    await program_class(watch).run()
--- a/marblefold/lean_imports.py
+++ b/marblefold/lean_imports.py
@@ -1,8 +1,8 @@
-"""Keeps libraries from importing modules that no program here uses.
+"""Prevents libraries from importing modules that no marblefold program uses.
 
-The peak memory of each process has a price, and the time of a start delays
-recovery.  Each replaced module was measured (docs/architecture.md has the
-figures).  The functions of the libraries that are used here do not change.
+The peak memory of each process has a cost, and a slow start delays recovery
+(docs/architecture.md lists what each replaced module costs).  The library
+functions that the programs use behave as before.
 """
 
 import importlib.util
@@ -13,21 +13,21 @@
 
 
 def stub_unused_modules() -> None:
-    """Replaces the modules; call it before anything else is imported.
+    """Replaces the unused modules; must run before anything else is imported.
 
-    Raises ImportError where aiohttp is not installed.
+    Raises ImportError if aiohttp is not installed.
     """
     # No program uses TLS; asyncio and aiohttp work without the ssl module.
     sys.modules["ssl"] = None  # type: ignore[assignment]
-    # The __init__ of aiohttp imports its whole client; only its parsers, which
-    # are modules of their own, are used here.
-    found = importlib.util.find_spec("aiohttp")
-    if found is None or found.submodule_search_locations is None:
+    # aiohttp/__init__.py imports the whole client; the programs use only the
+    # parsers, which are separate modules.
+    spec = importlib.util.find_spec("aiohttp")
+    if spec is None or spec.submodule_search_locations is None:
         raise ImportError("aiohttp is not installed", name="aiohttp")
     package = types.ModuleType("aiohttp")
-    package.__path__ = list(found.submodule_search_locations)
+    package.__path__ = list(spec.submodule_search_locations)
     sys.modules["aiohttp"] = package
-    # aiohttp's helpers import this only to look up proxies for its client.
+    # aiohttp.helpers imports this module only to look up proxies for the client.
     request = types.ModuleType("urllib.request")
     vars(request).update(getproxies=dict, proxy_bypass=lambda host: False)
     sys.modules["urllib.request"] = request
--- a/marblefold/logs.py
+++ b/marblefold/logs.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON line for each event on standard output."""
+"""Structured logging: one JSON line per event on standard output."""
 
 import logging
 import sys
@@ -11,9 +11,9 @@
 
 
 def start_logs(program: str) -> None:
-    """Configures the log of this process; every line names the program."""
+    """Configures the logging of this process; every line carries the program name."""
 
-    def name_program(_logger, _method, event):
+    def add_program(_logger, _method, event):
         event["program"] = program
         return event
 
@@ -21,7 +21,7 @@
         processors=[
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
-            name_program,
+            add_program,
             structlog.processors.format_exc_info,
             structlog.processors.JSONRenderer(),
         ],
--- a/marblefold/site_command.py
+++ b/marblefold/site_command.py
@@ -1,4 +1,4 @@
-"""The tools `partners` and `owners`: calls to a registry of a running system."""
+"""The tools `partners` and `owners`, which call a registry of a running system."""
 
 import asyncio
 import json
@@ -18,16 +18,16 @@
 flags.DEFINE_string("registry", "", "Registry to call, HOST:PORT.")
 flags.DEFINE_string("file", "", "File with the body of the call, as JSON.")
 
-_FINE, _REFUSED, _USAGE = 0, 1, 2
-# A withdrawal is answered once it is enforced everywhere.
-_CALL_SECONDS = 10.0
+_SUCCESS, _REJECTED, _USAGE_ERROR = 0, 1, 2
+# A registry answers a withdrawal only after it is enforced everywhere.
+_CALL_TIMEOUT_SECONDS = 10.0
 _CREDENTIAL_VARIABLE = "MARBLEFOLD_PARTNER_CREDENTIAL"
 
 
 def run_partners(arguments: list[str]) -> int:
-    """partners list | grant NAME | withdraw NAME | export NAME; the exit status.
+    """Runs partners list | grant NAME | withdraw NAME | export NAME; returns the exit status.
 
-    0 done, 1 refused by the registry, 2 wrong usage or no answer.
+    0: success, 1: rejected by the registry, 2: invalid usage or no answer.
     """
     return _run(
         arguments,
@@ -42,7 +42,7 @@
 
 
 def run_owners(arguments: list[str]) -> int:
-    """owners list | set; the exit status, as run_partners."""
+    """Runs owners list | set; returns the exit status, as run_partners."""
     return _run(
         arguments,
         "owners list | set",
@@ -61,7 +61,7 @@
             f"usage: python3 -m marblefold {usage} --registry=HOST:PORT [--file=FILE]",
             file=sys.stderr,
         )
-        return _USAGE
+        return _USAGE_ERROR
     method, path, has_body = call
     body = None
     if has_body:
@@ -70,23 +70,23 @@
                 body = file.read()
         except OSError as error:
             print(f"{FLAGS.file}: {error.strerror}", file=sys.stderr)
-            return _USAGE
+            return _USAGE_ERROR
     subject = quote(arguments[1], safe="") if len(arguments) > 1 else ""
     return asyncio.run(_call(method, path.format(subject), body))
 
 
 async def _call(method: str, path: str, body: bytes | None) -> int:
     headers = {}
-    # Not a flag: command lines can be read by every user of the machine.
+    # Not a flag: every user of the machine can read command lines.
     if os.environ.get(_CREDENTIAL_VARIABLE):
         headers["Authorization"] = f"Bearer {os.environ[_CREDENTIAL_VARIABLE]}"
     try:
         status, document = await call_for_document(
-            FLAGS.registry, RegistryCall(method, path, body, headers, _CALL_SECONDS)
+            FLAGS.registry, RegistryCall(method, path, body, headers, _CALL_TIMEOUT_SECONDS)
         )
     except MeshError as error:
         print(f"{FLAGS.registry}: {error.reason}", file=sys.stderr)
-        return _USAGE
-    is_fine = status == 200
-    print(json.dumps(document, indent=2), file=sys.stdout if is_fine else sys.stderr)
-    return _FINE if is_fine else _REFUSED
+        return _USAGE_ERROR
+    is_success = status == 200
+    print(json.dumps(document, indent=2), file=sys.stdout if is_success else sys.stderr)
+    return _SUCCESS if is_success else _REJECTED
--- a/marblefold/wire_names.py
+++ b/marblefold/wire_names.py
@@ -1,7 +1,8 @@
-"""The names that the mesh meets the outside with.
+"""The names in the external interface of the mesh.
 
-The one module that repeats deploy/wire.toml: fields of bodies and of the
-config file, store_client, calls and headers.  Nothing else spells them.
+The only module that repeats deploy/wire.toml: the fields and values of bodies, the
+calls, the headers and the variable that names the config file.  No other module
+spells out these names.
 """
 
 # Fields of a configuration.
@@ -30,12 +31,12 @@
 HEADER_TIMEOUT_MS = "header-timeout-ms"
 IDLE_TIMEOUT_MS = "idle-timeout-ms"
 
-# RegisterClient of a configuration.
+# Route types of a configuration.
 READ_ONLY = "read_only"
 MUTATING = "mutating"
 UPLOAD = "upload"
 
-# Fields and words of a target's beat.
+# Fields and states of a target's heartbeat.
 ADDRESS = "address"
 ZONE = "zone"
 CAPACITY_SLOTS = "capacity-slots"
@@ -45,15 +46,15 @@
 READY = "ready"
 DRAINING = "draining"
 
-# Fields of the platform's list of targets.
+# Fields of the platform's target list.
 INSTANCE_LIST = "instance-list"
 NEXT_PAGE_TOKEN = "next-page-token"
 PAGE_TOKEN = "page-token"
 
-# Fields of an answer to a refused call.
+# Fields of the response to a rejected call.
 REASON = "reason"
 
-# Calls.
+# HTTP calls: method and path, or path template.
 READINESS_CALL = ("GET", "/-/readiness")
 INSTANCES_CALL = ("GET", "/instances")
 CONFIGURATION_PATH = "/mesh/configuration"
@@ -75,7 +76,7 @@
 HISTORY_PATH = "/mesh/history"
 VERSION_PATH = "/mesh/history/{}"
 
-# Headers.
+# HTTP headers.
 ATTEMPT_ID = b"Attempt-Id"
 DEADLINE_MS = b"Deadline-Ms"
 SERVER_SEAL = b"Server-Seal"
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -20,7 +20,7 @@
 _RECOVERY_SECONDS = 15.0
 # Log lines of the programs' own invariants.
 _VIOLATION = '"event": "cold target flooded"'
-_BROKEN_TASK = '"event": "task broke down"'
+_BROKEN_TASK = '"event": "background task failed"'
 
 
 @dataclass(frozen=True)
