--- a/marblefold/inner_protocol/body_pipe.py
+++ b/marblefold/inner_protocol/body_pipe.py
@@ -1,7 +1,7 @@
-"""A body in transfer over a shared connection, limited by credit.
+"""Credit-based flow control for a body on a shared connection.
 
 Connections between peers carry many exchanges, so a slow reader of one body must
-not block the others: its sender may only send what the reader granted, in bytes.
+not block the others: its sender may send only as many bytes as the reader granted.
 """
 
 import asyncio
@@ -15,15 +15,15 @@
 
 
 class BodyPipe:
-    """The receiving end of a body: chunks are fed in, one reader takes them."""
+    """The receiving end of a body: chunks are fed in, and one reader consumes them."""
 
     def __init__(self, on_read=None) -> None:
         self._chunks: deque[bytes] = deque()
         self._waiter: asyncio.Future | None = None
-        self._ended = False
-        self._broken: MeshError | None = None
+        self._is_ended = False
+        self._error: MeshError | None = None
         self._on_read = on_read
-        # How many bytes of the body have arrived.
+        # Bytes of the body that have arrived, read or not.
         self.received_bytes = 0
 
     def feed(self, chunk: bytes) -> None:
@@ -33,30 +33,30 @@
         self._wake()
 
     def finish(self) -> None:
-        """The body is complete."""
-        self._ended = True
+        """Marks the body as complete."""
+        self._is_ended = True
         self._wake()
 
     def fail(self, error: MeshError) -> None:
-        """The rest of the body will not come: `read` raises the error."""
-        self._broken = error
+        """Marks the body as incomplete: `read` raises the error after the last chunk."""
+        self._error = error
         self._wake()
 
     @property
     def is_ended(self) -> bool:
         """Whether the whole body has arrived, read or not."""
-        return self._ended
+        return self._is_ended
 
     async def read(self) -> bytes:
-        """The next chunk, or b"" at the end of a complete body.
+        """Returns the next chunk, or b"" at the end of a complete body.
 
-        Raises the MeshError of an incomplete body after its last chunk.
+        Raises the MeshError given to `fail` after the last chunk of an incomplete body.
         """
         while not self._chunks:
-            if self._ended:
+            if self._is_ended:
                 return b""
-            if self._broken is not None:
-                raise self._broken
+            if self._error is not None:
+                raise self._error
             self._waiter = asyncio.get_running_loop().create_future()
             await self._waiter
         chunk = self._chunks.popleft()
--- a/marblefold/inner_protocol/exchange.py
+++ b/marblefold/inner_protocol/exchange.py
@@ -1,4 +1,4 @@
-"""One hop on a connection between peers, at either end."""
+"""Sends and receives the frames of one hop on a connection between peers."""
 
 import asyncio
 import struct
@@ -9,14 +9,14 @@
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.frames import FrameKind
 
-__all__ = ["Exchange", "FrameCarrier", "apply_frame"]
+__all__ = ["Exchange", "FrameSender", "apply_frame"]
 
-_CREDIT = struct.Struct("!I")
-_CHUNK = 64 * 1024
+_CREDIT_PAYLOAD = struct.Struct("!I")
+_MAX_CHUNK_BYTES = 64 * 1024
 
 
-class FrameCarrier(Protocol):
-    """What an exchange needs of the connection that carries it."""
+class FrameSender(Protocol):
+    """The connection operations that an exchange uses."""
 
     peer: str
 
@@ -30,11 +30,11 @@
 class Exchange:
     """One hop on a connection, at either end.
 
-    Its number is never reused on the connection, so a late frame can only belong to
-    an exchange that is over.
+    Numbers are never reused on a connection, so a late frame can only belong to an
+    exchange that is over.
     """
 
-    def __init__(self, connection: FrameCarrier, number: int, credit: int) -> None:
+    def __init__(self, connection: FrameSender, number: int, credit: int) -> None:
         self.connection = connection
         self.number = number
         self.answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
@@ -42,16 +42,16 @@
         self.on_cancel: Callable[[], object] | None = None
         self._credit = credit
         self._credit_waiter: asyncio.Future | None = None
-        self.broken: MeshError | None = None
-        # Whether the request may be repeated elsewhere if this peer is unresponsive.
+        self.error: MeshError | None = None
+        # Whether the request may be retried at another peer if this one is unresponsive.
         self.is_repeatable = False
 
     def fail(self, error: MeshError) -> None:
-        """Fails the exchange: its connection was lost, or its peer reset it."""
-        self.broken = error
+        """Fails the exchange because its connection was lost or its peer reset it."""
+        self.error = error
         if not self.answer.done():
             self.answer.set_exception(error)
-            # Nobody may be waiting any more: mark the exception as retrieved.
+            # Marks the exception as retrieved: there may be no waiter any more.
             self.answer.exception()
         self.incoming.fail(error)
         self._wake_sender()
@@ -59,23 +59,23 @@
             self.on_cancel()
 
     def add_credit(self, size: int) -> None:
-        """The peer grants credit for more bytes of the body."""
+        """Adds the credit, in bytes of the body, that the peer granted."""
         self._credit += size
         self._wake_sender()
 
     async def send_body(self, chunk: bytes) -> None:
-        """Sends a part of the body within the peer's credit; MeshError if the exchange failed."""
-        rest = memoryview(chunk)
-        while rest:
-            while self._credit <= 0 and self.broken is None:
+        """Sends part of the body within the peer's credit; MeshError if the exchange failed."""
+        remaining = memoryview(chunk)
+        while remaining:
+            while self._credit <= 0 and self.error is None:
                 self._credit_waiter = asyncio.get_running_loop().create_future()
                 await self._credit_waiter
-            if self.broken is not None:
-                raise self.broken
-            # Never beyond the credit: the peer sizes it by its link, where any
+            if self.error is not None:
+                raise self.error
+            # Never exceeds the credit: the peer sizes it for its link, where any
             # excess delays every other hop.
-            part = bytes(rest[: min(_CHUNK, self._credit)])
-            rest = rest[len(part) :]
+            part = bytes(remaining[: min(_MAX_CHUNK_BYTES, self._credit)])
+            remaining = remaining[len(part) :]
             self._credit -= len(part)
             self.connection.send(FrameKind.BODY, self.number, part)
             await self.connection.drain()
@@ -85,18 +85,18 @@
         self.connection.send(kind, self.number, payload)
 
     def close(self) -> None:
-        """The exchange is over at this end."""
+        """Ends the exchange at this end."""
         self.connection.remove_exchange(self.number)
 
     def cancel(self) -> None:
-        """The sender waits no longer: cancels the hop at the peer."""
+        """Cancels the hop at the peer and ends the exchange at this end."""
         if not self.incoming.is_ended:
             self.send(FrameKind.CANCEL)
         self.close()
 
     def grant_credit(self, size: int) -> None:
         """Grants the peer credit for `size` more bytes of the body."""
-        self.connection.send(FrameKind.CREDIT, self.number, _CREDIT.pack(size))
+        self.connection.send(FrameKind.CREDIT, self.number, _CREDIT_PAYLOAD.pack(size))
 
     def _wake_sender(self) -> None:
         if self._credit_waiter is not None and not self._credit_waiter.done():
@@ -116,7 +116,7 @@
     elif kind == FrameKind.BODY_END:
         exchange.incoming.finish()
     elif kind == FrameKind.CREDIT:
-        exchange.add_credit(_CREDIT.unpack(payload)[0])
+        exchange.add_credit(_CREDIT_PAYLOAD.unpack(payload)[0])
     elif kind == FrameKind.RESET:
         exchange.fail(MeshError("answer", "reset by peer", exchange.connection.peer))
     elif kind == FrameKind.CANCEL and exchange.on_cancel is not None:
--- a/marblefold/inner_protocol/frames.py
+++ b/marblefold/inner_protocol/frames.py
@@ -1,7 +1,7 @@
-"""How messages are encoded as frames on a connection between two peers.
+"""Encodes and decodes the frames on a connection between two peers.
 
-A frame is a length, a kind, the number of the exchange it belongs to, and
-its payload: a protobuf message, or raw bytes of a body.
+A frame consists of the length of its payload, its kind, the number of the exchange
+it belongs to, and the payload: a protobuf message, or raw bytes of a body.
 """
 
 import enum
@@ -11,24 +11,24 @@
 
 __all__ = ["Frame", "FrameKind", "FrameReader", "pack_frame", "MAX_PAYLOAD_BYTES"]
 
-_HEAD = struct.Struct("!IBI")
+_HEADER = struct.Struct("!IBI")
 MAX_PAYLOAD_BYTES = 80 * 1024 * 1024
 
 
 class FrameKind(enum.IntEnum):
-    """What the payload of a frame is."""
+    """Identifies the payload of a frame."""
 
-    HEAD = 1  # RequestHead: a hop begins
+    HEAD = 1  # RequestHead: starts a hop
     ANSWER = 2  # AnswerHead: the outcome of the hop
-    BODY = 3  # bytes of a body that is not within its head
+    BODY = 3  # bytes of a body that its head does not contain
     BODY_END = 4  # the body is complete
-    CREDIT = 5  # four bytes: so many more body bytes may come
-    CANCEL = 6  # the sender of the hop has given it up
+    CREDIT = 5  # four bytes: how many more body bytes may be sent
+    CANCEL = 6  # the sender of the hop cancels it
     RESET = 7  # the answer is aborted
     CALL = 8  # a message that expects a reply
     REPLY = 9  # the reply
-    NOTIFICATION = 10  # a message that expects none
-    PING = 11  # asks an idle peer for a pong
+    NOTIFICATION = 10  # a message that expects no reply
+    PING = 11  # asks a peer that sends nothing for a pong
     PONG = 12  # the answer to a ping
 
 
@@ -41,8 +41,8 @@
 
 
 def pack_frame(kind: int, number: int, payload: bytes = b"") -> bytes:
-    """The bytes of one frame."""
-    return _HEAD.pack(len(payload), kind, number) + payload
+    """Returns the encoded frame."""
+    return _HEADER.pack(len(payload), kind, number) + payload
 
 
 class FrameReader:
@@ -52,24 +52,24 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Frame]:
-        """Adds bytes and yields the frames that are complete.
+        """Adds received bytes and yields the frames that are complete.
 
-        Raises ValueError for a frame above MAX_PAYLOAD_BYTES bytes.
+        Raises ValueError for a payload larger than MAX_PAYLOAD_BYTES.
         """
         buffer = self._buffer
         buffer += data
-        place = 0
+        offset = 0
         try:
-            while len(buffer) - place >= _HEAD.size:
-                length, kind, number = _HEAD.unpack_from(buffer, place)
-                # No peer of ours sends such a frame: the stream is corrupt.
+            while len(buffer) - offset >= _HEADER.size:
+                length, kind, number = _HEADER.unpack_from(buffer, offset)
+                # marblefold programs never send such a frame, so the stream is corrupt.
                 if length > MAX_PAYLOAD_BYTES:
-                    raise ValueError(f"a frame of {length} bytes")
-                end = place + _HEAD.size + length
+                    raise ValueError(f"frame payload of {length} bytes is too large")
+                end = offset + _HEADER.size + length
                 if len(buffer) < end:
                     break
-                payload = bytes(buffer[place + _HEAD.size : end])
-                place = end
+                payload = bytes(buffer[offset + _HEADER.size : end])
+                offset = end
                 yield Frame(kind, number, payload)
         finally:
-            del buffer[:place]
+            del buffer[:offset]
--- a/marblefold/inner_protocol/messages.py
+++ b/marblefold/inner_protocol/messages.py
@@ -1,10 +1,10 @@
-"""Encodes protobuf messages with a leading byte that identifies their type."""
+"""Encodes protobuf messages with a leading byte that identifies the message type."""
 
 from marblefold.inner_protocol import messages_pb2 as kinds
 
 __all__ = ["kinds", "pack_message", "unpack_message"]
 
-_ORDER = (
+_MESSAGE_TYPES = (
     kinds.TargetNotice,
     kinds.Follow,
     kinds.Feed,
@@ -22,19 +22,19 @@
     kinds.SpanBatch,
     kinds.TraceMark,
 )
-_CODES = {kind: code for code, kind in enumerate(_ORDER)}
+_TYPE_CODES = {message_type: code for code, message_type in enumerate(_MESSAGE_TYPES)}
 
 
 def pack_message(message) -> bytes:
-    """The bytes of a message with its type; KeyError if the type is unknown."""
-    return bytes((_CODES[type(message)],)) + message.SerializeToString()
+    """Returns the message as bytes with its type code; KeyError if the type is unknown."""
+    return bytes((_TYPE_CODES[type(message)],)) + message.SerializeToString()
 
 
 def unpack_message(payload: bytes):
-    """The message in the bytes; ValueError if they are malformed."""
-    if not payload or payload[0] >= len(_ORDER):
-        raise ValueError("no message of ours")
+    """Returns the decoded message; ValueError if the bytes are malformed."""
+    if not payload or payload[0] >= len(_MESSAGE_TYPES):
+        raise ValueError("unknown message type")
     try:
-        return _ORDER[payload[0]].FromString(payload[1:])
+        return _MESSAGE_TYPES[payload[0]].FromString(payload[1:])
     except Exception as error:
-        raise ValueError(f"message cannot be read: {error}") from error
+        raise ValueError(f"malformed message: {error}") from error
--- a/marblefold/inner_protocol/peer_connection.py
+++ b/marblefold/inner_protocol/peer_connection.py
@@ -1,4 +1,4 @@
-"""One connection between two of marblefold's own processes."""
+"""A connection between two marblefold processes."""
 
 import asyncio
 import socket
@@ -12,19 +12,20 @@
 
 __all__ = ["ConnectionOwner", "MAX_EXCHANGE_NUMBER", "PEER_KEEP_ALIVE_SECONDS", "PeerConnection"]
 
-# A network partition sends no signal: the connection ends if bytes are not
-# acknowledged for so long.
-_UNHEARD_MILLISECONDS = 2000
-# The largest number that a frame holds.
+# A network partition is not signalled: the connection is closed if sent bytes stay
+# unacknowledged for this long.
+_USER_TIMEOUT_MILLISECONDS = 2000
+# The largest exchange number that a frame can hold.
 MAX_EXCHANGE_NUMBER = 0xFFFFFFFF
-# Keep-alive seconds where many peers are connected: idle connections are probed
-# rarely, since every node has one to every other and the probes grow with all of
-# them.  Hops in flight are covered by pings, lost peers by the membership probes.
+# Keep-alive interval where many peers are connected.  Every node has a connection to
+# every other one, so the number of probes grows with the number of node pairs and
+# idle connections are probed rarely.  Pings cover hops in flight, and membership
+# probes detect lost peers.
 PEER_KEEP_ALIVE_SECONDS = 20
 
 
 class ConnectionOwner(Protocol):
-    """The callbacks of a connection to its owner."""
+    """Callbacks that a connection invokes on its owner."""
 
     def on_hop(self, exchange: "Exchange", payload: bytes) -> None: ...
 
@@ -36,7 +37,7 @@
 
 
 class PeerConnection(asyncio.Protocol):
-    """Multiplexes many exchanges, whatever they carry."""
+    """Multiplexes exchanges, calls and notifications on one connection."""
 
     def __init__(self, owner: ConnectionOwner, peer: str = "", keep_alive_seconds: int = 1) -> None:
         self.peer = peer
@@ -55,18 +56,18 @@
     def connection_made(self, transport) -> None:
         self._transport = transport
         self.is_open = True
-        handle = transport.get_extra_info("socket")
-        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNHEARD_MILLISECONDS)
-        handle.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, self._keep_alive_seconds)
-        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
-        handle.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
+        sock = transport.get_extra_info("socket")
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MILLISECONDS)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, self._keep_alive_seconds)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, 1)
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, 2)
 
     def data_received(self, data: bytes) -> None:
         self.last_received_at = time.monotonic()
         try:
             for frame in self._reader.feed(data):
-                self._take(frame)
+                self._handle_frame(frame)
         except ValueError:
             self.close()
 
@@ -97,7 +98,7 @@
             await asyncio.shield(self._drained)
 
     def send(self, kind: int, number: int, payload: bytes = b"") -> None:
-        """Sends a frame; on a lost connection it is discarded."""
+        """Sends a frame; discards it if the connection is lost."""
         transport = self._transport
         if self.is_open and transport is not None:
             transport.write(pack_frame(kind, number, payload))
@@ -111,17 +112,17 @@
     def is_exhausted(self) -> bool:
         """Whether every exchange number has been used.
 
-        A number is never reused, so a late frame of an abandoned exchange cannot reach
+        Numbers are never reused, so a late frame of a cancelled exchange cannot reach
         another one.
         """
         return self._next_number >= MAX_EXCHANGE_NUMBER
 
     def open_exchange(self) -> Exchange:
-        """Begins a hop to the peer; MeshError if that fails, and then nothing was sent."""
+        """Starts a hop to the peer; raises MeshError on failure, and then nothing was sent."""
         if not self.is_open:
             raise MeshError("connect", "connection is closed", self.peer)
-        # The guard grants credit for a body when it can receive it.
-        exchange = Exchange(self, self._take_number(), 0)
+        # The guard grants credit for the body when it can receive it.
+        exchange = Exchange(self, self._allocate_number(), 0)
         self._exchanges[exchange.number] = exchange
         return exchange
 
@@ -131,7 +132,7 @@
         if self.is_exhausted and self.is_idle:
             self.close()
 
-    def _take_number(self) -> int:
+    def _allocate_number(self) -> int:
         if self.is_exhausted:
             raise MeshError("connect", "numbers are used up", self.peer)
         self._next_number += 1
@@ -141,7 +142,7 @@
         """Sends a message and returns the reply; MeshError if none comes within `seconds`."""
         if not self.is_open:
             raise MeshError("call", "connection is closed", self.peer)
-        number = self._take_number()
+        number = self._allocate_number()
         future = asyncio.get_running_loop().create_future()
         self._calls[number] = future
         self.send(FrameKind.CALL, number, message)
@@ -153,38 +154,40 @@
         finally:
             self._calls.pop(number, None)
 
-    def is_unresponsive(self, now: float, quiet: float, patience: float) -> bool:
-        """Whether the peer is unresponsive; all times are in monotonic seconds.
+    def is_unresponsive(
+        self, now: float, quiet_seconds: float, ping_timeout_seconds: float
+    ) -> bool:
+        """Whether the peer is unresponsive; pings it if necessary.  `now` is monotonic seconds.
 
-        A peer with exchanges in progress that sent nothing for `quiet` seconds is pinged,
-        and is unresponsive if nothing comes within `patience` seconds after that.
+        Pings a peer with exchanges in progress that has sent nothing for `quiet_seconds`;
+        the peer is unresponsive if nothing arrives within `ping_timeout_seconds` after that.
         """
         if self._pinged_at is not None and self.last_received_at > self._pinged_at:
             self._pinged_at = None
         if self._pinged_at is not None:
-            return now - self._pinged_at > patience
-        if self._exchanges and now - self.last_received_at > quiet:
+            return now - self._pinged_at > ping_timeout_seconds
+        if self._exchanges and now - self.last_received_at > quiet_seconds:
             self._pinged_at = now
             self.send(FrameKind.PING, 0)
         return False
 
     def fail_repeatable(self, error: MeshError) -> None:
-        """Fails the exchanges whose requests may be repeated elsewhere."""
+        """Fails the exchanges whose requests may be retried at another peer."""
         for exchange in list(self._exchanges.values()):
             if exchange.is_repeatable:
                 exchange.fail(error)
 
     def close(self) -> None:
-        """Aborts the connection at once."""
+        """Aborts the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
 
-    def _take(self, frame: Frame) -> None:
+    def _handle_frame(self, frame: Frame) -> None:
         kind, number, payload = frame
         if kind == FrameKind.HEAD:
-            # No peer of ours begins two hops under one number.
+            # marblefold programs never start two hops under one number.
             if number in self._exchanges:
-                raise ValueError(f"a second hop with number {number}")
+                raise ValueError(f"exchange number {number} is already in use")
             hop = Exchange(self, number, INITIAL_CREDIT_BYTES)
             self._exchanges[number] = hop
             self._owner.on_hop(hop, payload)
--- a/marblefold/inner_protocol/peer_connection_pool.py
+++ b/marblefold/inner_protocol/peer_connection_pool.py
@@ -1,4 +1,4 @@
-"""Keeps one outgoing connection to each peer, opened on first use."""
+"""Maintains one outgoing connection to each peer, opened on first use."""
 
 import asyncio
 import time
@@ -9,12 +9,12 @@
 
 __all__ = ["PeerConnectionPool"]
 
-# A peer that could not be reached is not tried again for so many seconds.
-_SHUN_SECONDS = 0.25
+# Wait before the next attempt to connect to a peer that could not be reached.
+_RECONNECT_DELAY_SECONDS = 0.25
 
 
 class PeerConnectionPool:
-    """The outgoing connections of a process."""
+    """The outgoing connections of a process, one per peer."""
 
     def __init__(
         self,
@@ -24,51 +24,51 @@
     ) -> None:
         self._owner = owner
         self._keep_alive_seconds = keep_alive_seconds
-        self._connect_seconds = connect_seconds
+        self._connect_timeout_seconds = connect_seconds
         self._connections: dict[str, PeerConnection] = {}
-        # Out of numbers; they are closed after their last exchange.
+        # Connections whose exchange numbers are exhausted; each closes after its last exchange.
         self._replaced: set[PeerConnection] = set()
         self._connecting: dict[str, asyncio.Task] = {}
-        self._shunned_until: dict[str, float] = {}
+        self._reconnect_not_before: dict[str, float] = {}
 
     def find(self, peer: str) -> PeerConnection | None:
-        """The open connection to the peer, or None."""
+        """Returns the open connection to the peer, or None."""
         connection = self._connections.get(peer)
         if connection is None or not connection.is_open or connection.is_exhausted:
             return None
         return connection
 
     async def connect(self, peer: str) -> PeerConnection:
-        """An open connection to the peer; MeshError if it cannot be opened in time."""
+        """Returns an open connection to the peer; MeshError if it cannot be opened in time."""
         connection = self.find(peer)
         if connection is not None:
             return connection
-        if time.monotonic() < self._shunned_until.get(peer, 0.0):
+        if time.monotonic() < self._reconnect_not_before.get(peer, 0.0):
             raise MeshError("connect", "lately out of reach", peer)
         task = self._connecting.get(peer)
-        # Many requests may need the same peer at once: they share one attempt.
+        # Concurrent requests for the same peer share one connection attempt.
         if task is None:
             task = asyncio.get_running_loop().create_task(self._connect(peer))
             self._connecting[peer] = task
-            task.add_done_callback(lambda done: self._note_connected(peer, done))
+            task.add_done_callback(lambda done: self._on_connect_done(peer, done))
         return await asyncio.shield(task)
 
     def connections(self) -> list[PeerConnection]:
-        """The connections that are open now."""
+        """Returns the connections that are open now."""
         self._replaced = {connection for connection in self._replaced if connection.is_open}
         known = [*self._connections.values(), *self._replaced]
         return [connection for connection in known if connection.is_open]
 
     def close_connection(self, peer: str) -> None:
-        """Closes the connection to a peer that is gone."""
+        """Closes the connection to the peer, if there is one."""
         connection = self._connections.pop(peer, None)
         if connection is not None:
             connection.close()
 
     def close_idle_connection(self, peer: str) -> None:
-        """Closes the connection to a peer that may be lost, if it is idle.
+        """Closes the connection to a peer that may be lost, if the connection is idle.
 
-        If a new connection then fails, it is certain that nothing was sent.
+        If opening a new connection then fails, it is certain that nothing was sent.
         """
         connection = self._connections.get(peer)
         if connection is not None and connection.is_idle:
@@ -81,9 +81,9 @@
         for connection in self._replaced:
             connection.close()
 
-    def _note_connected(self, peer: str, done: asyncio.Task) -> None:
+    def _on_connect_done(self, peer: str, done: asyncio.Task) -> None:
         self._connecting.pop(peer, None)
-        # Nobody may be waiting any more: mark the exception as retrieved.
+        # Marks the exception as retrieved: there may be no waiter any more.
         if not done.cancelled():
             done.exception()
 
@@ -91,16 +91,16 @@
         address = Address.parse(peer)
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(self._connect_seconds):
+            async with asyncio.timeout(self._connect_timeout_seconds):
                 _transport, connection = await loop.create_connection(
                     lambda: PeerConnection(self._owner, peer, self._keep_alive_seconds),
                     address.host,
                     address.port,
                 )
         except (OSError, TimeoutError) as error:
-            self._shunned_until[peer] = time.monotonic() + _SHUN_SECONDS
+            self._reconnect_not_before[peer] = time.monotonic() + _RECONNECT_DELAY_SECONDS
             raise MeshError("connect", str(error) or "no answer", peer) from error
-        self._shunned_until.pop(peer, None)
+        self._reconnect_not_before.pop(peer, None)
         old = self._connections.get(peer)
         if old is not None and old.is_open:
             self._replaced.add(old)
--- a/tests/test_hung_disks.py
+++ b/tests/test_hung_disks.py
@@ -65,7 +65,7 @@
         records.write("site-claims", b"%d" % number)
     records.write("site-claims", b"newest")
     # At most one write is queued, however many were requested.
-    assert records._thread._work.qsize() <= 1
+    assert records._thread._queue.qsize() <= 1
     assert records._thread._thread.daemon
     disk.is_released.set()
     assert disk.is_written.wait(20) and disk.records == {"site-claims": b"newest"}
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -195,7 +195,7 @@
                 for peer in list(node.follower._peers._connections):
                     if command["on"] and peer.rpartition(":")[0] in hosts:
                         node.follower._peers.close_connection(peer)
-                node.follower._peers._shunned_until = {
+                node.follower._peers._reconnect_not_before = {
                     peer: time.monotonic() + 3600
                     for peer in node.view.registries
                     if command["on"] and peer.rpartition(":")[0] in hosts
