--- a/marblefold/stall_detector.py
+++ b/marblefold/stall_detector.py
@@ -24,14 +24,14 @@
     def __init__(self, period: float) -> None:
         """Expects a tick every `period` seconds."""
         self._period = period
-        self._last_tick_at: float | None = None
+        self._ticked_at: float | None = None
         self._catching_up_until = 0.0
 
     def tick(self, now: float) -> None:
-        """Records that the loop is running; all times are monotonic seconds."""
+        """Records that the loop is running; all times are seconds of the monotonic clock."""
         if self._is_late(now):
             self._catching_up_until = now + _CATCH_UP_SECONDS
-        self._last_tick_at = now
+        self._ticked_at = now
 
     def is_catching_up(self, now: float) -> bool:
         """Whether sockets may hold data that arrived while the loop was stalled."""
@@ -44,6 +44,6 @@
                 await asyncio.sleep(0)
 
     def _is_late(self, now: float) -> bool:
-        if self._last_tick_at is None:
+        if self._ticked_at is None:
             return False
-        return now - self._last_tick_at > _STALL_THRESHOLD_PERIODS * self._period
+        return now - self._ticked_at > _STALL_THRESHOLD_PERIODS * self._period
