--- a/marblefold/configuration/checking.py
+++ b/marblefold/configuration/checking.py
@@ -1,4 +1,4 @@
-"""What makes a readable configuration invalid."""
+"""Validates a parsed configuration."""
 
 from collections.abc import Iterator
 from datetime import timedelta
@@ -8,18 +8,18 @@
 
 __all__ = ["find_problems"]
 
-_KINDS = (wire_names.READ_ONLY, wire_names.MUTATING, wire_names.UPLOAD)
-_LONGEST_TIME_LIMIT = timedelta(minutes=10)
-_LONGEST_LIMIT = timedelta(days=1)
-# What the rows for proxies can hold of a number (configuration/row_encoding.py).
-_MOST = 2**31 - 1
+_ROUTE_TYPES = (wire_names.READ_ONLY, wire_names.MUTATING, wire_names.UPLOAD)
+_MAX_ROUTE_TIMEOUT = timedelta(minutes=10)
+_MAX_CLIENT_TIMEOUT = timedelta(days=1)
+# The largest integer that the rows for proxies can hold (configuration/row_encoding.py).
+_MAX_INTEGER = 2**31 - 1
 
 
 def find_problems(configuration: Configuration) -> Iterator[str]:
-    """Every fault of the configuration, each with its place."""
+    """Yields every problem of the configuration, prefixed with its location."""
     if configuration.config_version < 0:
         yield "config-version: below zero"
-    yield from _find_limit_faults(configuration.limits)
+    yield from _find_limit_problems(configuration.limits)
     upstreams = set()
     for upstream in configuration.service_list:
         if not upstream.name:
@@ -27,45 +27,45 @@
         if upstream.name in upstreams:
             yield f"service-list: {upstream.name} stands twice"
         upstreams.add(upstream.name)
-        if not 0 <= upstream.max_connections <= _MOST:
-            yield f"service-list: {upstream.name}: max-connections: not from 0 to {_MOST}"
-    places: dict[tuple[str, str], str] = {}
+        if not 0 <= upstream.max_connections <= _MAX_INTEGER:
+            yield f"service-list: {upstream.name}: max-connections: not from 0 to {_MAX_INTEGER}"
+    routes_by_location: dict[tuple[str, str], str] = {}
     for index, route in enumerate(configuration.route_list):
-        place = f"route-list[{index}] {route.name}"
-        for fault in _find_route_faults(route, upstreams):
-            yield f"{place}: {fault}"
+        location = f"route-list[{index}] {route.name}"
+        for problem in _find_route_problems(route, upstreams):
+            yield f"{location}: {problem}"
         key = (route.host_name.lower(), route.path_prefix)
-        if key in places:
-            yield f"{place}: same host and prefix as {places[key]}"
-        places[key] = route.name
+        if key in routes_by_location:
+            yield f"{location}: same host and prefix as {routes_by_location[key]}"
+        routes_by_location[key] = route.name
 
 
-def _find_limit_faults(limits: Limits) -> Iterator[str]:
-    if not 0 <= limits.max_header_bytes <= _MOST:
-        yield f"limits.max-header-bytes: not from 0 to {_MOST}"
+def _find_limit_problems(limits: Limits) -> Iterator[str]:
+    if not 0 <= limits.max_header_bytes <= _MAX_INTEGER:
+        yield f"limits.max-header-bytes: not from 0 to {_MAX_INTEGER}"
     if limits.max_body_bytes < 0:
         yield "limits.max-body-bytes: below zero"
-    if not timedelta(0) <= limits.header_timeout_ms <= _LONGEST_LIMIT:
+    if not timedelta(0) <= limits.header_timeout_ms <= _MAX_CLIENT_TIMEOUT:
         yield "limits.header-timeout-ms: not within a day"
-    if not timedelta(0) <= limits.idle_timeout_ms <= _LONGEST_LIMIT:
+    if not timedelta(0) <= limits.idle_timeout_ms <= _MAX_CLIENT_TIMEOUT:
         yield "limits.idle-timeout-ms: not within a day"
 
 
-def _find_route_faults(route: Route, upstreams: set[str]) -> Iterator[str]:
+def _find_route_problems(route: Route, upstreams: set[str]) -> Iterator[str]:
     if not route.host_name:
         yield "host-name: empty"
     if not route.path_prefix.startswith("/"):
         yield "path-prefix: does not begin with a slash"
-    if route.route_type not in _KINDS:
-        yield f"route-type: {route.route_type!r} is none of {', '.join(_KINDS)}"
-    if not timedelta(0) < route.timeout_ms <= _LONGEST_TIME_LIMIT:
+    if route.route_type not in _ROUTE_TYPES:
+        yield f"route-type: {route.route_type!r} is none of {', '.join(_ROUTE_TYPES)}"
+    if not timedelta(0) < route.timeout_ms <= _MAX_ROUTE_TIMEOUT:
         yield "timeout-ms: not within ten minutes"
     if route.target_latency_ms < timedelta(0):
         yield "target-latency-ms: below zero"
-    if not 1 <= route.max_attempts <= _MOST:
-        yield f"max-attempts: below one, or over {_MOST}"
-    if not -_MOST <= route.priority <= _MOST:
-        yield f"priority: over {_MOST}"
+    if not 1 <= route.max_attempts <= _MAX_INTEGER:
+        yield f"max-attempts: below one, or over {_MAX_INTEGER}"
+    if not -_MAX_INTEGER <= route.priority <= _MAX_INTEGER:
+        yield f"priority: over {_MAX_INTEGER}"
     if route.upstream is None and not route.weighted_targets:
         yield "upstream: neither an upstream nor a split"
     for split in route.splits:
--- a/marblefold/configuration/model.py
+++ b/marblefold/configuration/model.py
@@ -1,4 +1,4 @@
-"""The operator's configuration as plain values."""
+"""The operator's configuration as immutable data classes."""
 
 from datetime import timedelta
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(slots=True)
 class Split:
-    """One part of a route that is split over upstreams."""
+    """One weighted upstream of a route."""
 
     upstream: str
     weight: float
@@ -17,7 +17,7 @@
 
 @attrs.frozen(slots=True)
 class Route:
-    """Where requests of one host below one prefix go, and how."""
+    """Where and how requests for one host and path prefix are forwarded."""
 
     name: str
     host_name: str
@@ -33,7 +33,7 @@
 
     @property
     def splits(self) -> tuple[Split, ...]:
-        """The upstreams of this route with their weights."""
+        """The upstreams of this route and their weights."""
         if self.weighted_targets:
             return self.weighted_targets
         return (Split(self.upstream or "", 1.0),)
@@ -41,7 +41,7 @@
 
 @attrs.frozen(slots=True)
 class Upstream:
-    """A service that requests may be sent to."""
+    """A service that requests can be forwarded to."""
 
     name: str
     health_check_path: str = "/health"
@@ -52,7 +52,7 @@
 
 @attrs.frozen(slots=True)
 class Limits:
-    """What a client may send and how long it may take."""
+    """Limits on the size of client requests and on the time that clients take."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 67108864
@@ -62,7 +62,7 @@
 
 @attrs.frozen(slots=True)
 class Configuration:
-    """A whole configuration under its number."""
+    """A complete configuration with its version number."""
 
     config_version: int
     route_list: tuple[Route, ...]
--- a/marblefold/configuration/reading.py
+++ b/marblefold/configuration/reading.py
@@ -1,4 +1,4 @@
-"""Reads a configuration from the operator's bytes and finds all that is wrong with it."""
+"""Parses the operator's configuration and reports every problem in it."""
 
 from datetime import timedelta
 from typing import Any
@@ -15,19 +15,19 @@
 
 
 class InvalidConfiguration(ExceptionGroup[MeshError]):
-    """All the faults of one configuration, each a MeshError with its place."""
+    """All problems of one configuration, each a MeshError whose reason starts with the location."""
 
     @property
     def problems(self) -> list[str]:
-        """The faults as lines for the operator."""
-        return [fault.reason for fault in self.exceptions if isinstance(fault, MeshError)]
+        """The problems as lines for the operator."""
+        return [error.reason for error in self.exceptions if isinstance(error, MeshError)]
 
     def derive(self, exceptions):
         return InvalidConfiguration(self.message, exceptions)
 
 
-def _strict_number(value, _kind) -> float:
-    # A text that looks like a number is a mistake, never a number.
+def _structure_number(value, _target_type) -> float:
+    # A string that looks like a number is a mistake, so it is not converted.
     if isinstance(value, bool) or not isinstance(value, (int, float)):
         raise ValueError(f"not a number: {value!r}")
     if value != value or abs(value) > 1e15:
@@ -35,55 +35,59 @@
     return float(value)
 
 
-def _strict_whole(value, kind) -> int:
-    number = _strict_number(value, kind)
+def _structure_integer(value, target_type) -> int:
+    number = _structure_number(value, target_type)
     if number != int(number):
         raise ValueError(f"not a whole number: {value!r}")
     return int(number)
 
 
-def _strict_text(value, _kind) -> str:
+def _structure_string(value, _target_type) -> str:
     if not isinstance(value, str):
         raise ValueError(f"not a text: {value!r}")
     return value
 
 
-def _milliseconds(value, kind) -> timedelta:
-    return timedelta(milliseconds=_strict_number(value, kind))
+def _structure_milliseconds(value, target_type) -> timedelta:
+    return timedelta(milliseconds=_structure_number(value, target_type))
 
 
 def _make_converter() -> cattrs.Converter:
     converter = cattrs.Converter(detailed_validation=True)
-    converter.register_structure_hook(float, _strict_number)
-    converter.register_structure_hook(int, _strict_whole)
-    converter.register_structure_hook(str, _strict_text)
-    converter.register_structure_hook(timedelta, _milliseconds)
+    converter.register_structure_hook(float, _structure_number)
+    converter.register_structure_hook(int, _structure_integer)
+    converter.register_structure_hook(str, _structure_string)
+    converter.register_structure_hook(timedelta, _structure_milliseconds)
     require_lists(converter)
-    for kind in (Split, Upstream, Limits, Route, Configuration):
+    for model_class in (Split, Upstream, Limits, Route, Configuration):
         names: dict[str, Any] = {}
-        for field in kind.__attrs_attrs__:
+        for field in model_class.__attrs_attrs__:
             names[field.name] = override(rename=field.name.replace("_", "-"))
-        # The one duration that the operator gives in seconds.
-        if kind is Upstream:
+        # The only duration in seconds; all others are in milliseconds.
+        if model_class is Upstream:
             names["cold_start_s"] = override(
                 rename="cold-start-s",
-                struct_hook=lambda value, of: timedelta(seconds=_strict_number(value, of)),
+                struct_hook=lambda value, target_type: timedelta(
+                    seconds=_structure_number(value, target_type)
+                ),
             )
-        converter.register_structure_hook(kind, make_dict_structure_fn(kind, converter, **names))
+        converter.register_structure_hook(
+            model_class, make_dict_structure_fn(model_class, converter, **names)
+        )
     return converter
 
 
 _converter = _make_converter()
 
 
-def _place_first(line: str) -> str:
-    """The place as the operator writes it, then what is wrong there."""
-    fault, _sign, place = line.partition(" @ ")
-    return f"{place.removeprefix('$.').replace('_', '-')}: {fault}"
+def _format_problem(line: str) -> str:
+    """Turns cattrs' "problem @ location" into a line in the operator's spelling."""
+    problem, _separator, location = line.partition(" @ ")
+    return f"{location.removeprefix('$.').replace('_', '-')}: {problem}"
 
 
 def read_configuration(body: bytes) -> Configuration:
-    """The configuration in the body, or InvalidConfiguration with every fault found."""
+    """Returns the configuration in the body; raises InvalidConfiguration with all problems."""
     try:
         document = read_object(body)
     except BadBody as error:
@@ -93,12 +97,12 @@
     try:
         configuration = _converter.structure(document, Configuration)
     except cattrs.BaseValidationError as error:
-        faults = [
-            MeshError("read configuration", _place_first(line))
+        problems = [
+            MeshError("read configuration", _format_problem(line))
             for line in cattrs.transform_error(error)
         ]
-        raise InvalidConfiguration("configuration", faults) from error
-    faults = [MeshError("check configuration", line) for line in find_problems(configuration)]
-    if faults:
-        raise InvalidConfiguration("configuration", faults)
+        raise InvalidConfiguration("configuration", problems) from error
+    problems = [MeshError("check configuration", line) for line in find_problems(configuration)]
+    if problems:
+        raise InvalidConfiguration("configuration", problems)
     return configuration
--- a/marblefold/configuration/route_table.py
+++ b/marblefold/configuration/route_table.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request."""
+"""Looks up the route of a request."""
 
 from marblefold.configuration.rows import ConfigurationRows, Route, Upstream
 
@@ -6,7 +6,7 @@
 
 
 class RouteTable:
-    """A configuration laid out for look-ups; made anew for each configuration, never changed."""
+    """A configuration indexed for lookups; immutable, one instance per configuration."""
 
     def __init__(self, rows: ConfigurationRows) -> None:
         self.number = rows.number
@@ -20,18 +20,18 @@
             self._hosts.setdefault(route.host, {})[route.prefix] = route
 
     def find(self, host: str, target: str) -> Route | None:
-        """The route with the longest prefix of the path, if there is one."""
+        """Returns the route of the host with the longest matching path prefix, or None."""
         prefixes = self._hosts.get(host.partition(":")[0].lower())
         if prefixes is None:
             return None
         path = target.partition("?")[0]
-        # Prefixes end with a slash, so only cuts behind a slash can match;
-        # the whole path is tried for an operator who left the slash out.
-        found = prefixes.get(path)
+        # Prefixes end with a slash, so only the parts of the path up to a slash can match.
+        # The whole path is looked up too, for prefixes configured without the slash.
+        route = prefixes.get(path)
         end = len(path)
-        while found is None:
+        while route is None:
             end = path.rfind("/", 0, end)
             if end < 0:
                 return None
-            found = prefixes.get(path[: end + 1])
-        return found
+            route = prefixes.get(path[: end + 1])
+        return route
--- a/marblefold/configuration/row_encoding.py
+++ b/marblefold/configuration/row_encoding.py
@@ -1,4 +1,4 @@
-"""Lays out a checked configuration in rows for the proxies."""
+"""Encodes a validated configuration as rows for the proxies."""
 
 import zlib
 from datetime import timedelta
@@ -12,9 +12,9 @@
 
 
 def encode_rows(configuration: Configuration) -> bytes:
-    """The rows of the configuration as bytes."""
+    """Returns the configuration as a zlib-compressed ConfigurationRows message."""
     limits = configuration.limits
-    # Hundreds of routes are much alike, and links may be narrow.
+    # Hundreds of routes are similar and compress well, and links may have little bandwidth.
     return zlib.compress(
         kinds.ConfigurationRows(
             number=configuration.config_version,
--- a/marblefold/configuration/rows.py
+++ b/marblefold/configuration/rows.py
@@ -1,7 +1,7 @@
-"""A checked configuration in rows: how registries pass it on and proxies hold it.
+"""A validated configuration in the form that registries distribute and proxies use.
 
-Registries read and check the operator's bytes once; proxies need neither the
-reader nor its libraries.
+Registries parse and validate the operator's bytes once, so proxies need neither the
+parser nor its libraries.
 """
 
 import zlib
@@ -14,7 +14,7 @@
 
 
 class Route(NamedTuple):
-    """Where requests of one host below one prefix go, and how."""
+    """Where and how requests for one host and path prefix are forwarded."""
 
     name: str
     host: str
@@ -30,7 +30,7 @@
 
 
 class Upstream(NamedTuple):
-    """A service that requests may be sent to."""
+    """A service that requests can be forwarded to."""
 
     name: str
     health_check_path: str
@@ -40,7 +40,7 @@
 
 
 class Limits(NamedTuple):
-    """What a client may send and how long it may take."""
+    """Limits on the size of client requests and on the time that clients take."""
 
     header_bytes: int
     body_bytes: int
@@ -49,7 +49,7 @@
 
 
 class ConfigurationRows(NamedTuple):
-    """A whole configuration under its number."""
+    """A complete configuration with its version number."""
 
     number: int
     routes: tuple[Route, ...]
@@ -58,7 +58,7 @@
 
 
 def decode_rows(data: bytes) -> ConfigurationRows:
-    """The rows in the bytes."""
+    """Decodes the bytes that `row_encoding.encode_rows` returns."""
     message = kinds.ConfigurationRows.FromString(zlib.decompress(data))
     return ConfigurationRows(
         message.number,
--- a/marblefold/node_config/model.py
+++ b/marblefold/node_config/model.py
@@ -1,4 +1,4 @@
-"""The settings of a node: about itself and about the deployment."""
+"""The settings of a node, both its own and those of the deployment."""
 
 from datetime import timedelta
 from typing import NamedTuple
@@ -17,7 +17,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "Address":
-        """Reads HOST:PORT. Raises ValueError on anything else."""
+        """Parses HOST:PORT; raises ValueError for anything else."""
         host, separator, port = text.rpartition(":")
         if not separator or not host or not 0 < int(port) < 65536:
             raise ValueError(f"not an address: {text!r}")
@@ -25,7 +25,7 @@
 
 
 class Bounds(NamedTuple):
-    """The bounds of the rules in force."""
+    """The bounds that the rules of the deployment set (config fields under `bounds.`)."""
 
     contact_window: timedelta
     acknowledgement_time: timedelta
@@ -44,7 +44,7 @@
 
 
 class Limits(NamedTuple):
-    """The limits of this process."""
+    """Resource limits of this process."""
 
     memory_mb: float
     file_descriptors: int
@@ -52,14 +52,14 @@
 
 
 class Cloud(NamedTuple):
-    """The platform API that lists the targets, where there is one."""
+    """The platform API that lists the targets, in deployments that have one."""
 
     address: Address
     rate_per_second: float
 
 
 class NodeConfig(NamedTuple):
-    """All settings of a process."""
+    """All settings of a process on the node."""
 
     node_name: str
     zone: str
@@ -78,10 +78,11 @@
     app_address: Address | None
     upstream: str
     cloud: Cloud | None = None
-    # How many counted machines may be lost at the same time.
+    # How many machines with `is_loss_counted` may be lost at the same time.
     machine_losses: int = 1
-    # The site of this node, and the inner address of the registry that claims services for it.
+    # The site of this node, and the internal address of the registry that claims services
+    # for the site.
     site: str = ""
     site_agent: str = ""
-    # Key of the digests of orders in traces.
+    # Key for the digests of orders in traces.
     trace_key: str = ""
--- a/marblefold/node_config/reading.py
+++ b/marblefold/node_config/reading.py
@@ -1,7 +1,7 @@
-"""Reads and checks the config file of a node.
+"""Reads and validates the config file of a node.
 
-Each line is a.b=value.  Unknown fields are skipped, required ones are checked
-for type and range, and every error names its field.
+Each line has the form a.b=value.  Unknown fields are ignored, the type and range of
+known ones are checked, and every error names its field.
 """
 
 import os
@@ -15,66 +15,66 @@
 __all__ = ["Address", "Bounds", "Cloud", "Limits", "NodeConfig", "read_config", "parse_config"]
 
 
-def _milliseconds(text: str) -> timedelta:
-    return timedelta(milliseconds=_positive(text))
+def _parse_milliseconds(text: str) -> timedelta:
+    return timedelta(milliseconds=_parse_non_negative(text))
 
 
-def _seconds(text: str) -> timedelta:
-    return timedelta(seconds=_positive(text))
+def _parse_seconds(text: str) -> timedelta:
+    return timedelta(seconds=_parse_non_negative(text))
 
 
-def _positive(text: str) -> float:
+def _parse_non_negative(text: str) -> float:
     value = float(text)
     if not 0 <= value < 1e9:
         raise ValueError("out of range")
     return value
 
 
-def _whole(text: str) -> int:
+def _parse_non_negative_integer(text: str) -> int:
     value = int(text)
     if value < 0:
         raise ValueError("below zero")
     return value
 
 
-def _truth(text: str) -> bool:
+def _parse_boolean(text: str) -> bool:
     if text not in ("true", "false"):
         raise ValueError("neither true nor false")
     return text == "true"
 
 
-def _word(text: str) -> str:
+def _parse_non_empty(text: str) -> str:
     if not text:
         raise ValueError("empty")
     return text
 
 
-def _port_range(text: str) -> tuple[int, int]:
+def _parse_port_range(text: str) -> tuple[int, int]:
     first, last = (int(part) for part in text.split(","))
     if not 0 < first <= last < 65536:
         raise ValueError("not a range of ports")
     return first, last
 
 
-def _addresses(text: str) -> tuple[Address, ...]:
+def _parse_addresses(text: str) -> tuple[Address, ...]:
     return tuple(Address.parse(part.strip()) for part in text.split(",") if part.strip())
 
 
-class _Lines:
-    """The lines of a config file by field name."""
+class _ConfigFields:
+    """The values of a config file by field name."""
 
     def __init__(self, text: str) -> None:
         self._values = {}
         for line in text.splitlines():
             name, separator, value = line.strip().partition("=")
-            # A line without an equals sign holds no field.
+            # A line without an equals sign contains no field.
             if separator and not name.startswith("#"):
                 self._values[name.strip()] = value.strip()
 
     def get(self, name: str, convert: Callable, default: object = None):
-        """The converted field, or the default.
+        """Returns the converted field, or the default.
 
-        Raises MeshError where it is missing without a default or cannot be converted.
+        Raises MeshError if the field is missing without a default or cannot be converted.
         """
         text = self._values.get(name)
         if text is None:
@@ -84,13 +84,13 @@
         try:
             return convert(text)
         except ValueError as error:
-            raise MeshError("config", f"field {name} is bad: {error}") from error
+            raise MeshError("config", f"field {name} is invalid: {error}") from error
 
     def __contains__(self, name: str) -> bool:
         return name in self._values
 
-    def under(self, prefix: str) -> dict:
-        """All fields that begin with the prefix, by the rest of their names."""
+    def with_prefix(self, prefix: str) -> dict:
+        """Returns all fields whose names start with the prefix, without the prefix."""
         return {
             name[len(prefix) :]: value
             for name, value in self._values.items()
@@ -98,74 +98,75 @@
         }
 
 
-def _read_bounds(lines: _Lines) -> Bounds:
-    # Where the platform keeps the list there is no evacuation and no cold limit.
-    is_mesh = "cloud-api.address" not in lines
+def _read_bounds(fields: _ConfigFields) -> Bounds:
+    # If the platform lists the targets, there is neither evacuation nor a cold start limit,
+    # so their bounds are optional.
+    is_mesh = "cloud-api.address" not in fields
     defaults = (None, None, None) if is_mesh else (1.5, 5.0, timedelta(seconds=5))
     return Bounds(
-        contact_window=lines.get("bounds.contact-window-ms", _milliseconds),
-        acknowledgement_time=lines.get("bounds.ack-timeout-ms", _milliseconds),
-        catch_up=lines.get("bounds.catch-up-s", _seconds, timedelta(seconds=4)),
-        drain_time=lines.get("bounds.drain-timeout-ms", _milliseconds),
-        grace_period=lines.get("bounds.grace-period-s", _seconds),
-        loss_slack=lines.get("bounds.loss-slack-ms", _milliseconds),
-        configuration_apply=lines.get("bounds.config-apply-ms", _milliseconds),
-        retry_ratio=lines.get("bounds.retry-budget-ratio", _positive),
-        retry_window=lines.get("bounds.retry-window-s", _seconds),
-        retry_slack=lines.get("bounds.retry-budget-slack", _positive),
-        cold_overage=lines.get("bounds.cold-overage", _positive, defaults[0]),
-        cold_slack=lines.get("bounds.cold-slack", _positive, defaults[1]),
-        evacuation=lines.get("bounds.evacuation-ms", _milliseconds, defaults[2]),
-        recovery=lines.get("bounds.recovery-s", _seconds, timedelta(seconds=15)),
+        contact_window=fields.get("bounds.contact-window-ms", _parse_milliseconds),
+        acknowledgement_time=fields.get("bounds.ack-timeout-ms", _parse_milliseconds),
+        catch_up=fields.get("bounds.catch-up-s", _parse_seconds, timedelta(seconds=4)),
+        drain_time=fields.get("bounds.drain-timeout-ms", _parse_milliseconds),
+        grace_period=fields.get("bounds.grace-period-s", _parse_seconds),
+        loss_slack=fields.get("bounds.loss-slack-ms", _parse_milliseconds),
+        configuration_apply=fields.get("bounds.config-apply-ms", _parse_milliseconds),
+        retry_ratio=fields.get("bounds.retry-budget-ratio", _parse_non_negative),
+        retry_window=fields.get("bounds.retry-window-s", _parse_seconds),
+        retry_slack=fields.get("bounds.retry-budget-slack", _parse_non_negative),
+        cold_overage=fields.get("bounds.cold-overage", _parse_non_negative, defaults[0]),
+        cold_slack=fields.get("bounds.cold-slack", _parse_non_negative, defaults[1]),
+        evacuation=fields.get("bounds.evacuation-ms", _parse_milliseconds, defaults[2]),
+        recovery=fields.get("bounds.recovery-s", _parse_seconds, timedelta(seconds=15)),
     )
 
 
-def _read_cloud(lines: _Lines) -> Cloud | None:
-    address = lines.get("cloud-api.address", Address.parse, "")
+def _read_cloud(fields: _ConfigFields) -> Cloud | None:
+    address = fields.get("cloud-api.address", Address.parse, "")
     if not address:
         return None
-    return Cloud(address, lines.get("cloud-api.rate-per-s", _positive, 10.0))
+    return Cloud(address, fields.get("cloud-api.rate-per-s", _parse_non_negative, 10.0))
 
 
 def parse_config(text: str) -> NodeConfig:
-    """The checked config of a node. Raises MeshError that names the bad field."""
-    lines = _Lines(text)
+    """Returns the validated config; raises MeshError that names the invalid field."""
+    fields = _ConfigFields(text)
     listen = {}
-    for name in lines.under("listen-addresses."):
-        listen[name] = lines.get("listen-addresses." + name, Address.parse)
+    for name in fields.with_prefix("listen-addresses."):
+        listen[name] = fields.get("listen-addresses." + name, Address.parse)
     return NodeConfig(
-        node_name=lines.get("node-name", _word),
-        zone=lines.get("zone", _word),
-        region=lines.get("region", _word),
-        zone_regions=lines.under("zones."),
-        host=lines.get("ip-address", _word),
+        node_name=fields.get("node-name", _parse_non_empty),
+        zone=fields.get("zone", _parse_non_empty),
+        region=fields.get("region", _parse_non_empty),
+        zone_regions=fields.with_prefix("zones."),
+        host=fields.get("ip-address", _parse_non_empty),
         listen=listen,
-        inner_ports=lines.get("internal-port-range", _port_range),
-        seeds=lines.get("seed-nodes", _addresses),
-        is_first_start=lines.get("initial-start", _truth),
-        is_loss_counted=lines.get("loss-counted", _truth, False),
-        heartbeat_interval=lines.get("heartbeat-interval-ms", _milliseconds),
-        bounds=_read_bounds(lines),
+        inner_ports=fields.get("internal-port-range", _parse_port_range),
+        seeds=fields.get("seed-nodes", _parse_addresses),
+        is_first_start=fields.get("initial-start", _parse_boolean),
+        is_loss_counted=fields.get("loss-counted", _parse_boolean, False),
+        heartbeat_interval=fields.get("heartbeat-interval-ms", _parse_milliseconds),
+        bounds=_read_bounds(fields),
         limits=Limits(
-            memory_mb=lines.get("limits.memory-mb", _positive),
-            file_descriptors=lines.get("limits.max-file-descriptors", _whole),
-            link_mbps=lines.get("limits.link-mbps", _positive, 1000.0),
+            memory_mb=fields.get("limits.memory-mb", _parse_non_negative),
+            file_descriptors=fields.get("limits.max-file-descriptors", _parse_non_negative_integer),
+            link_mbps=fields.get("limits.link-mbps", _parse_non_negative, 1000.0),
         ),
-        data_directory=lines.get("data-directory", _word, ""),
-        app_address=lines.get("app-address", Address.parse, ""),
-        upstream=lines.get("upstream", _word, ""),
-        cloud=_read_cloud(lines),
-        machine_losses=lines.get("fault-tolerance.machine-losses", _whole, 1),
-        site=lines.get("site-name", _word, ""),
-        trace_key=lines.get("trace-key", _word, ""),
-        site_agent=lines.get("site-agent", lambda text: str(Address.parse(text)), ""),
+        data_directory=fields.get("data-directory", _parse_non_empty, ""),
+        app_address=fields.get("app-address", Address.parse, ""),
+        upstream=fields.get("upstream", _parse_non_empty, ""),
+        cloud=_read_cloud(fields),
+        machine_losses=fields.get("fault-tolerance.machine-losses", _parse_non_negative_integer, 1),
+        site=fields.get("site-name", _parse_non_empty, ""),
+        trace_key=fields.get("trace-key", _parse_non_empty, ""),
+        site_agent=fields.get("site-agent", lambda text: str(Address.parse(text)), ""),
     )
 
 
 def read_config(environment: Mapping[str, str]) -> NodeConfig:
-    """Reads the file named by MARBLEFOLD_NODE_FILE.
+    """Reads the file that MARBLEFOLD_NODE_FILE names.
 
-    Raises MeshError where the variable, the file or a field is missing or bad.
+    Raises MeshError if the variable, the file or a field is missing or invalid.
     """
     path = environment.get(wire_names.CONFIG_FILE_VARIABLE)
     if not path:
@@ -176,4 +177,4 @@
     except OSError as error:
         raise MeshError("config", f"file {path}: {os.strerror(error.errno or 0)}") from error
     except UnicodeDecodeError as error:
-        raise MeshError("config", f"file {path} is not text") from error
+        raise MeshError("config", f"file {path} is not valid UTF-8") from error
--- a/marblefold/node_config/watching.py
+++ b/marblefold/node_config/watching.py
@@ -1,4 +1,4 @@
-"""Reloads a changed config file, on a signal or without one."""
+"""Reloads the config file when it changes or when a signal asks for it."""
 
 import asyncio
 import os
@@ -12,46 +12,46 @@
 
 __all__ = ["ConfigWatch"]
 
-_CHECK_EVERY = timedelta(seconds=1)
+_CHECK_INTERVAL = timedelta(seconds=1)
 
 
 class ConfigWatch:
-    """Holds the config in force and rereads it when its file changes."""
+    """Holds the current config and reloads it when its file changes."""
 
     def __init__(self, config: NodeConfig, environment=os.environ) -> None:
         self.config = config
         self._environment = environment
         self._listeners: list[Callable[[NodeConfig], None]] = []
-        self._mark = self._read_mark()
+        self._file_stat = self._read_file_stat()
 
     def add_listener(self, listener: Callable[[NodeConfig], None]) -> None:
-        """Calls the listener with every config reloaded from now on."""
+        """Calls the listener with every config that is reloaded from now on."""
         self._listeners.append(listener)
 
     def reload(self) -> None:
-        """Loads the file as it is now. A bad file is logged and changes nothing."""
-        self._mark = self._read_mark()
+        """Reloads the file; logs an invalid file and keeps the current config."""
+        self._file_stat = self._read_file_stat()
         try:
             config = read_config(self._environment)
         except MeshError as error:
-            # The config in force stays: a half-written file must not end the process.
-            log.warning("config kept", reason=error.reason)
+            # Keeps the current config: a partially written file must not end the process.
+            log.warning("invalid config file; keeping the current config", reason=error.reason)
             return
         if config == self.config:
             return
         self.config = config
-        log.info("config taken up", node=config.node_name)
+        log.info("config reloaded", node=config.node_name)
         for listener in self._listeners:
             listener(config)
 
     async def run(self) -> None:
-        """Reloads the file when it has changed, looking once a second, for ever."""
+        """Checks once a second whether the file has changed and reloads it; never returns."""
         while True:
-            await asyncio.sleep(_CHECK_EVERY.total_seconds())
-            if self._read_mark() != self._mark:
+            await asyncio.sleep(_CHECK_INTERVAL.total_seconds())
+            if self._read_file_stat() != self._file_stat:
                 self.reload()
 
-    def _read_mark(self):
+    def _read_file_stat(self):
         try:
             status = os.stat(self._environment.get(wire_names.CONFIG_FILE_VARIABLE, ""))
         except OSError:
