--- a/tests/simulated_peer.py
+++ b/tests/simulated_peer.py
@@ -1,4 +1,4 @@
-"""The far end of hops: one life of a peer, which answers when the test says so."""
+"""The receiving end of hops: one generation of a peer, which answers when the test says so."""
 
 import asyncio
 
@@ -8,25 +8,25 @@
 
 
 class Body:
-    """The body of a request, in parts."""
+    """The body of a request, read in parts of five bytes."""
 
     method = "POST"
 
-    def __init__(self, text):
-        self._parts = [text[place : place + 5] for place in range(0, len(text), 5)]
+    def __init__(self, content):
+        self._parts = [content[start : start + 5] for start in range(0, len(content), 5)]
 
-    async def read_chunk(self, _most):
+    async def read_chunk(self, _max_bytes):
         return self._parts.pop(0) if self._parts else b""
 
 
-class Hop:
-    """A hop as the far end holds it."""
+class ReceivedHop:
+    """A hop as the receiving peer has it."""
 
     def __init__(self, name, exchange, stage):
         self.name, self.exchange, self.is_cancelled, self.is_over = name, exchange, False, False
         self.tasks, self.body = [], None
-        # Set when the rest of a long answer may go.
-        self.gate, self.is_answering = asyncio.Event(), False
+        # Set when the rest of a long answer may be sent.
+        self.can_finish, self.is_answering = asyncio.Event(), False
         exchange.on_cancel = self.cancel
         self.stage = stage
 
@@ -50,7 +50,7 @@
         self.exchange.send(FrameKind.ANSWER, head.SerializeToString())
         try:
             await self.exchange.send_body(b"answer ")
-            await self.gate.wait()
+            await self.can_finish.wait()
             await self.exchange.send_body(b"of " + self.name.encode())
         except MeshError:
             return
@@ -59,15 +59,15 @@
         self.is_over = True
 
 
-class Far:
-    """One life of the peer."""
+class SimulatedPeer:
+    """One generation of the peer."""
 
     def __init__(self, machine):
         self.machine, self.hops = machine, []
 
     def on_hop(self, exchange, payload):
         head = kinds.RequestHead.FromString(payload)
-        hop = Hop(head.attempt_id, exchange, self.machine.stage)
+        hop = ReceivedHop(head.attempt_id, exchange, self.machine.stage)
         self.hops.append(hop)
         self.machine.hops.append(hop)
         if head.body_follows:
--- a/tests/test_peer_connection_model.py
+++ b/tests/test_peer_connection_model.py
@@ -1,7 +1,9 @@
-"""Hops between two proxies against a plain model of who was asked what.
+"""Stateful test of hops between two proxies against a model of requests and answers.
 
-Both ends are the programs' own; only the bytes between them are moved by the
-test: late, in any pieces, cut anywhere, to one life of the peer or the next.
+Both ends are the production code; the test delivers the bytes between them: late, in
+pieces of any size, cut at any point, and to one generation of the peer or the next.
+It guards against answers that reach the wrong request, against a hop reported as never
+offered although it was sent, and against work that goes on after its request ended.
 """
 
 from types import SimpleNamespace
@@ -20,13 +22,13 @@
 from marblefold.request_path.hop_sender import HopSender
 from marblefold.request_path.outcome import HopOutcome
 from tests.simulated_connections import ListTransport, Stage
-from tests.simulated_peer import Body, Far
+from tests.simulated_peer import Body, SimulatedPeer
 
 CHOICE = st.integers(0, 10_000)
 PEER = "10.0.0.1:7600"
 
 
-class PeerModel(RuleBasedStateMachine):
+class PeerConnectionMachine(RuleBasedStateMachine):
     last_number = 2
 
     def __init__(self):
@@ -35,65 +37,65 @@
         self.patch.start()
         self.stage = Stage()
         self.stage.loop.connector = self.connect
-        self.links, self.hops, self.asked, self.read = [], [], {}, {}
-        self.is_dying = False
-        self.is_down, self.said_not, self.begun = False, set(), {}
-        self.far = Far(self)
-        self.book = PeerConnectionPool(SimpleNamespace(on_lost=lambda _connection: None))
-        self.sender = HopSender(self.book, lambda _peer: None)
-        self.looking = self.stage.start(self.sender.run())
+        self.links, self.hops, self.requests, self.read = [], [], {}, {}
+        self.resets_connections = False
+        self.is_down, self.refused, self.readers = False, set(), {}
+        self.peer = SimulatedPeer(self)
+        self.pool = PeerConnectionPool(SimpleNamespace(on_lost=lambda _connection: None))
+        self.sender = HopSender(self.pool, lambda _peer: None)
+        self.sender_task = self.stage.start(self.sender.run())
 
     def teardown(self):
-        # In the end everything is delivered, and nothing may be left behind.
+        # Delivers all remaining bytes; after that no work may remain.
         for _round in range(12):
             for link in list(self.links):
-                self.move(link, 0, 10_000)
-                self.move(link, 1, 10_000)
+                self.deliver(link, 0, 10_000)
+                self.deliver(link, 1, 10_000)
         try:
-            self.look_for_what_is_left_behind()
+            self.check_no_work_remains()
         finally:
             self.patch.stop()
             self.stage.close()
 
-    def look_for_what_is_left_behind(self):
-        """Everything was delivered: no end may still work on what the other gave up."""
+    def check_no_work_remains(self):
+        """All bytes were delivered: neither end may still work on what the other cancelled."""
         self.check()
-        over = {name for name, task in self.asked.items() if task.done()}
-        over -= set(self.begun) - set(self.read)
+        finished = {name for name, task in self.requests.items() if task.done()}
+        finished -= set(self.readers) - set(self.read)
         for hop in self.hops:
-            assert hop.name not in over or hop.is_over
+            assert hop.name not in finished or hop.is_over
         for near, _far in self.links:
-            if over == set(self.asked) and near.is_open:
+            if finished == set(self.requests) and near.is_open:
                 assert near.protocol.is_idle
         for near, far in self.links:
             self.stage.call(near.reset)
             self.stage.call(far.reset)
-        # Nobody waits on a connection that is gone.
-        assert all(task.done() for task in self.asked.values())
+        # No request waits on a lost connection.
+        assert all(task.done() for task in self.requests.values())
 
     def connect(self, _address, near):
         if self.is_down:
             raise ConnectionRefusedError
-        protocol = PeerConnection(self.far)
+        protocol = PeerConnection(self.peer)
         far = ListTransport(protocol, self.stage.loop)
         protocol.connection_made(far)
         self.links.append((near, far))
-        if self.is_dying:
+        if self.resets_connections:
             self.stage.loop.call_soon(near.reset)
             self.stage.loop.call_soon(far.reset)
 
-    @rule(dies=st.sampled_from([False, False, True]))
-    def let_it_die(self, dies):
-        """The peer resets connections as soon as they are open, or takes them."""
-        self.is_dying = dies
+    @rule(resets=st.sampled_from([False, False, True]))
+    def set_peer_resets_connections(self, resets):
+        """The peer resets connections as soon as they are open, or accepts them."""
+        self.resets_connections = resets
 
     @rule(mutating=st.booleans(), has_body=st.booleans(), count=st.integers(1, 3))
-    def ask(self, mutating, has_body, count):
-        for _ask in range(count):
-            self.ask_one(mutating, has_body)
+    def send_requests(self, mutating, has_body, count):
+        for _request in range(count):
+            self.send_request(mutating, has_body)
 
-    def ask_one(self, mutating, has_body):
-        name = f"a{len(self.asked):04}"
+    def send_request(self, mutating, has_body):
+        name = f"a{len(self.requests):04}"
         head = kinds.RequestHead(
             attempt_id=name,
             route_type="mutating" if mutating else "read_only",
@@ -101,23 +103,23 @@
             body_follows=has_body,
         )
         body = Body(b"body of " + name.encode())
-        self.asked[name] = self.stage.start(self.sender.send(PEER, head, body, 100, 900.0))
+        self.requests[name] = self.stage.start(self.sender.send(PEER, head, body, 100, 900.0))
 
-    def move(self, link, side, size):
-        near_or_far, other = link[side], link[1 - side]
-        if not near_or_far.is_open and not other.is_open:
+    def deliver(self, link, side, size):
+        sending_end, receiving_end = link[side], link[1 - side]
+        if not sending_end.is_open and not receiving_end.is_open:
             return
-        data = near_or_far.take(size)
-        if data and other.is_open:
-            self.stage.call(other.protocol.data_received, data)
-        # An end that closed is noticed behind its last byte.
-        if not near_or_far.is_open and near_or_far.moved == len(near_or_far.written):
-            self.stage.call(other.lose, None)
+        data = sending_end.take(size)
+        if data and receiving_end.is_open:
+            self.stage.call(receiving_end.protocol.data_received, data)
+        # The other end notices a close after the last byte.
+        if not sending_end.is_open and sending_end.moved == len(sending_end.written):
+            self.stage.call(receiving_end.lose, None)
 
     @rule(choice=CHOICE, side=st.integers(0, 1), size=st.sampled_from([1, 3, 9, 30, 10_000]))
-    def move_some(self, choice, side, size):
+    def deliver_some(self, choice, side, size):
         if self.links:
-            self.move(self.links[choice % len(self.links)], side, size)
+            self.deliver(self.links[choice % len(self.links)], side, size)
 
     @rule(choice=CHOICE, style=st.sampled_from(["whole", "long", "refused", "reset"]))
     def answer(self, choice, style):
@@ -126,7 +128,7 @@
             return
         hop = hops[choice % len(hops)]
         if hop.is_answering:
-            self.stage.call(hop.gate.set)
+            self.stage.call(hop.can_finish.set)
             return
         hop.is_answering = True
         hop.is_over = style != "long"
@@ -138,7 +140,7 @@
         if style == "whole":
             head.body = b"answer of " + hop.name.encode()
         elif style == "refused":
-            self.said_not.add(hop.name)
+            self.refused.add(hop.name)
             head = kinds.AnswerHead(outcome=HopOutcome.NEVER_OFFERED)
         if style == "reset":
             hop.exchange.send(FrameKind.RESET)
@@ -148,19 +150,19 @@
 
     @rule(choice=CHOICE)
     def cancel(self, choice):
-        tasks = [task for task in self.asked.values() if not task.done()]
+        tasks = [task for task in self.requests.values() if not task.done()]
         if tasks:
             tasks[choice % len(tasks)].cancel()
             self.stage.turn()
 
     @rule(choice=CHOICE)
     def give_up_reading(self, choice):
-        begun = [name for name in self.begun if name not in self.read]
-        if begun:
-            name = begun[choice % len(begun)]
+        unfinished = [name for name in self.readers if name not in self.read]
+        if unfinished:
+            name = unfinished[choice % len(unfinished)]
             self.read[name] = None
-            self.begun[name].cancel()
-            self.stage.call(self.asked[name].result().answer.release)
+            self.readers[name].cancel()
+            self.stage.call(self.requests[name].result().answer.release)
 
     @rule(choice=CHOICE)
     def cut(self, choice):
@@ -169,40 +171,40 @@
             self.stage.call(near.reset)
             self.stage.call(far.reset)
 
-    @rule(starts_again=st.booleans())
-    def restart(self, starts_again):
-        """The peer is gone; another life of it may come up under its address."""
+    @rule(restarts=st.booleans())
+    def restart(self, restarts):
+        """The peer ends; its next generation may start at the same address."""
         for near, far in self.links:
             self.stage.call(near.reset)
             self.stage.call(far.reset)
-        self.is_down, self.far = not starts_again, Far(self)
+        self.is_down, self.peer = not restarts, SimulatedPeer(self)
 
     @rule()
-    def let_time_go(self):
-        """Long enough for a peer that says nothing to count as silent."""
-        for _look in range(8):
+    def advance_time(self):
+        """Advances the clock far enough for a silent peer to become unresponsive."""
+        for _step in range(8):
             self.stage.advance(0.1)
 
     @invariant()
-    def every_answer_is_the_requests_own(self):
+    def every_answer_belongs_to_its_request(self):
         self.check()
 
     def check(self):
-        for name, task in self.asked.items():
+        for name, task in self.requests.items():
             if not task.done() or task.cancelled():
                 continue
-            result, own = task.result(), b"answer of " + name.encode()
+            result, expected = task.result(), b"answer of " + name.encode()
             if result.outcome is HopOutcome.NEVER_OFFERED:
                 heads = [near for near, _far in self.links if name.encode() in near.written]
-                assert name in self.said_not or not heads
+                assert name in self.refused or not heads
             if result.outcome is not HopOutcome.ANSWERED:
                 continue
             if result.answer.pipe is None:
-                assert result.answer.body == own
-            elif name not in self.begun:
-                self.begun[name] = self.stage.start(self.read_pipe(name, result.answer))
+                assert result.answer.body == expected
+            elif name not in self.readers:
+                self.readers[name] = self.stage.start(self.read_pipe(name, result.answer))
             if self.read.get(name) is not None:
-                assert self.read[name] == own
+                assert self.read[name] == expected
         for hop in self.hops:
             assert hop.body in (None, b"body of " + hop.name.encode())
 
@@ -217,11 +219,11 @@
         answer.release()
 
 
-class ManyNumbers(PeerModel):
+class ManyNumbersMachine(PeerConnectionMachine):
     last_number = peer_connection.MAX_EXCHANGE_NUMBER
 
 
-TestPeerConnections = ManyNumbers.TestCase
-TestFewNumbers = PeerModel.TestCase
+TestPeerConnections = ManyNumbersMachine.TestCase
+TestFewNumbers = PeerConnectionMachine.TestCase
 TestPeerConnections.settings = settings(max_examples=120, stateful_step_count=30, deadline=None)
 TestFewNumbers.settings = TestPeerConnections.settings
