--- a/tests/control_documents.py
+++ b/tests/control_documents.py
@@ -1,4 +1,4 @@
-"""A valid body of each control call that has one, with its path, and its places."""
+"""A valid body for each control call that has one, and helpers that change one value in it."""
 
 import copy
 
@@ -54,24 +54,24 @@
 }
 
 
-def places_of(document, path=()):
-    """Every place of a document."""
+def list_paths(document, path=()):
+    """Yields the path of every value in the document, containers included."""
     yield path
     items = document.items() if isinstance(document, dict) else enumerate(document)
     for key, value in items if isinstance(document, (dict, list)) else ():
         if isinstance(value, (dict, list)):
-            yield from places_of(value, (*path, key))
+            yield from list_paths(value, (*path, key))
         else:
             yield (*path, key)
 
 
-def put_at(document, path, value):
-    """The document with something else at the place."""
+def replace_at(document, path, value):
+    """Returns a copy of the document with another value at the path."""
     if not path:
         return value
     changed = copy.deepcopy(document)
-    place = changed
+    container = changed
     for key in path[:-1]:
-        place = place[key]
-    place[path[-1]] = value
+        container = container[key]
+    container[path[-1]] = value
     return changed
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -1,7 +1,7 @@
-"""All control calls of a registry behind its real router and HTTP connection.
+"""All control calls of a registry behind the production router and HTTP connection.
 
-Only the stores are stood in for: registers in memory, changed by the real
-orders.  The test sends bytes and gets bytes back.
+Only the stores are simulated, by registers in memory that the production orders
+change.  A test sends bytes and gets bytes back.
 """
 
 import asyncio
@@ -30,11 +30,11 @@
 CAPACITY = {"quotes": 100}
 
 
-class MemoryStores:
-    """What a majority would hold; it may be out of reach."""
+class SimulatedStores:
+    """The registers that a majority of the stores would hold; may be unreachable."""
 
     def __init__(self):
-        self.held = {}
+        self.registers = {}
         self.is_reachable = True
 
     async def ask(self, kind, register, number=0, value=b""):
@@ -44,17 +44,17 @@
             kind=kind, register=register, number=number, value=value, order=os.urandom(12)
         )
         order = read_order(kinds.RegisterCall.FromString(call.SerializeToString()))
-        before = self.held.get(register, RegisterContent(0, b""))
-        held = order.change(before)
-        if held != before:
-            self.held[register] = held
+        before = self.registers.get(register, RegisterContent(0, b""))
+        after = order.change(before)
+        if after != before:
+            self.registers[register] = after
         return kinds.RegisterAnswer(
-            outcome=order.outcome_of(held), number=held.number, value=held.value
+            outcome=order.outcome_of(after), number=after.number, value=after.value
         )
 
 
-class Transport(asyncio.Transport):
-    """Keeps what was written."""
+class RecordingTransport(asyncio.Transport):
+    """Records the bytes that were written."""
 
     def __init__(self):
         super().__init__()
@@ -73,75 +73,75 @@
         return self.is_closed
 
     def pause_reading(self):
-        """Nothing reads here."""
+        """Ignored: the test feeds all bytes itself."""
 
     def resume_reading(self):
-        """Nothing reads here."""
+        """Ignored: the test feeds all bytes itself."""
 
 
 async def _no_sleep(_seconds):
     await asyncio.sleep(0)
 
 
-class Control:
-    """One registry's control side; each request has a connection of its own."""
+class SimulatedControl:
+    """The control server of one registry; each request has its own connection."""
 
     is_leaving = False
     header_bytes = 16384
 
     def __init__(self, history_folder=""):
-        self.stores = MemoryStores()
+        self.stores = SimulatedStores()
         self.router = CallRouter()
-        duty = PartnerDuty(self.stores, lambda: False)
+        partner_duty = PartnerDuty(self.stores, lambda: False)
         history = HistoryKeeper(history_folder)
-        self.parts = (
+        self.call_groups = (
             TraceCalls(Collector(100), lambda: 0.0),
             history,
             RehearsalCalls(self.stores, dict),
-            PartnerCalls(self.stores, duty, dict, sleep=_no_sleep),
+            PartnerCalls(self.stores, partner_duty, dict, sleep=_no_sleep),
             OwnerCalls(self.stores, lambda: Claimed({}, {})),
             MaintenanceCalls(self.stores, lambda: ZONES, lambda: CAPACITY),
             ControlCalls(self.stores, lambda: ZONES, dict),
         )
-        for part in self.parts:
-            part.add_to(self.router)
+        for call_group in self.call_groups:
+            call_group.add_to(self.router)
         self.history = history
 
     async def handle(self, request):
         return await self.router.handle(request)
 
     def on_made(self, connection):
-        """Nobody counts connections here."""
+        """Ignored: connections are not counted."""
 
     def on_lost(self, connection):
-        """Nobody counts connections here."""
+        """Ignored: connections are not counted."""
 
-    async def send(self, data, ends=False):
-        """The status and document that come for the bytes; None where nothing does."""
-        transport = Transport()
+    async def send(self, data, closes=False):
+        """Returns the response to the bytes, or None if there is none."""
+        transport = RecordingTransport()
         connection = ClientConnection(self)
         connection.connection_made(transport)
         connection.data_received(bytes(data))
-        if ends:
+        if closes:
             connection.connection_lost(None)
         for _ in range(2000):
             if transport.written and connection.is_idle:
                 break
             await asyncio.sleep(0)
-            if self.history_is_busy():
+            if self.keeps_history():
                 await asyncio.sleep(0.001)
         return read_answer(bytes(transport.written))
 
-    def history_is_busy(self):
+    def keeps_history(self):
         return bool(self.history._folder)
 
     def call(self, method, path, body=b"", headers=()):
-        """One whole call."""
+        """Sends a complete request and returns the response."""
         return asyncio.run(self.send(pack_request(method, path, body, headers)))
 
 
 def pack_request(method, path, body=b"", headers=()):
-    """The bytes of a request."""
+    """Returns the encoded request."""
     lines = [
         f"{method} {path} HTTP/1.1".encode("utf-8", "surrogateescape"),
         b"Host: control",
@@ -152,11 +152,11 @@
 
 
 def read_answer(data):
-    """Status and document, after a check that the answer is whole."""
+    """Returns status, head and document after checking that the response is complete."""
     if not data:
         return None
-    head, sign, body = data.partition(b"\r\n\r\n")
-    assert sign, data
+    head, separator, body = data.partition(b"\r\n\r\n")
+    assert separator, data
     status = int(head.split(b" ", 2)[1])
     length = int(re.search(rb"(?i)content-length: *(\d+)", head)[1])
     assert len(body) == length, data
--- a/tests/test_bad_control_input.py
+++ b/tests/test_bad_control_input.py
@@ -1,7 +1,8 @@
-"""Control calls with bad input: a 4xx that names the place, and nothing is lost.
+"""Tests that invalid control calls get a 4xx with the location and change nothing.
 
-Bytes go into the real connection and router; a fault inside a call shows as
-the router's 503, which no reachable store accounts for here.
+The bytes pass through the production connection and router.  An unhandled exception
+in a call appears as the router's 503, which has no other cause while the stores are
+reachable.
 """
 
 import asyncio
@@ -18,8 +19,8 @@
 from marblefold.maintenance.model import Document as MaintenanceDocument
 from marblefold.ownership.claims import read_owners
 from marblefold.partners.merging import merge
-from tests.control_documents import BEARER, BODIES, CONFIGURATION, places_of, put_at
-from tests.simulated_control import Control, pack_request
+from tests.control_documents import BEARER, BODIES, CONFIGURATION, list_paths, replace_at
+from tests.simulated_control import SimulatedControl, pack_request
 
 SUBJECTS = (
     wire_names.TRACE_PATH,
@@ -48,8 +49,8 @@
 ODD = st.one_of(st.sampled_from(ODD_VALUES), st.text(max_size=5))
 
 
-def next_of(name):
-    """The document under the number after the one that holds."""
+def make_next_document(name):
+    """Returns the document with the number after the current one."""
     document = BODIES[name][1]
     return {
         key: value + 1 if key in ("number", "config-version") else value
@@ -58,13 +59,13 @@
 
 
 @st.composite
-def spoilt_bodies(draw):
-    """A call with a body in which one or two places are odd, or that is torn."""
+def corrupted_bodies(draw):
+    """Draws a call whose body has one or two odd values, or is truncated or corrupted."""
     name = draw(st.sampled_from(sorted(BODIES)))
-    document = next_of(name)
+    document = make_next_document(name)
     for _ in range(draw(st.integers(1, 2))):
-        place = draw(st.sampled_from([path for path in places_of(document) if path]))
-        document = put_at(document, place, draw(ODD))
+        changed_path = draw(st.sampled_from([path for path in list_paths(document) if path]))
+        document = replace_at(document, changed_path, draw(ODD))
         if not isinstance(document, dict):
             break
     body = json.dumps(document).encode()
@@ -76,9 +77,9 @@
     return name, body
 
 
-def filled():
-    """A control side that holds something in every register."""
-    control = Control()
+def make_filled_control():
+    """Returns a control server with content in every register."""
+    control = SimulatedControl()
     for name, (path, document) in BODIES.items():
         headers = BEARER if name == "exports" else ()
         answer = control.call("PUT", path, json.dumps(document).encode(), headers)
@@ -87,49 +88,49 @@
 
 
 def read_all(stores):
-    """Reads what holds as every registry and proxy would."""
-    held = stores.held
-    encode_rows(read_configuration(held["configuration"].value))
-    merge(held["partners"].number, held["partners"].value)
-    read_owners(held["owners"].value)
-    MaintenanceDocument.read(held["maintenance"].value)
-    for register, record in held.items():
+    """Parses the registers as every registry and proxy would."""
+    registers = stores.registers
+    encode_rows(read_configuration(registers["configuration"].value))
+    merge(registers["partners"].number, registers["partners"].value)
+    read_owners(registers["owners"].value)
+    MaintenanceDocument.read(registers["maintenance"].value)
+    for register, record in registers.items():
         kinds.Accepted(register=register, number=record.number, value=record.value)
 
 
 def check_answer(control, name, body, before):
-    """Refused with its place and nothing changed, or held and readable by all."""
-    control.stores.held = dict(before)
+    """The call is rejected with a reason and changes nothing, or its result is readable by all."""
+    control.stores.registers = dict(before)
     answer = control.call("PUT", BODIES[name][0], body, BEARER)
     assert answer is not None and answer.status in (200, 400, 401, 403, 409, 413), ascii(answer)
     if answer.status != 200:
         assert answer.document[wire_names.REASON]
-        assert control.stores.held == before
+        assert control.stores.registers == before
     read_all(control.stores)
 
 
 @pytest.mark.parametrize("name", sorted(BODIES))
-def test_each_odd_value_at_each_place_is_refused_or_holds_and_can_be_read(name):
-    control = filled()
-    before = dict(control.stores.held)
-    document = next_of(name)
-    faults = []
-    for place in places_of(document):
+def test_each_odd_value_at_each_path_is_rejected_or_stored_and_readable(name):
+    control = make_filled_control()
+    before = dict(control.stores.registers)
+    document = make_next_document(name)
+    failures = []
+    for path in list_paths(document):
         for index, value in enumerate(ODD_VALUES):
-            body = json.dumps(put_at(document, place, value)).encode()
+            body = json.dumps(replace_at(document, path, value)).encode()
             try:
                 check_answer(control, name, body, before)
             except Exception as error:
-                faults.append((place, index, type(error).__name__, ascii(error)[:120]))
-    assert not faults, f"{len(faults)} faults, the first: {faults[:3]}"
+                failures.append((path, index, type(error).__name__, ascii(error)[:120]))
+    assert not failures, f"{len(failures)} failures, the first: {failures[:3]}"
 
 
 @settings(max_examples=200, deadline=None)
-@given(spoilt_bodies())
-def test_a_spoilt_or_torn_body_is_refused_or_holds_and_can_be_read(spoilt):
-    name, body = spoilt
-    control = filled()
-    check_answer(control, name, body, dict(control.stores.held))
+@given(corrupted_bodies())
+def test_a_corrupted_body_is_rejected_or_stored_and_readable(corrupted):
+    name, body = corrupted
+    control = make_filled_control()
+    check_answer(control, name, body, dict(control.stores.registers))
 
 
 SEGMENTS = st.one_of(
@@ -146,71 +147,73 @@
     query=st.sampled_from(["", "?", "?limit=nan", "?limit=1e400", "?kind=%ff", "?skip=-1&x=%"]),
     body=st.sampled_from([b"", b"{", b"null", b"\xff"]),
 )
-def test_a_wrong_method_or_path_is_told_so_and_loses_nothing(method, path, segment, query, body):
-    control = filled()
-    before = dict(control.stores.held)
+def test_a_wrong_method_or_path_is_rejected_and_changes_nothing(method, path, segment, query, body):
+    control = make_filled_control()
+    before = dict(control.stores.registers)
     answer = control.call(method, path.replace("{}", segment) + query, body)
     allowed = (200, 400, 404, 405, 409, 413, 431)
     assert answer is not None and answer.status in allowed, ascii(answer)
     if answer.status != 200:
-        assert control.stores.held == before
+        assert control.stores.registers == before
     read_all(control.stores)
 
 
 @pytest.mark.parametrize("name", sorted(BODIES))
-def test_a_request_that_breaks_off_anywhere_changes_nothing(name):
+def test_a_request_truncated_anywhere_changes_nothing(name):
     path, document = BODIES[name]
     data = pack_request("PUT", path, json.dumps(document).encode(), BEARER)
-    control = filled()
-    before = dict(control.stores.held)
+    control = make_filled_control()
+    before = dict(control.stores.registers)
 
     async def run():
         for end in range(len(data)):
-            assert await control.send(data[:end], ends=True) is None
+            assert await control.send(data[:end], closes=True) is None
 
     asyncio.run(run())
-    assert control.stores.held == before
+    assert control.stores.registers == before
 
 
 @pytest.mark.parametrize("name", sorted(BODIES))
 def test_an_order_sent_twice_is_acknowledged_twice(name):
-    control = filled()
-    before = {register: held.value for register, held in control.stores.held.items()}
+    control = make_filled_control()
+    before = {register: content.value for register, content in control.stores.registers.items()}
     path, document = BODIES[name]
     again = control.call("PUT", path, json.dumps(document).encode(), BEARER)
     assert again.status == 200, ascii(again)
-    if name != "exports":  # The same word again is a sign of life, and counted.
-        assert {one: held.value for one, held in control.stores.held.items()} == before
+    if name != "exports":  # A repeated export shows that the partner is alive and is counted.
+        assert {
+            register: content.value for register, content in control.stores.registers.items()
+        } == before
 
 
-def test_bodies_over_their_bound_get_413_and_without_stores_all_get_503():
-    control = filled()
+def test_too_large_bodies_get_413_and_all_calls_get_503_without_stores():
+    control = make_filled_control()
     for path, size in ((wire_names.FLOORS_PATH, 5000), (wire_names.OWNERS_PATH, 2**20 + 1)):
         assert control.call("PUT", path, b" " * size).status == 413
     control.stores.is_reachable = False
-    before = dict(control.stores.held)
+    before = dict(control.stores.registers)
     for path, document in BODIES.values():
         answer = control.call("PUT", path, json.dumps(document).encode(), BEARER)
         assert answer.status == 503 and b"Retry-After" in answer.head
     for method in ("PUT", "DELETE"):
         path = wire_names.EVACUATION_PATH.format("hall-a")
         assert control.call(method, path).status == 503
-    assert control.stores.held == before
+    assert control.stores.registers == before
 
 
-def test_a_fault_inside_a_call_is_answered_with_503_and_logged():
-    control = Control()
+def test_an_exception_in_a_call_is_answered_with_503_and_logged():
+    control = SimulatedControl()
 
     async def fail(_call):
-        raise RuntimeError("a fault of our own")
+        raise RuntimeError("an error in the call")
 
     control.router.add("GET", "/fails", fail)
     answer = control.call("GET", "/fails")
     assert answer.status == 503 and "fault" in answer.document[wire_names.REASON]
 
 
-def test_two_contents_of_one_number_get_409_with_the_number_that_holds():
-    control = filled()
+def test_other_content_under_the_same_number_gets_409_with_the_current_number():
+    control = make_filled_control()
     path = wire_names.CONFIGURATION_PATH
     other = json.dumps({**CONFIGURATION, "limits": {}}).encode()
     answer = control.call("PUT", path, other)
@@ -221,19 +224,19 @@
 
 
 @pytest.mark.parametrize("version", ["%C2%B2", "r", "9" * 5000, "-1", "1e3", "%ff", "r99"])
-def test_a_version_that_is_none_is_told_so(version, tmp_path):
-    control = Control(str(tmp_path))
+def test_an_invalid_or_unknown_version_is_rejected(version, tmp_path):
+    control = SimulatedControl(str(tmp_path))
     answer = control.call("GET", wire_names.VERSION_PATH.format(version))
     assert answer.status in (400, 404) and answer.document[wire_names.REASON]
 
 
 @pytest.mark.parametrize("state, status", [("running", 409), ("finished", 200)])
-def test_a_window_whose_order_comes_again_does_not_run_twice(state, status):
-    control = filled()
-    held = control.stores.held["maintenance"]
-    value = held.value.replace(b'"planned"', b'"%s"' % state.encode())
-    assert value != held.value
-    control.stores.held["maintenance"] = held._replace(value=value)
+def test_a_repeated_window_order_does_not_run_the_window_twice(state, status):
+    control = make_filled_control()
+    content = control.stores.registers["maintenance"]
+    value = content.value.replace(b'"planned"', b'"%s"' % state.encode())
+    assert value != content.value
+    control.stores.registers["maintenance"] = content._replace(value=value)
     path, document = BODIES["window"]
     assert control.call("PUT", path, json.dumps(document).encode()).status == status
-    assert control.stores.held["maintenance"].value == value
+    assert control.stores.registers["maintenance"].value == value
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Configurations: what is read, what is refused and where, and which route is found."""
+"""Tests which configurations are accepted, how problems are reported and which route is found."""
 
 import json
 
@@ -41,14 +41,14 @@
     return json.dumps(configuration).encode()
 
 
-def changed(**fields):
+def make_with_route(**fields):
     route = {**ROUTE, **fields}
     return make_configuration(
         **{"route-list": [{name: value for name, value in route.items() if value is not None}]}
     )
 
 
-def test_a_configuration_is_read_and_survives_being_laid_out():
+def test_a_configuration_is_parsed_and_survives_encoding():
     table = RouteTable(decode_rows(encode_rows(read_configuration(make_configuration()))))
     route = table.find("shop.example:80", "/a/x?y=/b/")
     assert (route.name, route.weights) == ("r1", (90.0, 10.0))
@@ -57,7 +57,7 @@
 
 
 @pytest.mark.parametrize(
-    "body, place",
+    "body, location",
     [
         (make_configuration()[:-20], "body"),
         (b"[]", "body"),
@@ -65,32 +65,32 @@
         (make_configuration(more="\ud800"), "body"),
         (make_configuration(more=float("nan")), "body"),
         (make_configuration(**{"route-list": {}}), "route-list"),
-        (changed(**{"allowed-regions": "east"}), "allowed-regions"),
-        (changed(priority=2**31), "priority"),
+        (make_with_route(**{"allowed-regions": "east"}), "allowed-regions"),
+        (make_with_route(priority=2**31), "priority"),
         (make_configuration(**{"config-version": "r7"}), "config-version"),
         (make_configuration(**{"config-version": None}), "config-version"),
         (
             make_configuration(**{"route-list": [ROUTE, {**ROUTE, "name": "r2"}]}),
             "same host and prefix",
         ),
-        (changed(**{"timeout-ms": 600001}), "timeout-ms"),
-        (changed(**{"timeout-ms": None}), "timeout-ms"),
-        (changed(**{"max-attempts": 0}), "max-attempts"),
-        (changed(**{"path-prefix": "a/"}), "path-prefix"),
-        (changed(**{"route-type": "odd"}), "route-type"),
-        (changed(**{"weighted-targets": None, "upstream": "nobody"}), "nobody"),
-        (changed(**{"weighted-targets": None}), "upstream"),
-        (changed(**{"weighted-targets": [{"upstream": "quotes", "weight": 0}]}), "weight"),
-        (changed(**{"weighted-targets": [{"upstream": "quotes"}]}), "weight"),
+        (make_with_route(**{"timeout-ms": 600001}), "timeout-ms"),
+        (make_with_route(**{"timeout-ms": None}), "timeout-ms"),
+        (make_with_route(**{"max-attempts": 0}), "max-attempts"),
+        (make_with_route(**{"path-prefix": "a/"}), "path-prefix"),
+        (make_with_route(**{"route-type": "odd"}), "route-type"),
+        (make_with_route(**{"weighted-targets": None, "upstream": "nobody"}), "nobody"),
+        (make_with_route(**{"weighted-targets": None}), "upstream"),
+        (make_with_route(**{"weighted-targets": [{"upstream": "quotes", "weight": 0}]}), "weight"),
+        (make_with_route(**{"weighted-targets": [{"upstream": "quotes"}]}), "weight"),
     ],
 )
-def test_an_invalid_configuration_is_refused_with_the_place_of_each_fault(body, place):
+def test_an_invalid_configuration_is_rejected_with_the_location_of_each_problem(body, location):
     with pytest.raises(InvalidConfiguration) as caught:
         read_configuration(body)
-    assert any(place in fault for fault in caught.value.problems), caught.value.problems
+    assert any(location in problem for problem in caught.value.problems), caught.value.problems
 
 
-def test_all_faults_are_told_at_once():
+def test_all_problems_are_reported_at_once():
     body = make_configuration(
         **{
             "route-list": [
@@ -121,7 +121,7 @@
     table = RouteTable(
         decode_rows(encode_rows(read_configuration(make_configuration(**{"route-list": routes}))))
     )
-    fitting = [prefix for prefix in prefixes if path.startswith(prefix)]
+    matching = [prefix for prefix in prefixes if path.startswith(prefix)]
     found = table.find("SHOP.example", path + query)
-    assert (found.name if found else None) == (max(fitting, key=len) if fitting else None)
+    assert (found.name if found else None) == (max(matching, key=len) if matching else None)
     assert table.find("other.example", path) is None
--- a/tests/test_lean_imports.py
+++ b/tests/test_lean_imports.py
@@ -1,10 +1,10 @@
-"""The programs start without what lean_imports leaves out."""
+"""Tests that the programs start without the modules that lean_imports replaces."""
 
 import subprocess
 import sys
 
 
-def test_every_program_imports_without_the_parts_left_out():
+def test_every_program_imports_without_the_replaced_modules():
     code = (
         "from marblefold.lean_imports import stub_unused_modules; stub_unused_modules()\n"
         "import sys\n"
@@ -13,21 +13,21 @@
         "from aiohttp._http_parser import HttpRequestParser\n"
         "assert 'aiohttp.client' not in sys.modules\n"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
-    assert done.returncode == 0, done.stderr
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
+    assert result.returncode == 0, result.stderr
 
 
-def test_a_proxy_does_not_import_the_reader_of_configurations():
+def test_a_proxy_does_not_import_the_configuration_parser():
     code = (
         "from marblefold.lean_imports import stub_unused_modules; stub_unused_modules()\n"
         "import sys, marblefold.proxy.program\n"
         "print([name for name in ('cattrs', 'urllib.error') if name in sys.modules])\n"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
-    assert done.stdout.strip() == "[]", done.stdout + done.stderr
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
+    assert result.stdout.strip() == "[]", result.stdout + result.stderr
 
 
-def test_a_proxy_without_tracing_imports_none_of_it_and_a_registry_no_rehearsal():
+def test_a_proxy_without_tracing_imports_no_tracing_and_a_registry_no_rehearsal():
     code = (
         "from marblefold.lean_imports import stub_unused_modules; stub_unused_modules()\n"
         "import sys, marblefold.proxy.program, marblefold.registry.program\n"
@@ -35,5 +35,5 @@
         "print([name for name in names if 'marblefold.' + name in sys.modules]\n"
         "      + [name for name in ('opentelemetry',) if name in sys.modules])\n"
     )
-    done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
-    assert done.stdout.strip() == "[]", done.stdout + done.stderr
+    result = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
+    assert result.stdout.strip() == "[]", result.stdout + result.stderr
--- a/tests/test_node_config.py
+++ b/tests/test_node_config.py
@@ -1,4 +1,4 @@
-"""The config file: what is read, what is refused by name, what is taken up."""
+"""Tests how the config file is parsed, which fields are rejected, and when it is reloaded."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 from marblefold.node_config.reading import parse_config
 from marblefold.node_config.watching import ConfigWatch
 
-GOOD = """
+VALID_FILE = """
 node-name=sidecar-1
 zone=hall-a
 region=west
@@ -44,8 +44,8 @@
 """
 
 
-def test_a_good_file_is_read_with_its_units():
-    config = parse_config(GOOD)
+def test_a_valid_file_is_parsed_with_its_units():
+    config = parse_config(VALID_FILE)
     assert config.seeds[1].port == 8306 and config.inner_ports == (7620, 7635)
     assert config.bounds.grace_period == timedelta(seconds=6)
     assert config.zone_regions == {"hall-a": "west", "hall-b": "west"}
@@ -69,8 +69,8 @@
         ("node-name", ""),
     ],
 )
-def test_a_missing_or_bad_field_is_named(field, value):
-    lines = [line for line in GOOD.splitlines() if not line.startswith(field + "=")]
+def test_an_error_names_the_missing_or_invalid_field(field, value):
+    lines = [line for line in VALID_FILE.splitlines() if not line.startswith(field + "=")]
     if value is not None:
         lines.append(f"{field}={value}")
     with pytest.raises(MeshError) as caught:
@@ -78,33 +78,33 @@
     assert field in caught.value.reason
 
 
-def test_a_bad_reread_keeps_what_was_in_force(tmp_path):
+def test_an_invalid_reload_keeps_the_current_config(tmp_path):
     path = tmp_path / "boot.conf"
-    path.write_text(GOOD)
-    taken = []
-    watch = ConfigWatch(parse_config(GOOD), {"MARBLEFOLD_NODE_FILE": str(path)})
-    watch.add_listener(taken.append)
+    path.write_text(VALID_FILE)
+    reloaded = []
+    watch = ConfigWatch(parse_config(VALID_FILE), {"MARBLEFOLD_NODE_FILE": str(path)})
+    watch.add_listener(reloaded.append)
     path.write_text("zone=\n")
     watch.reload()
-    assert watch.config.upstream == "quotes" and taken == []
-    path.write_text(GOOD.replace("upstream=quotes", "upstream=orders"))
+    assert watch.config.upstream == "quotes" and reloaded == []
+    path.write_text(VALID_FILE.replace("upstream=quotes", "upstream=orders"))
     watch.reload()
-    assert [config.upstream for config in taken] == ["orders"]
+    assert [config.upstream for config in reloaded] == ["orders"]
     path.unlink()
     watch.reload()
     assert watch.config.upstream == "orders"
 
 
 @pytest.mark.parametrize("change, status", [("", 0), ("zone=\n", 1)])
-def test_the_check_flag_ends_with_one_json_line_and_a_status(tmp_path, change, status):
+def test_the_check_flag_logs_one_json_line_and_sets_the_exit_status(tmp_path, change, status):
     path = tmp_path / "boot.conf"
-    path.write_text(GOOD + change)
-    done = subprocess.run(
+    path.write_text(VALID_FILE + change)
+    result = subprocess.run(
         [sys.executable, "-m", "marblefold", "proxy", "--check_settings"],
         env={**os.environ, "MARBLEFOLD_NODE_FILE": str(path)},
         capture_output=True,
         text=True,
     )
-    event = json.loads(done.stdout)
-    assert done.returncode == status
+    event = json.loads(result.stdout)
+    assert result.returncode == status
     assert status == 0 or "zone" in event["reason"]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Code, OpenAPI file and wire choices name the same things."""
+"""Tests that the code, the OpenAPI file and deploy/wire.toml use the same names."""
 
 import json
 import pathlib
@@ -35,7 +35,7 @@
         super().add(method, path, serve, most_bytes)
 
 
-def test_the_calls_served_are_those_described():
+def test_the_served_calls_match_the_api_description():
     router = RecordingRouter()
     BeatCalls(None, "").add_to(router)
     ControlCalls(None, set, dict).add_to(router)
@@ -48,11 +48,11 @@
     served = router.calls | {wire_names.READINESS_CALL}
     described = set()
     for path, operations in API["paths"].items():
-        bare = "/".join("{}" if part.startswith("{") else part for part in path.split("/"))
-        described |= {(method.upper(), bare) for method in operations if method != "parameters"}
+        template = "/".join("{}" if part.startswith("{") else part for part in path.split("/"))
+        described |= {(method.upper(), template) for method in operations if method != "parameters"}
     assert served == described
-    moved = {tuple(call.split(" ")) for call in WIRE["calls"].values()}
-    assert moved == described - {wire_names.READINESS_CALL, ("GET", wire_names.STATE_PATH)} - {
+    renamed = {tuple(call.split(" ")) for call in WIRE["calls"].values()}
+    assert renamed == described - {wire_names.READINESS_CALL, ("GET", wire_names.STATE_PATH)} - {
         call
         for call in described
         if call[1].split("/")[2]
@@ -70,8 +70,8 @@
     }
 
 
-def test_the_model_of_a_configuration_has_the_fields_described():
-    for kind in (
+def test_the_configuration_model_matches_the_api_description():
+    for model_class in (
         model.Configuration,
         model.Route,
         model.Split,
@@ -81,21 +81,21 @@
         orders.Exports,
         orders.Export,
     ):
-        fields = {field.name.replace("_", "-") for field in kind.__attrs_attrs__}
-        assert fields == set(SCHEMAS[kind.__name__]["properties"]), kind
+        fields = {field.name.replace("_", "-") for field in model_class.__attrs_attrs__}
+        assert fields == set(SCHEMAS[model_class.__name__]["properties"]), model_class
 
 
-def test_the_renamed_fields_are_the_ones_the_code_uses():
+def test_the_code_uses_the_renamed_fields():
     described = {name for schema in SCHEMAS.values() for name in schema.get("properties", ())}
-    spelled = {
+    spelled_out = {
         value
         for name, value in vars(wire_names).items()
         if name.isupper() and isinstance(value, str)
     }
-    # Fields of the config file are checked where that file is read.
-    reading = (ROOT / "marblefold/node_config/reading.py").read_text()
-    # The fields that keep the operators' own names are held to the same.
-    kept = {
+    # The module that parses the config file spells out its fields.
+    parser_source = (ROOT / "marblefold/node_config/reading.py").read_text()
+    # Fields that keep the operators' names must be used as well.
+    unchanged = {
         "config-version",
         "route-list",
         "route-type",
@@ -110,23 +110,25 @@
         "seed-nodes",
         "config-apply-ms",
     }
-    for name in set(WIRE["fields"].values()) | kept:
+    for name in set(WIRE["fields"].values()) | unchanged:
         assert (
-            name in described & spelled or f'"{name}"' in reading or f'"bounds.{name}"' in reading
+            name in described & spelled_out
+            or f'"{name}"' in parser_source
+            or f'"bounds.{name}"' in parser_source
         ), name
 
 
-def test_a_beat_as_described_is_read():
+def test_a_heartbeat_that_matches_the_description_is_parsed():
     properties = SCHEMAS["Beat"]["properties"]
     samples = {"string": "x", "integer": 3, "number": 2.5}
-    beat = {name: samples[field["type"]] for name, field in properties.items()}
-    beat["state"] = "draining"
-    assert read_beat("i-1", json.dumps(beat).encode()).is_draining
+    heartbeat = {name: samples[field["type"]] for name, field in properties.items()}
+    heartbeat["state"] = "draining"
+    assert read_beat("i-1", json.dumps(heartbeat).encode()).is_draining
     for name in SCHEMAS["Beat"]["required"]:
-        lacking = {key: value for key, value in beat.items() if key != name}
+        incomplete = {key: value for key, value in heartbeat.items() if key != name}
         try:
-            read_beat("i-1", json.dumps(lacking).encode())
+            read_beat("i-1", json.dumps(incomplete).encode())
         except ValueError as error:
             assert name in str(error)
         else:
-            raise AssertionError(f"a beat without {name} was taken")
+            raise AssertionError(f"a heartbeat without {name} was accepted")
