--- a/marblefold/configuration/route_table.py
+++ b/marblefold/configuration/route_table.py
@@ -11,7 +11,7 @@
     def __init__(self, rows: ConfigurationRows) -> None:
         self.number = rows.number
         self.limits = rows.limits
-        self.count = len(rows.routes)
+        self.route_count = len(rows.routes)
         self.upstreams: dict[str, Upstream] = {
             upstream.name: upstream for upstream in rows.upstreams
         }
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -137,7 +137,7 @@
     def _take_configuration(self, entry) -> None:
         # Built whole first: a request sees the old configuration or the new one.
         self.table = RouteTable(decode_rows(entry.value))
-        log.info("configuration in force", number=entry.number, routes=self.table.count)
+        log.info("configuration in force", number=entry.number, routes=self.table.route_count)
         if self.on_configuration is not None:
             self.on_configuration(self.table)
 
--- a/tests/test_peer_connections.py
+++ b/tests/test_peer_connections.py
@@ -28,22 +28,22 @@
         loop, server_owner, client_owner = asyncio.get_running_loop(), Owner(), Owner()
         server = await loop.create_server(lambda: PeerConnection(server_owner), "127.0.0.1", 0)
         peer = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-        book = PeerConnectionPool(client_owner, keep_alive_seconds=PEER_KEEP_ALIVE_SECONDS)
-        connection = await book.connect(peer)
+        pool = PeerConnectionPool(client_owner, keep_alive_seconds=PEER_KEEP_ALIVE_SECONDS)
+        connection = await pool.connect(peer)
         peer_socket = connection._transport.get_extra_info("socket")
         assert (
             peer_socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE)
             == PEER_KEEP_ALIVE_SECONDS
         )
         exchange = connection.open_exchange()
-        book.close_idle_connection(peer)
+        pool.close_idle_connection(peer)
         # A suspicion does not interrupt a hop in progress.
-        assert book.find(peer) is connection
+        assert pool.find(peer) is connection
         exchange.close()
-        book.close_idle_connection(peer)
-        assert book.find(peer) is None
-        assert await book.connect(peer) is not connection
-        book.close()
+        pool.close_idle_connection(peer)
+        assert pool.find(peer) is None
+        assert await pool.connect(peer) is not connection
+        pool.close()
         server.close()
 
     asyncio.run(test())
