--- a/marblefold/node_config/watching.py
+++ b/marblefold/node_config/watching.py
@@ -35,7 +35,7 @@
             config = read_config(self._environment)
         except MeshError as error:
             # Keeps the current config: a partially written file must not end the process.
-            log.warning("invalid config file; keeping the current config", reason=error.reason)
+            log.warning("config kept", reason=error.reason)
             return
         if config == self.config:
             return
