--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -5,6 +5,7 @@
 from datetime import timedelta
 
 from marblefold import wire_names
+from marblefold.background_tasks import BackgroundTasks
 from marblefold.configuration.route_table import RouteTable
 from marblefold.gateway.partner_hops import PartnerHops
 from marblefold.gateway.target_hops import TargetHops
@@ -12,7 +13,7 @@
 from marblefold.http_connections.answer import Answer
 from marblefold.http_connections.call_router import Call, CallRouter, json_answer
 from marblefold.http_connections.http_server import HttpServer
-from marblefold.inner_protocol.ports import GATEWAY_FOLLOWS, REGISTRY, inner_address
+from marblefold.inner_protocol.ports import REGISTRIES_PER_GATEWAY, REGISTRY, inner_address
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
 from marblefold.node_config.watching import ConfigWatch
@@ -25,7 +26,6 @@
 from marblefold.request_path.routing_state import RoutingState
 from marblefold.request_path.running_requests import RunningRequests
 from marblefold.request_path.target_selection import TargetSelector
-from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.startup import start_tracing
 
 __all__ = ["GatewayProgram"]
@@ -52,7 +52,7 @@
             config.node_name,
             self._seed_registries,
             self.view,
-            max_followed=GATEWAY_FOLLOWS,
+            max_followed=REGISTRIES_PER_GATEWAY,
             lease_client=LeaseClient(config.node_name, self.view),
         )
         selector = TargetSelector(
@@ -74,7 +74,7 @@
         self._readiness_server = HttpServer(ready.handle)
         self.view.on_configuration = self._on_configuration
         self._stop = asyncio.Event()
-        self._tasks = TaskKeeper()
+        self._tasks = BackgroundTasks()
         # Hops end at targets: there are no peers to pass marks on to.
         self._tracing = start_tracing(
             config, str(config.listen.get("front-http", "")), self.view, self.follower, self._tasks
@@ -87,8 +87,8 @@
         """Serves until a SIGTERM has been obeyed."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
-        self._watch.listen(self._on_config)
+        loop.add_signal_handler(signal.SIGHUP, self._watch.reload)
+        self._watch.add_listener(self._on_config)
         listen = self._config.listen
         await self._readiness_server.start(listen["readiness"])
         await self.outbound.start(listen["front-http"])
--- a/marblefold/planner/command.py
+++ b/marblefold/planner/command.py
@@ -55,7 +55,7 @@
         floors = read_floors(_read_file(FLAGS.floors)) if FLAGS.floors else {}
         traffic = _read_traffic() if FLAGS.traffic else {}
     except InvalidConfiguration as invalid:
-        return _print_errors(invalid.faults, _EXIT_HARMFUL)
+        return _print_errors(invalid.problems, _EXIT_HARMFUL)
     except ExceptionGroup as group:
         return _print_errors([str(error) for error in group.exceptions], _EXIT_HARMFUL)
     except MeshError as error:
--- a/marblefold/planner/proposal.py
+++ b/marblefold/planner/proposal.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from marblefold.configuration.rows import Rows
+from marblefold.configuration.rows import ConfigurationRows
 from marblefold.errors import MeshError
 from marblefold.planner.mesh_state import MeshState
 
@@ -16,7 +16,7 @@
     stores to replace, each as OLD=NEW.
     """
 
-    rows: Rows | None = None
+    rows: ConfigurationRows | None = None
     drains: tuple[str, ...] = ()
     evacuations: tuple[str, ...] = ()
     replacements: tuple[str, ...] = ()
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -6,14 +6,15 @@
 from datetime import timedelta
 
 from marblefold import wire_names
+from marblefold.background_tasks import BackgroundTasks
 from marblefold.configuration.route_table import RouteTable
 from marblefold.http_connections.answer import Answer
 from marblefold.http_connections.call_router import Call, CallRouter, json_answer
 from marblefold.http_connections.http_server import HttpServer
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.messages import unpack_message
-from marblefold.inner_protocol.peer_book import PeerBook
-from marblefold.inner_protocol.peer_connection import PEER_KEEP_ALIVE, PeerConnection
+from marblefold.inner_protocol.peer_connection import PEER_KEEP_ALIVE_SECONDS, PeerConnection
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.inner_protocol.ports import PROXY, REGISTRY, inner_address
 from marblefold.logs import log
 from marblefold.membership.members import Liveness, Member
@@ -34,7 +35,6 @@
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.routing_state import RoutingState
 from marblefold.request_path.target_selection import TargetSelector
-from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.startup import start_tracing
 
 __all__ = ["ProxyProgram"]
@@ -52,7 +52,7 @@
         self._watch = watch
         self._config = config
         self.is_leaving = False
-        self._tasks = TaskKeeper()
+        self._tasks = BackgroundTasks()
         self.view = MeshView(config.node_name)
         self.target = LocalTarget(self._on_target_change)
         self.guard = Guard(self.target, self.view, config.bounds, config.limits.link_mbps * 125_000)
@@ -67,7 +67,7 @@
         self._membership = NodeMembership(watch, "proxy", PROXY, self._on_member)
         selector = TargetSelector(self.view, config.zone)
         self.routing_state = RoutingState(self.view, selector, config.bounds, config.limits)
-        self._peers = PeerBook(self, keep_alive=PEER_KEEP_ALIVE)
+        self._peers = PeerConnectionPool(self, keep_alive_seconds=PEER_KEEP_ALIVE_SECONDS)
         self._hops = HopSender(
             self._peers,
             lambda peer: selector.note_unresponsive(peer, time.monotonic()),
@@ -110,15 +110,18 @@
         """Serves until the shutdown after SIGTERM is complete."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
-        self._watch.listen(self._on_config)
+        loop.add_signal_handler(signal.SIGHUP, self._watch.reload)
+        self._watch.add_listener(self._on_config)
         self._apply_address(self._config)
         self.guard.cold.begin(time.monotonic())
         listen = self._config.listen
         inner = inner_address(self._config.host, self._config, PROXY)
         host, _sign, port = inner.rpartition(":")
         await loop.create_server(
-            lambda: PeerConnection(self, keep_alive=PEER_KEEP_ALIVE), host, int(port), backlog=512
+            lambda: PeerConnection(self, keep_alive_seconds=PEER_KEEP_ALIVE_SECONDS),
+            host,
+            int(port),
+            backlog=512,
         )
         await self._control.start(listen["control-plane"])
         await self._readiness_server.start(listen["readiness"])
@@ -177,7 +180,7 @@
     def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
         """Peers make no calls."""
 
-    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
+    def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
         """Handles the request of a peer to keep a trace."""
         if self._tracing is not None:
             self._tracing.handle_message(unpack_message(payload))
@@ -200,7 +203,7 @@
             self.view.suspects.discard(member.node)
         else:
             self.view.suspects.add(member.node)
-            self._peers.drop_idle(member.address)
+            self._peers.close_idle_connection(member.address)
 
     def _on_target_change(self) -> None:
         self.follower.send_target_report()
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -10,8 +10,8 @@
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
-from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PeerConnection
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.logs import log
 from marblefold.proxy.deferred_entry_fetcher import DeferredEntryFetcher
 from marblefold.proxy.lease_client import LeaseClient
@@ -62,7 +62,7 @@
         self._lease_client = lease_client
         # The number of registries to follow at once; None follows all of them.
         self._max_followed = max_followed
-        self._peers = PeerBook(self)
+        self._peers = PeerConnectionPool(self)
         self._entry_fetcher = DeferredEntryFetcher(view.is_newer, self.send_to)
         self._startup_hold = StartupEntryHold()
         self._places: dict[str, tuple[int, int]] = {}
@@ -93,7 +93,7 @@
         """Sends a message to one registry; returns whether it is connected."""
         connection = self._peers.find(peer)
         if connection is not None:
-            connection.send(FrameKind.TELL, 0, pack_message(message))
+            connection.send(FrameKind.NOTIFICATION, 0, pack_message(message))
         return connection is not None
 
     async def run(self) -> None:
@@ -139,27 +139,27 @@
         selected = ranked[: self._max_followed]
         for peer in list(self._following):
             if peer not in selected:
-                self._peers.drop(peer)
+                self._peers.close_connection(peer)
         return selected
 
     async def _follow(self, peer: str) -> None:
         try:
-            connection = await self._peers.reach(peer)
+            connection = await self._peers.connect(peer)
         except MeshError:
             self._avoided_until[peer] = time.monotonic() + _AVOID_SECONDS
             return
         self._following.add(peer)
         self._heard_at[peer] = self._majority_seen_at[peer] = time.monotonic()
         if self._make_report is not None:
-            connection.send(FrameKind.TELL, 0, pack_message(self._make_report()))
+            connection.send(FrameKind.NOTIFICATION, 0, pack_message(self._make_report()))
         generation, place = self._places.get(peer, (0, 0))
         connection.send(
-            FrameKind.TELL,
+            FrameKind.NOTIFICATION,
             0,
             pack_message(kinds.Follow(node=self._node, registry_life=generation, place=place)),
         )
 
-    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
+    def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
         """Applies a message of a registry: a part of its feed, an entry or a lease grant.
 
         Raises ValueError, zlib.error or DecodeError if it is malformed.
@@ -182,7 +182,7 @@
         )
         if not is_contiguous:
             self._places.pop(connection.peer, None)
-            connection.send(FrameKind.TELL, 0, pack_message(kinds.Follow(node=self._node)))
+            connection.send(FrameKind.NOTIFICATION, 0, pack_message(kinds.Follow(node=self._node)))
             return
         self._places[connection.peer] = (feed.registry_life, feed.place)
         if feed.in_touch:
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -6,7 +6,7 @@
 from marblefold.errors import DiskError, MeshError
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
-from marblefold.inner_protocol.peer_book import PeerBook
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.ballots import AcceptedState, pack_accepted_state
 from marblefold.register_store.peer_call_kinds import CallKind
@@ -52,7 +52,7 @@
     def __init__(
         self,
         acceptor: Acceptor,
-        peers: PeerBook,
+        peers: PeerConnectionPool,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
         self.last_contact: dict[str, float] = {}
@@ -80,7 +80,9 @@
         """Sends a chosen state to a connected peer; anti-entropy covers all others."""
         connection = self._peers.find(peer)
         if connection is not None:
-            connection.send(FrameKind.TELL, 0, pack_message(pack_accepted_state(register, state)))
+            connection.send(
+                FrameKind.NOTIFICATION, 0, pack_message(pack_accepted_state(register, state))
+            )
 
     async def call(self, peer: str, call: kinds.StoreCall) -> kinds.StoreAnswer:
         """Returns the peer's answer; raises MeshError if there is none in time."""
@@ -92,7 +94,7 @@
             return answer
         call.sender = local.address
         call.sender_life = local.generation
-        connection = await self._peers.reach(peer)
+        connection = await self._peers.connect(peer)
         reply: kinds.StoreAnswer = unpack_message(
             await connection.call(pack_message(call), _CALL_TIMEOUT_SECONDS)
         )
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -10,8 +10,8 @@
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
-from marblefold.inner_protocol.peer_book import PeerBook
 from marblefold.inner_protocol.peer_connection import PeerConnection
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.inner_protocol.ports import STORE, inner_address
 from marblefold.logs import log
 from marblefold.node_config.watching import ConfigWatch
@@ -49,7 +49,7 @@
         self._acceptor = open_acceptor(
             self._address, config.data_directory, seeds, config.is_first_start
         )
-        self._peers = StorePeers(self._acceptor, PeerBook(self))
+        self._peers = StorePeers(self._acceptor, PeerConnectionPool(self))
         self._proposer = Proposer(
             self._peers, f"{self._address}/{self._acceptor.generation}/{os.urandom(4).hex()}"
         )
@@ -64,7 +64,7 @@
         """Serves until SIGTERM is received."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
+        loop.add_signal_handler(signal.SIGHUP, self._watch.reload)
         host, _separator, port = self._address.rpartition(":")
         await loop.create_server(lambda: PeerConnection(self), host, int(port), backlog=128)
         log.info(
@@ -95,7 +95,7 @@
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
+    def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
         """Takes in a newly chosen record that another store sent."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Accepted):
@@ -142,7 +142,7 @@
         view = self._acceptor.view
         if view is not None:
             connection.send(
-                FrameKind.TELL,
+                FrameKind.NOTIFICATION,
                 0,
                 pack_message(
                     kinds.Accepted(register=VIEW_REGISTER, number=view.number, value=view.pack())
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -9,15 +9,16 @@
 from datetime import timedelta
 from typing import Any
 
-from marblefold.configuration.laying_out import lay_out
+from marblefold.background_tasks import BackgroundTasks
 from marblefold.configuration.reading import read_configuration
+from marblefold.configuration.row_encoding import encode_rows
 from marblefold.history.recorder import HistoryRecorder
 from marblefold.http_connections.http_server import HttpServer
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
 from marblefold.inner_protocol.peer_connection import PeerConnection
-from marblefold.inner_protocol.ports import GATEWAY_FOLLOWS, REGISTRY, STORE, inner_address
+from marblefold.inner_protocol.ports import REGISTRIES_PER_GATEWAY, REGISTRY, STORE, inner_address
 from marblefold.logs import log
 from marblefold.maintenance.calls import MaintenanceCalls
 from marblefold.maintenance.coordinator import MAINTENANCE_REGISTER, MaintenanceCoordinator
@@ -41,7 +42,6 @@
 from marblefold.registry.store_client import ChosenRecord, StoreClient
 from marblefold.registry.traffic_rates import TrafficRates
 from marblefold.rehearsal.calls import RehearsalCalls
-from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.calls import TraceCalls
 from marblefold.tracing.collector import Collector
 
@@ -115,14 +115,14 @@
         """Serves until SIGTERM; SIGHUP rereads the node configuration."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop_requested.set)
-        loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
+        loop.add_signal_handler(signal.SIGHUP, self._watch.reload)
         inner = inner_address(self._config.host, self._config, REGISTRY)
         host, _separator, port = inner.rpartition(":")
         await loop.create_server(lambda: PeerConnection(self), host, int(port), backlog=512)
         await self._membership.start()
         await self._control_server.start(self._config.listen["control-plane"])
         log.info("serving", node=self._config.node_name, inner=inner)
-        tasks = TaskKeeper()
+        tasks = BackgroundTasks()
         for coroutine in (
             self._watch.run(),
             self.store_client.run(),
@@ -170,7 +170,7 @@
         )
         return [follower.run(), list_sync.run()]
 
-    def on_tell(self, connection: PeerConnection, payload: bytes) -> None:
+    def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
         """Handles a one-way message of a node: a notice, a subscription or a lease request."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Follow):
@@ -185,7 +185,9 @@
             self.feed.send_entry(connection, message)
         elif isinstance(message, kinds.RenewLease):
             connection.send(
-                FrameKind.TELL, 0, pack_message(self._site_coordinator.granter.grant(message))
+                FrameKind.NOTIFICATION,
+                0,
+                pack_message(self._site_coordinator.granter.grant(message)),
             )
 
     def on_lost(self, connection: PeerConnection) -> None:
@@ -222,7 +224,7 @@
                     kind="configuration",
                     key="configuration",
                     number=record.number,
-                    value=lay_out(read_configuration(record.value)),
+                    value=encode_rows(read_configuration(record.value)),
                 )
             )
         elif record.register.startswith("evacuation/"):
@@ -294,11 +296,11 @@
     def _count_proxies(self) -> int:
         if self._config.cloud is None:
             return len(self.catalogue.entries("target"))
-        # Each gateway follows GATEWAY_FOLLOWS registries at most, and every other registry
+        # Each gateway follows REGISTRIES_PER_GATEWAY registries at most, and every other registry
         # follows this one.
         registries = max(1, len(self._registries))
         gateways = max(0, self.feed.follower_count - (registries - 1))
-        return max(1, math.ceil(gateways * registries / min(registries, GATEWAY_FOLLOWS)))
+        return max(1, math.ceil(gateways * registries / min(registries, REGISTRIES_PER_GATEWAY)))
 
     def _seed_stores(self) -> list[str]:
         config = self._watch.config
--- a/marblefold/rehearsal/snapshot.py
+++ b/marblefold/rehearsal/snapshot.py
@@ -161,7 +161,7 @@
             *read_state(json.dumps(state).encode()),
         )
     except InvalidConfiguration as invalid:
-        for error in invalid.faults:
+        for error in invalid.problems:
             fields.add_error("configuration", str(error))
     except MeshError as error:
         fields.errors.append(error)
--- a/marblefold/request_path/body_receiver.py
+++ b/marblefold/request_path/body_receiver.py
@@ -60,14 +60,14 @@
         )
         seconds = min(seconds, max(min_timeout, usual_seconds))
         if not 0 <= head.body_length <= _MAX_BUFFERED_BYTES:
-            exchange.grant(self._window)
+            exchange.grant_credit(self._window)
             return ""
         self.waiting += 1
         has_permit = False
         try:
             async with asyncio.timeout(seconds):
                 has_permit = await self._acquire_permit()
-                exchange.grant(self._window)
+                exchange.grant_credit(self._window)
                 chunks = [head.body]
                 while chunk := await exchange.incoming.read():
                     chunks.append(chunk)
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -8,12 +8,12 @@
 import time
 
 from marblefold import wire_names
+from marblefold.event_loop_monitor import EventLoopMonitor
 from marblefold.http_connections.target_connections import CONNECT_STEP, TargetConnections
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
 from marblefold.logs import log
-from marblefold.loop_watch import LoopWatch
 from marblefold.node_config.model import Address, Bounds
 from marblefold.request_path.body_receiver import BodyReceiver
 from marblefold.request_path.cold_start import COLD_STEP, ColdStartLimiter
@@ -65,7 +65,7 @@
         self._caller: TargetCaller | None = None
         self._tasks: set[asyncio.Task] = set()
         self._offered_hops = OfferedHops()
-        self._loop_watch = LoopWatch(_CHECK_INTERVAL_SECONDS)
+        self._loop_watch = EventLoopMonitor(_CHECK_INTERVAL_SECONDS)
         self._unreachable_until = 0.0
         self._shutdown_rule = ShutdownRule(bounds)
         # Records every hop if tracing is enabled on this node.
@@ -133,7 +133,7 @@
         span = tracer.begin_serve(head) if tracer is not None and head.trace_id else None
         answer = None
         try:
-            await self._loop_watch.settle()
+            await self._loop_watch.catch_up()
             answer = await self._admit_and_offer(exchange, head, arrived_at, span)
             answer.running = self.slots.running
             answer.waiting = self.slots.waiting + self._body_receiver.waiting
@@ -152,7 +152,9 @@
         finally:
             exchange.close()
             if tracer is not None and span is not None:
-                tracer.finish_serve(span, answer, exchange.incoming.taken or len(head.body))
+                tracer.finish_serve(
+                    span, answer, exchange.incoming.received_bytes or len(head.body)
+                )
 
     async def _admit_and_offer(self, exchange: Exchange, head, arrived_at: float, span):
         refusal = self._find_refusal(head)
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -14,7 +14,7 @@
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
-from marblefold.inner_protocol.peer_book import PeerBook
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.request_path.outcome import HopOutcome, HopResult, TargetLoad
 
 __all__ = ["HopSender", "HopTransport", "make_result"]
@@ -52,7 +52,7 @@
 
     def __init__(
         self,
-        peers: PeerBook,
+        peers: PeerConnectionPool,
         on_unresponsive: Callable[[str], None],
         link_bytes_per_second: float = 1e9,
     ) -> None:
@@ -72,9 +72,9 @@
             await asyncio.sleep(_CHECK_INTERVAL_SECONDS)
             now = time.monotonic()
             for connection in self._peers.connections():
-                if connection.is_silent(now, _PING_AFTER_SECONDS, self._pong_timeout_seconds):
+                if connection.is_unresponsive(now, _PING_AFTER_SECONDS, self._pong_timeout_seconds):
                     self._on_unresponsive(connection.peer)
-                    connection.break_off_repeatable(
+                    connection.fail_repeatable(
                         MeshError("silent", "no sign of life", connection.peer)
                     )
 
@@ -96,7 +96,7 @@
         """
         started = time.monotonic()
         try:
-            connection = await self._peers.reach(peer)
+            connection = await self._peers.connect(peer)
             exchange = connection.open_exchange()
         except MeshError as error:
             # There is no connection, so it is certain that nothing was sent.
@@ -123,7 +123,7 @@
             answer_head = kinds.AnswerHead.FromString(payload)
             has_answer = True
             is_complete = not answer_head.body_follows
-            return make_result(answer_head, exchange.incoming, exchange.abandon, request.method)
+            return make_result(answer_head, exchange.incoming, exchange.cancel, request.method)
         except TimeoutError:
             return HopResult(HopOutcome.UNKNOWN, step="deadline")
         except MeshError as error:
@@ -140,7 +140,7 @@
             elif not has_answer:
                 # Cancels the hop at a guard that is still processing it; an unresponsive
                 # guard that resumes reads this right after the hop and does not start it.
-                exchange.abandon()
+                exchange.cancel()
 
 
 def _deduct_elapsed(head, elapsed_seconds: float) -> None:
@@ -159,7 +159,7 @@
     except (ConnectionError, BodyTooLarge) as error:
         # The target must not take a partial body for a complete one.
         exchange.send(FrameKind.CANCEL)
-        exchange.break_off(MeshError("body", str(error) or "too large"))
+        exchange.fail(MeshError("body", str(error) or "too large"))
         raise
     except MeshError:
         return
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 from marblefold.configuration.route_table import RouteTable
-from marblefold.configuration.rows import Route, read_rows
+from marblefold.configuration.rows import Route, decode_rows
 from marblefold.inner_protocol.messages import kinds
 from marblefold.leases.held_leases import HeldLeases
 from marblefold.logs import log
@@ -141,8 +141,8 @@
 
     def _apply_configuration(self, entry) -> None:
         # Assigned only when complete: a request sees the old or the new one.
-        self.table = RouteTable(read_rows(entry.value))
-        log.info("configuration in force", number=entry.number, routes=self.table.count)
+        self.table = RouteTable(decode_rows(entry.value))
+        log.info("configuration in force", number=entry.number, routes=self.table.route_count)
         if self.on_configuration is not None:
             self.on_configuration(self.table)
 
--- a/marblefold/tracing/node_tracing.py
+++ b/marblefold/tracing/node_tracing.py
@@ -3,15 +3,15 @@
 import asyncio
 from datetime import timedelta
 
+from marblefold.background_tasks import BackgroundTasks
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message
-from marblefold.inner_protocol.peer_book import PeerBook
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.node_config.reading import NodeConfig
 from marblefold.program_flags import TraceOptions
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.exporter import Exporter, ExporterConfig
 from marblefold.tracing.recorder import Recorder, RecorderConfig
 from marblefold.tracing.tracer import Tracer, TraceSettings
@@ -34,8 +34,8 @@
         address: str,
         view: MeshView,
         follower: RegistryFollower,
-        tasks: TaskKeeper,
-        peers: PeerBook | None = None,
+        tasks: BackgroundTasks,
+        peers: PeerConnectionPool | None = None,
     ) -> None:
         self._peers = peers
         self._tasks = tasks
@@ -83,14 +83,14 @@
             if peer != self._address:
                 self._tasks.start(self._send_mark(self._peers, peer, trace_id))
 
-    async def _send_mark(self, peers: PeerBook, peer: str, trace_id: bytes) -> None:
+    async def _send_mark(self, peers: PeerConnectionPool, peer: str, trace_id: bytes) -> None:
         payload = pack_message(kinds.TraceMark(trace_id=trace_id))
         for _ in range(_MARK_ATTEMPTS):
             try:
-                connection = await peers.reach(peer)
+                connection = await peers.connect(peer)
             except MeshError:
                 # If the peer is down, its spans are shown as missing.
                 await asyncio.sleep(_MARK_RETRY_DELAY.total_seconds())
                 continue
-            connection.send(FrameKind.TELL, 0, payload)
+            connection.send(FrameKind.NOTIFICATION, 0, payload)
             return
--- a/marblefold/tracing/startup.py
+++ b/marblefold/tracing/startup.py
@@ -1,11 +1,11 @@
 """Sets up tracing in a program if its flags enable it."""
 
-from marblefold.inner_protocol.peer_book import PeerBook
+from marblefold.background_tasks import BackgroundTasks
+from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.node_config.model import NodeConfig
 from marblefold.program_flags import read_trace_options
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.task_keeper import TaskKeeper
 
 __all__ = ["start_tracing"]
 
@@ -15,8 +15,8 @@
     address: str,
     view: MeshView,
     follower: RegistryFollower,
-    tasks: TaskKeeper,
-    peers: PeerBook | None = None,
+    tasks: BackgroundTasks,
+    peers: PeerConnectionPool | None = None,
 ):
     """Returns the NodeTracing, or None without --trace, which imports no other tracing module."""
     options = read_trace_options()
--- a/tests/simulated_core.py
+++ b/tests/simulated_core.py
@@ -105,7 +105,7 @@
             else None
         )
 
-    async def reach(self, peer):
+    async def connect(self, peer):
         target = self.machine.core.machines.get(peer)
         if target is None or not target.is_up:
             await asyncio.sleep(0.01)
--- a/tests/test_given_up_in_time.py
+++ b/tests/test_given_up_in_time.py
@@ -5,6 +5,7 @@
 import pytest
 
 from marblefold.errors import MeshError
+from marblefold.event_loop_monitor import EventLoopMonitor
 from marblefold.http_connections.answer import own_answer
 from marblefold.http_connections.client_connection import ClientConnection
 from marblefold.http_connections.http_server import HttpServer
@@ -13,7 +14,6 @@
 from marblefold.inner_protocol.frames import FrameKind, FrameReader, pack_frame
 from marblefold.inner_protocol.messages import kinds
 from marblefold.inner_protocol.peer_connection import PeerConnection
-from marblefold.loop_watch import LoopWatch
 from marblefold.node_config.model import Address
 from marblefold.node_config.reading import parse_config
 from marblefold.request_path.executor import _buffer_body
@@ -70,7 +70,7 @@
 
 
 def test_the_loop_watch_distinguishes_a_suspension_from_an_idle_loop():
-    watch = LoopWatch(0.5)
+    watch = EventLoopMonitor(0.5)
     assert not watch.is_catching_up(1e9)
     watch.tick(10.0)
     assert not watch.is_catching_up(11.0) and watch.is_catching_up(11.1)
--- a/tests/test_guard_parts.py
+++ b/tests/test_guard_parts.py
@@ -159,7 +159,7 @@
     def __init__(self, body):
         self.incoming, self.granted, self.body = BodyPipe(), 0, body
 
-    def grant(self, size):
+    def grant_credit(self, size):
         self.granted += size
 
     def send_all(self):
@@ -195,7 +195,7 @@
         for grant in [0, *grants]:
             granted += grant
             if grant:
-                exchange.take_credit(grant)
+                exchange.add_credit(grant)
             for _step in range(6):
                 await asyncio.sleep(0)
             sent = b"".join(payload for _kind, payload in connection.sent)
@@ -244,7 +244,7 @@
         # A slow link has two permits, so the third body gets no credit yet.
         assert [exchange.granted > 0 for exchange in exchanges] == [True, True, False]
         exchanges[0].send_all()
-        exchanges[1].incoming.break_off(MeshError("body", "left"))
+        exchanges[1].incoming.fail(MeshError("body", "left"))
         assert await tasks[0] == "" and heads[0].body == b"photo" and not heads[0].body_follows
         assert await tasks[1] == "body" and heads[1].body_follows
         exchanges[2].body = b"pho"
