--- a/marblefold/gateway/target_pool.py
+++ b/marblefold/gateway/target_pool.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from datetime import timedelta
 
-from marblefold.http_connections.target_connections import TargetConnections
+from marblefold.http_connections.target_connection_pool import TargetConnectionPool
 from marblefold.node_config.reading import Address
 from marblefold.request_path.target_caller import TargetCaller
 
@@ -22,7 +22,7 @@
         self._descriptors = max(4, descriptors)
         self._most_idle = min(_MOST_IDLE, self._descriptors // 2)
         self._addresses = addresses
-        self._connections: dict[str, TargetConnections] = {}
+        self._connections: dict[str, TargetConnectionPool] = {}
         self._callers: dict[str, TargetCaller] = {}
 
     @property
@@ -37,7 +37,7 @@
         """
         connections = self._connections.get(address)
         if connections is None:
-            connections = self._connections[address] = TargetConnections(Address.parse(address))
+            connections = self._connections[address] = TargetConnectionPool(Address.parse(address))
             self._callers[address] = TargetCaller(connections)
         if not connections.idle_count and self.open_connections >= self._descriptors:
             # An idle connection elsewhere is worth less than a request now.
@@ -75,5 +75,5 @@
         ]
         if not keepers:
             return False
-        min(keepers, key=lambda connections: connections.oldest_rest).close_oldest()
+        min(keepers, key=lambda connections: connections.oldest_idle_since).close_oldest()
         return True
--- a/marblefold/http_connections/client_connection.py
+++ b/marblefold/http_connections/client_connection.py
@@ -18,8 +18,8 @@
 
 from marblefold.errors import MeshError
 from marblefold.http_connections.answer import Answer, own_answer, pack_head
-from marblefold.http_connections.answer_place import AnswerPlace
 from marblefold.http_connections.client_request import ClientRequest
+from marblefold.http_connections.pipeline_slot import PipelineSlot
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.logs import log
 
@@ -62,7 +62,7 @@
             max_line_size=keeper.header_bytes,
             max_field_size=keeper.header_bytes,
         )
-        self._places: deque[AnswerPlace] = deque()
+        self._places: deque[PipelineSlot] = deque()
         self._is_closing = False
         self._writing: asyncio.Task | None = None
         self._payload: StreamReader | None = None
@@ -108,7 +108,9 @@
                 self._refuse_bytes(LineTooLong("head", self._keeper.header_bytes))
                 return
             self._places.append(
-                AnswerPlace(ClientRequest(message, payload, self.quiet_since, self._write_continue))
+                PipelineSlot(
+                    ClientRequest(message, payload, self.quiet_since, self._write_continue)
+                )
             )
         if messages:
             self.head_since = None
@@ -148,7 +150,7 @@
         self._append_answer(own_answer(status, "the request cannot be read", closes=True))
 
     def _append_answer(self, answer: Answer) -> None:
-        place = AnswerPlace(None)
+        place = PipelineSlot(None)
         place.answer = answer
         self._places.append(place)
         self._flush()
@@ -173,7 +175,7 @@
             if not is_repeatable or together >= _MOST_TOGETHER:
                 break
 
-    async def _serve(self, place: AnswerPlace, request: ClientRequest) -> None:
+    async def _serve(self, place: PipelineSlot, request: ClientRequest) -> None:
         try:
             answer = await self._keeper.handle(request)
         except ConnectionError:
@@ -207,7 +209,7 @@
         if not self._is_closing:
             self._start_places()
 
-    def _closes(self, place: AnswerPlace, answer: Answer) -> bool:
+    def _closes(self, place: PipelineSlot, answer: Answer) -> bool:
         request = place.request
         if request is None or answer.closes or request.closes:
             return True
@@ -225,7 +227,7 @@
             self._places.clear()
             self._close()
 
-    async def _write_in_parts(self, place: AnswerPlace, answer: Answer, pipe: BodyPipe) -> None:
+    async def _write_in_parts(self, place: PipelineSlot, answer: Answer, pipe: BodyPipe) -> None:
         request = place.request
         is_chunked = request is None or not request.is_old_version
         closes = self._closes(place, answer) or not is_chunked
--- a/marblefold/http_connections/answer_place.py
+++ b/marblefold/http_connections/pipeline_slot.py
@@ -5,10 +5,10 @@
 from marblefold.http_connections.answer import Answer
 from marblefold.http_connections.client_request import ClientRequest
 
-__all__ = ["AnswerPlace"]
+__all__ = ["PipelineSlot"]
 
 
-class AnswerPlace:
+class PipelineSlot:
     """Holds a request, the task that serves it, and its answer until it is written."""
 
     __slots__ = ("request", "task", "answer", "_is_dropped")
--- a/marblefold/http_connections/target_connection.py
+++ b/marblefold/http_connections/target_connection.py
@@ -75,10 +75,10 @@
         self.state = ConnectionState.IDLE
         self.usable_until = time.monotonic() + 1.0
         # Since when it has been idle (monotonic seconds).
-        self.rested_since = time.monotonic()
+        self.idle_since = time.monotonic()
         # For how many seconds it was idle before the current request.
-        self.rest_before = 0.0
-        self.has_answered = False
+        self.idle_seconds_before = 0.0
+        self.has_received_bytes = False
         # Whether it carried a request before the current one.
         self._is_reused = False
         # Whether the current answer ends with the connection.
@@ -105,8 +105,8 @@
         if self.transport is None:
             raise ConnectionLostUnused(CONNECT_STEP, "closed before it was used")
         self.change_state(ConnectionState.BUSY)
-        self.rest_before = time.monotonic() - self.rested_since
-        self.has_answered = False
+        self.idle_seconds_before = time.monotonic() - self.idle_since
+        self.has_received_bytes = False
         self._attempt_id = attempt_id
         self._waiter = self._loop.create_future()
         self.transport.write(head)
@@ -133,8 +133,8 @@
         self._waiter = None
         self._payload = None
         self._is_reused = True
-        self.rested_since = time.monotonic()
-        may_be_kept = self.state is ConnectionState.BUSY and self.rested_since < self.usable_until
+        self.idle_since = time.monotonic()
+        may_be_kept = self.state is ConnectionState.BUSY and self.idle_since < self.usable_until
         if may_be_kept and is_between_answers(self._parser):
             self.change_state(ConnectionState.IDLE)
             return True
@@ -149,7 +149,7 @@
 
     def data_received(self, data: bytes) -> None:
         self._on_heard()
-        self.has_answered = True
+        self.has_received_bytes = True
         if self._waiter is None and data:
             # No request is in progress: not even a partial answer may stay in the
             # parser for the next one.
--- a/marblefold/http_connections/target_connections.py
+++ b/marblefold/http_connections/target_connection_pool.py
@@ -11,7 +11,7 @@
 )
 from marblefold.node_config.reading import Address
 
-__all__ = ["CONNECT_STEP", "TargetConnections"]
+__all__ = ["CONNECT_STEP", "TargetConnectionPool"]
 
 # A target that dropped an idle connection is assumed to drop the next ones after half
 # of that idle time; this is forgotten after a while, since such faults pass.
@@ -20,7 +20,7 @@
 _FADE_SECONDS = 20.0
 
 
-class TargetConnections:
+class TargetConnectionPool:
     """Hands out idle connections, newest first, and opens new ones as needed."""
 
     def __init__(self, address: Address, connect_seconds: float = 0.25) -> None:
@@ -44,30 +44,30 @@
         return len(self._kept) + self._used
 
     @property
-    def oldest_rest(self) -> float:
+    def oldest_idle_since(self) -> float:
         """Since when the longest idle connection is idle, in monotonic seconds.
 
         Raises IndexError if none is idle.
         """
-        return self._kept[0].rested_since
+        return self._kept[0].idle_since
 
-    async def take(self, longest_rest: float | None = None) -> TargetConnection:
-        """A connection ready for a request, idle for at most `longest_rest` seconds.
+    async def acquire(self, max_idle_seconds: float | None = None) -> TargetConnection:
+        """A connection ready for a request, idle for at most `max_idle_seconds` seconds.
 
         Raises MeshError if none can be opened; nothing was sent then.
         """
         now = time.monotonic()
         longest = self._safe_rest(now)
-        if longest_rest is not None:
-            longest = min(longest, longest_rest)
+        if max_idle_seconds is not None:
+            longest = min(longest, max_idle_seconds)
         # The newest is the last: if it was idle too long, so were all.
-        if self._kept and now - self._kept[-1].rested_since <= longest:
+        if self._kept and now - self._kept[-1].idle_since <= longest:
             connection = self._kept.pop()
             if connection.state is ConnectionState.IDLE and now < connection.usable_until:
                 self._used += 1
                 return connection
             connection.close()
-            return await self.take(longest_rest)
+            return await self.acquire(max_idle_seconds)
         return await self._open_used()
 
     async def is_reachable(self) -> bool:
@@ -79,13 +79,13 @@
         self._kept.append(connection)
         return True
 
-    def give_back(self, connection: TargetConnection) -> None:
+    def release(self, connection: TargetConnection) -> None:
         """Keeps the connection if its answer was read whole and it may be kept."""
         self._used -= 1
         if connection.finish():
             self._kept.append(connection)
 
-    def put_back(self, connection: TargetConnection) -> None:
+    def release_unused(self, connection: TargetConnection) -> None:
         """Keeps a connection that was taken and not written to."""
         self._used -= 1
         if connection.state is ConnectionState.IDLE:
@@ -95,9 +95,9 @@
         """Closes a connection that was in use."""
         self._used -= 1
         # Closed by the target after an idle time, without a byte: it was dropped.
-        if connection.state is ConnectionState.CLOSED and not connection.has_answered:
-            if connection.rest_before > _LEAST_REST:
-                self._forgets_after = max(_LEAST_REST, connection.rest_before * _REST_SHARE)
+        if connection.state is ConnectionState.CLOSED and not connection.has_received_bytes:
+            if connection.idle_seconds_before > _LEAST_REST:
+                self._forgets_after = max(_LEAST_REST, connection.idle_seconds_before * _REST_SHARE)
                 self._forgot_at = time.monotonic()
         connection.close()
 
@@ -108,7 +108,7 @@
         longest = self._safe_rest(now)
         for connection in kept:
             is_good = connection.state is ConnectionState.IDLE and now < connection.usable_until
-            if is_good and now - connection.rested_since <= longest:
+            if is_good and now - connection.idle_since <= longest:
                 self._kept.append(connection)
             else:
                 connection.close()
--- a/marblefold/proxy/health_probe.py
+++ b/marblefold/proxy/health_probe.py
@@ -9,7 +9,7 @@
 from marblefold import wire_names
 from marblefold.errors import MeshError
 from marblefold.http_connections.heads import find_header
-from marblefold.http_connections.target_connections import TargetConnections
+from marblefold.http_connections.target_connection_pool import TargetConnectionPool
 from marblefold.node_config.reading import Address
 
 __all__ = ["Health", "ask_health", "read_cold"]
@@ -27,11 +27,11 @@
 
 async def ask_health(address: Address, path: str) -> Health | None:
     """The target's health, or None if it is unhealthy or gives no answer in time."""
-    connections = TargetConnections(address)
+    connections = TargetConnectionPool(address)
     connection = None
     try:
         async with asyncio.timeout(_PROBE_SECONDS):
-            connection = await connections.take()
+            connection = await connections.acquire()
             head = f"GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n"
             await connection.begin(head.encode(), None)
             answer = await connection.answer()
--- a/marblefold/registry/platform_list.py
+++ b/marblefold/registry/platform_list.py
@@ -14,7 +14,7 @@
 
 from marblefold import wire_names
 from marblefold.errors import MeshError
-from marblefold.http_connections.target_connections import TargetConnections
+from marblefold.http_connections.target_connection_pool import TargetConnectionPool
 from marblefold.node_config.reading import Address
 
 __all__ = ["ListedTarget", "PlatformList", "read_page"]
@@ -42,7 +42,7 @@
 
     def __init__(self, address: Address, rate_per_second: float) -> None:
         self._address = address
-        self._connections = TargetConnections(address)
+        self._connections = TargetConnectionPool(address)
         self._pause = 1.0 / max(0.1, rate_per_second * _RATE_SHARE)
 
     async def read(self) -> dict[str, ListedTarget]:
@@ -65,12 +65,12 @@
         connection = None
         try:
             async with asyncio.timeout(_CALL_SECONDS):
-                connection = await self._connections.take()
+                connection = await self._connections.acquire()
                 head = f"GET {path} HTTP/1.1\r\nHost: {peer}\r\n\r\n"
                 await connection.begin(head.encode(), None)
                 answer = await connection.answer()
                 body = await answer.payload.read()
-            self._connections.give_back(connection)
+            self._connections.release(connection)
             connection = None
         except (TimeoutError, ConnectionError, HttpProcessingError) as error:
             raise MeshError("list", str(error) or "no answer", peer) from error
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -8,7 +8,7 @@
 import time
 
 from marblefold import wire_names
-from marblefold.http_connections.target_connections import CONNECT_STEP, TargetConnections
+from marblefold.http_connections.target_connection_pool import CONNECT_STEP, TargetConnectionPool
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
@@ -61,7 +61,7 @@
         self._view = view
         self._bounds = bounds
         self._intake = Intake(link_bytes_per_second)
-        self._connections: TargetConnections | None = None
+        self._connections: TargetConnectionPool | None = None
         self._caller: TargetCaller | None = None
         self._tasks: set[asyncio.Task] = set()
         self._offered = OfferedHops()
@@ -84,7 +84,7 @@
         """Sets the address of the target and closes its idle connections."""
         if self._connections is not None:
             self._connections.close()
-        self._connections = TargetConnections(address)
+        self._connections = TargetConnectionPool(address)
         self._caller = TargetCaller(self._connections, self.cold.note_written)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
--- a/marblefold/request_path/target_caller.py
+++ b/marblefold/request_path/target_caller.py
@@ -12,7 +12,7 @@
 from marblefold.http_connections.heads import ANSWER_ONLY_HERE, find_header, make_header_block
 from marblefold.http_connections.target_answer import TargetAnswer
 from marblefold.http_connections.target_connection import ConnectionLostUnused, TargetConnection
-from marblefold.http_connections.target_connections import TargetConnections
+from marblefold.http_connections.target_connection_pool import TargetConnectionPool
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
 from marblefold.request_path.outcome import HopOutcome
@@ -51,7 +51,7 @@
     """Talks HTTP to the target beside this proxy."""
 
     def __init__(
-        self, connections: TargetConnections, on_write: Callable[[], None] = lambda: None
+        self, connections: TargetConnectionPool, on_write: Callable[[], None] = lambda: None
     ) -> None:
         """`on_write` is called when a request is written to the target."""
         self._connections = connections
@@ -74,18 +74,18 @@
         try:
             # A request sent on a connection that the target dropped may have run.
             rest = None if head.route_type == wire_names.READ_ONLY else _LONGEST_REST
-            connection = await self._connections.take(rest)
+            connection = await self._connections.acquire(rest)
         except MeshError as error:
             return _never_offered(error.step)
         # Checked after the connection was obtained: nothing is awaited from here on.
         # Opening it took time, and the process may have been suspended.
         left = deadline - time.monotonic()
         if left < _LEAST_SECONDS:
-            self._connections.put_back(connection)
+            self._connections.release_unused(connection)
             return _never_offered("deadline")
         obstacle = find_obstacle() if find_obstacle is not None else ""
         if obstacle:
-            self._connections.put_back(connection)
+            self._connections.release_unused(connection)
             return _never_offered(obstacle)
         head.deadline_left_ms = min(head.deadline_left_ms, max(1, int(left * 1000)))
         return await self._offer_on(connection, exchange, head, left)
@@ -110,7 +110,7 @@
             return _unknown(f"answer: {type(error).__name__}")
         finally:
             if is_kept:
-                self._connections.give_back(connection)
+                self._connections.release(connection)
             else:
                 # Also on cancellation: the target then stops its work.
                 self._connections.discard(connection)
--- a/tests/test_given_up_in_time.py
+++ b/tests/test_given_up_in_time.py
@@ -8,7 +8,7 @@
 from marblefold.http_connections.answer import own_answer
 from marblefold.http_connections.client_connection import ClientConnection
 from marblefold.http_connections.http_server import HttpServer
-from marblefold.http_connections.target_connections import TargetConnections
+from marblefold.http_connections.target_connection_pool import TargetConnectionPool
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.frames import FrameKind, FrameReader, pack_frame
 from marblefold.inner_protocol.messages import kinds
@@ -128,7 +128,7 @@
 def test_a_body_that_ends_early_leaves_no_connection_to_the_next_request(stage):
     lines = []
     stage.loop.connector = lambda _address, transport: lines.append(transport)
-    connections = stage.call(TargetConnections, Address("10.0.0.1", 80))
+    connections = stage.call(TargetConnectionPool, Address("10.0.0.1", 80))
     head = kinds.RequestHead(
         attempt_id="a",
         method="POST",
--- a/tests/test_target_connection_model.py
+++ b/tests/test_target_connection_model.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from marblefold.http_connections.target_connections import TargetConnections
+from marblefold.http_connections.target_connection_pool import TargetConnectionPool
 from marblefold.inner_protocol.messages import kinds
 from marblefold.node_config.model import Address
 from marblefold.request_path.outcome import HopOutcome
@@ -37,7 +37,7 @@
         self.refused, self.answers = set(), {}
         self.refuses_connections = False
         self.stage.loop.connector = self.connect
-        self.connections = self.stage.call(TargetConnections, Address("10.0.0.1", 80))
+        self.connections = self.stage.call(TargetConnectionPool, Address("10.0.0.1", 80))
         self.caller = TargetCaller(self.connections)
 
     def teardown(self):
--- a/tests/test_target_selection.py
+++ b/tests/test_target_selection.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 
 from marblefold.http_connections.target_connection import ConnectionState
-from marblefold.http_connections.target_connections import TargetConnections
+from marblefold.http_connections.target_connection_pool import TargetConnectionPool
 from marblefold.node_config.reading import Address
 from marblefold.request_path.mesh_view import KnownTarget, MeshView
 from marblefold.request_path.target_record import TargetRecord
@@ -88,24 +88,24 @@
             accepted.append(writer)
 
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        connections = TargetConnections(Address(*server.sockets[0].getsockname()))
-        first = await connections.take()
+        connections = TargetConnectionPool(Address(*server.sockets[0].getsockname()))
+        first = await connections.acquire()
         first.change_state(ConnectionState.BUSY)
         first.usable_until = 1e12
-        connections.give_back(first)
-        first.rested_since -= 1.0
-        other = await connections.take(0.2)
+        connections.release(first)
+        first.idle_since -= 1.0
+        other = await connections.acquire(0.2)
         assert other is not first and connections.open_count == 2
-        assert await connections.take() is first
+        assert await connections.acquire() is first
         # Closed without a byte after a rest: the target forgot it.
-        first.rest_before, first.has_answered = 1.0, False
+        first.idle_seconds_before, first.has_received_bytes = 1.0, False
         first.change_state(ConnectionState.CLOSED)
         connections.discard(first)
         other.change_state(ConnectionState.BUSY)
         other.usable_until = 1e12
-        connections.give_back(other)
-        other.rested_since -= 0.7
-        assert await connections.take() is not other
+        connections.release(other)
+        other.idle_since -= 0.7
+        assert await connections.acquire() is not other
         connections.close_stale()
         assert connections.idle_count == 0
         server.close()
