--- a/marblefold/gateway/partner_hops.py
+++ b/marblefold/gateway/partner_hops.py
@@ -8,7 +8,7 @@
 
 from marblefold.gateway.target_hops import TargetHops
 from marblefold.gateway.target_pool import TargetPool
-from marblefold.http_connections.client_request import SentRequest
+from marblefold.http_connections.client_request import ForwardedRequest
 from marblefold.partners.merging import partner_of
 from marblefold.request_path.hop_sender import Hops
 from marblefold.request_path.mesh_view import MeshView
@@ -37,7 +37,7 @@
         self,
         peer: str,
         head,
-        request: SentRequest,
+        request: ForwardedRequest,
         body_bound: int,
         seconds: float,
     ) -> HopResult:
@@ -61,7 +61,7 @@
         self,
         partner: str,
         peer: str,
-        request: SentRequest,
+        request: ForwardedRequest,
         now: float,
     ) -> bool:
         """Whether the partner's routes allow the request at `now` (monotonic seconds)."""
--- a/marblefold/gateway/target_hops.py
+++ b/marblefold/gateway/target_hops.py
@@ -10,7 +10,7 @@
 
 from marblefold.errors import MeshError
 from marblefold.gateway.target_pool import TargetPool
-from marblefold.http_connections.client_request import SentRequest
+from marblefold.http_connections.client_request import ForwardedRequest
 from marblefold.inner_protocol.body_pipe import FIRST_CREDIT, BodyPipe
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
@@ -23,7 +23,7 @@
 class _RequestBody:
     """The body of the client's request, as the caller reads it."""
 
-    def __init__(self, request: SentRequest, bound: int) -> None:
+    def __init__(self, request: ForwardedRequest, bound: int) -> None:
         self._request = request
         self._bound = bound
 
@@ -34,7 +34,7 @@
 class _TargetExchange:
     """The hop as TargetCaller uses it."""
 
-    def __init__(self, request: SentRequest, bound: int) -> None:
+    def __init__(self, request: ForwardedRequest, bound: int) -> None:
         self.incoming = _RequestBody(request, bound)
         self.answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self.pipe = BodyPipe(self._grant)
@@ -78,7 +78,7 @@
         self,
         peer: str,
         head,
-        request: SentRequest,
+        request: ForwardedRequest,
         body_bound: int,
         seconds: float,
         find_obstacle: Callable[[], str] | None = None,
--- a/marblefold/http_connections/call_router.py
+++ b/marblefold/http_connections/call_router.py
@@ -106,7 +106,7 @@
                 header_block=answer.header_block + b"Allow: " + allowed.encode() + b"\r\n"
             )
         try:
-            body, _whole = await request.gather(route.most_bytes + 1, route.most_bytes)
+            body, _whole = await request.read_body(route.most_bytes + 1, route.most_bytes)
         except BodyTooLarge:
             document = {wire_names.REASON: f"more than {route.most_bytes} bytes"}
             return json_answer(413, document)._replace(closes=True)
--- a/marblefold/http_connections/client_connection.py
+++ b/marblefold/http_connections/client_connection.py
@@ -214,7 +214,7 @@
         if request is None or answer.closes or request.closes:
             return True
         # A body not read to its end would be parsed as a request.
-        if not request.is_whole:
+        if not request.is_body_complete:
             return True
         return self._keeper.is_leaving and len(self._places) == 1
 
@@ -229,7 +229,7 @@
 
     async def _write_in_parts(self, place: PipelineSlot, answer: Answer, pipe: BodyPipe) -> None:
         request = place.request
-        is_chunked = request is None or not request.is_old_version
+        is_chunked = request is None or not request.is_http_1_0
         closes = self._closes(place, answer) or not is_chunked
         try:
             transport = self.transport
--- a/marblefold/http_connections/client_request.py
+++ b/marblefold/http_connections/client_request.py
@@ -8,7 +8,7 @@
 from marblefold import wire_names
 from marblefold.http_connections.heads import REQUEST_ONLY_HERE, find_header, make_header_block
 
-__all__ = ["BodyTooLarge", "ClientRequest", "HeldRequest", "SentRequest"]
+__all__ = ["BodyTooLarge", "ClientRequest", "BufferedRequest", "ForwardedRequest"]
 
 
 _HELD_CHUNK = 16 * 1024
@@ -27,7 +27,7 @@
         self.arrived = arrived
         self.headers = message.raw_headers
         self.closes: bool = message.should_close
-        self.is_old_version = message.version < (1, 1)
+        self.is_http_1_0 = message.version < (1, 1)
         self.host = message.headers.get("Host", "")
         self.attempt_id = message.headers.get("Attempt-Id", "")
         self.body_length = int(message.headers.get("Content-Length", -1))
@@ -49,7 +49,7 @@
         return value if value is not None and 0 <= value < 1e10 else None
 
     @property
-    def is_whole(self) -> bool:
+    def is_body_complete(self) -> bool:
         """Whether nothing of the body is still to come."""
         return not self.has_body or self._payload.at_eof()
 
@@ -77,7 +77,7 @@
             raise BodyTooLarge()
         return chunk
 
-    async def gather(self, bound: int, most: int) -> tuple[bytes, bool]:
+    async def read_body(self, bound: int, most: int) -> tuple[bytes, bool]:
         """Reads about `bound` bytes of the body; returns them and whether that is all.
 
         Raises BodyTooLarge above `most` bytes, and ConnectionError if the body is
@@ -95,10 +95,10 @@
                 return b"".join(parts), True
             parts.append(chunk)
             size += len(chunk)
-        return b"".join(parts), self.is_whole
+        return b"".join(parts), self.is_body_complete
 
 
-class HeldRequest:
+class BufferedRequest:
     """A request with a buffered body, for one attempt to send it."""
 
     def __init__(self, request: ClientRequest, body: bytes) -> None:
@@ -116,4 +116,4 @@
 
 
 # What a hop sends: the request as it is read, or one whose body is held.
-SentRequest = ClientRequest | HeldRequest
+ForwardedRequest = ClientRequest | BufferedRequest
--- a/marblefold/http_connections/http_server.py
+++ b/marblefold/http_connections/http_server.py
@@ -62,7 +62,7 @@
             await self._watch.settle()
             if self.turns_away:
                 # Read whole first: a close with unread bytes resets the answer.
-                await request.gather(_LARGEST_UNSERVED, _LARGEST_UNSERVED)
+                await request.read_body(_LARGEST_UNSERVED, _LARGEST_UNSERVED)
                 return own_answer(503, "leaving", request.attempt_id, 0.1, closes=True)
             return await self._handle(request)
         finally:
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -10,9 +10,9 @@
 from marblefold.http_connections.answer import Answer, own_answer
 from marblefold.http_connections.client_request import (
     BodyTooLarge,
+    BufferedRequest,
     ClientRequest,
-    HeldRequest,
-    SentRequest,
+    ForwardedRequest,
 )
 from marblefold.logs import log
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
@@ -145,8 +145,8 @@
         try:
             while not isinstance(step := decision.next_step(time.monotonic()), Conclude):
                 # A body that is buffered whole can be sent again from its beginning.
-                sent: SentRequest = (
-                    HeldRequest(request, body) if is_whole and head.body_follows else request
+                sent: ForwardedRequest = (
+                    BufferedRequest(request, body) if is_whole and head.body_follows else request
                 )
                 result = await self._hop(step, head, sent, decision, body_limit, span)
                 decision.note(step.target, result)
@@ -173,7 +173,7 @@
         self,
         offer: Offer,
         head,
-        request: SentRequest,
+        request: ForwardedRequest,
         decision: RequestDecision,
         body_limit: int,
         span,
@@ -251,4 +251,4 @@
     if not request.has_body:
         return b"", True
     async with asyncio.timeout(max(0.0, deadline - time.monotonic())):
-        return await request.gather(_HELD_BODY, most)
+        return await request.read_body(_HELD_BODY, most)
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -9,7 +9,7 @@
 from marblefold import wire_names
 from marblefold.errors import MeshError
 from marblefold.http_connections.answer import Answer
-from marblefold.http_connections.client_request import BodyTooLarge, SentRequest
+from marblefold.http_connections.client_request import BodyTooLarge, ForwardedRequest
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
@@ -39,7 +39,7 @@
         self,
         peer: str,
         head,
-        request: SentRequest,
+        request: ForwardedRequest,
         body_bound: int,
         seconds: float,
     ) -> HopResult: ...
@@ -84,7 +84,7 @@
         self,
         peer: str,
         head,
-        request: SentRequest,
+        request: ForwardedRequest,
         body_bound: int,
         seconds: float,
     ) -> HopResult:
@@ -149,7 +149,7 @@
     head.aim_left_ms -= milliseconds
 
 
-async def _send_rest(exchange: Exchange, request: SentRequest, bound: int) -> None:
+async def _send_rest(exchange: Exchange, request: ForwardedRequest, bound: int) -> None:
     try:
         while chunk := await request.read_chunk(bound):
             await exchange.send_body(chunk)
--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -156,11 +156,11 @@
     def call(self, method, path, body, answered):
         """A call of an operator, read from its socket; the task that serves it."""
 
-        async def gather(_bound, _most):
+        async def read_body(_bound, _most):
             return body, True
 
         async def serve():
-            request = SimpleNamespace(method=method, path=path, headers=(), gather=gather)
+            request = SimpleNamespace(method=method, path=path, headers=(), read_body=read_body)
             answer = await self.router.handle(request)
             self.world.send(self.name, OPERATOR, lambda: answered(answer))
 
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -45,7 +45,7 @@
     def header_block(self):
         return b""
 
-    async def gather(self, _bound, _most):
+    async def read_body(self, _bound, _most):
         return b"", True
 
 
--- a/tests/test_client_connection_model.py
+++ b/tests/test_client_connection_model.py
@@ -108,7 +108,7 @@
         self.stage.expect(served.number not in [other.number for other in self.served], "twice")
         self.served.append(served)
         if request.has_body:
-            self.stage.expect(await request.gather(100, 100) == (b"GET /", True), "body")
+            self.stage.expect(await request.read_body(100, 100) == (b"GET /", True), "body")
         return await served.future
 
     @rule(kinds=st.lists(st.sampled_from(["read", "read", *SENT]), min_size=1, max_size=4))
--- a/tests/test_given_up_in_time.py
+++ b/tests/test_given_up_in_time.py
@@ -154,7 +154,7 @@
 
     has_body = True
 
-    async def gather(self, _bound, _most):
+    async def read_body(self, _bound, _most):
         await asyncio.Event().wait()
 
 
@@ -169,7 +169,7 @@
 
 def test_a_body_that_cannot_be_read_is_answered_and_ends_the_connection(stage):
     async def handle(request):
-        await request.gather(100, 100)
+        await request.read_body(100, 100)
         return own_answer(200, "never")
 
     connection, transport = open_client(stage, HttpServer(handle))
--- a/tests/test_http_connections.py
+++ b/tests/test_http_connections.py
@@ -112,7 +112,7 @@
         connection.data_received(post % 1 + post % 2)
         await turns()
         assert [request.path for request in keeper.requests] == ["/1"]
-        assert await keeper.requests[0].gather(10, 10) == (b"x", True)
+        assert await keeper.requests[0].read_body(10, 10) == (b"x", True)
         keeper.answers["/1"].set_result(Answer(200))
         await turns()
         assert [request.path for request in keeper.requests] == ["/1", "/2"]
@@ -161,7 +161,7 @@
         )
         await turns()
         assert transport.written == b""
-        gathered = asyncio.ensure_future(keeper.requests[0].gather(100, 100))
+        gathered = asyncio.ensure_future(keeper.requests[0].read_body(100, 100))
         await turns()
         assert transport.written == b"HTTP/1.1 100 Continue\r\n\r\n"
         connection.data_received(b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
@@ -192,7 +192,7 @@
         connection.data_received(b"POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\n")
         await turns()
         with pytest.raises(BodyTooLarge):
-            await keeper.requests[0].gather(1000, 50)
+            await keeper.requests[0].read_body(1000, 50)
 
     run(test)
 
--- a/tests/test_order_gate.py
+++ b/tests/test_order_gate.py
@@ -35,10 +35,10 @@
 def ask(router, method, path):
     """The status of a call without a body."""
 
-    async def gather(_bound, _most):
+    async def read_body(_bound, _most):
         return b"", True
 
-    fields = {"method": method, "path": path, "headers": (), "gather": staticmethod(gather)}
+    fields = {"method": method, "path": path, "headers": (), "read_body": staticmethod(read_body)}
     return asyncio.run(router.handle(type("Request", (), fields)())).status
 
 
