--- a/marblefold/history/keeper.py
+++ b/marblefold/history/keeper.py
@@ -11,7 +11,12 @@
 from marblefold.disk_thread import DiskThread
 from marblefold.errors import DiskError, MeshError
 from marblefold.http_connections.answer import Answer
-from marblefold.http_connections.call_router import Call, CallRouter, json_answer, not_now_answer
+from marblefold.http_connections.call_router import (
+    Call,
+    CallRouter,
+    json_answer,
+    outcome_unknown_answer,
+)
 from marblefold.logs import log
 
 if TYPE_CHECKING:
@@ -101,7 +106,7 @@
         try:
             versions = await self._answer(lambda: list(self._open().newest_first()))
         except DiskError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         return json_answer(
             200,
             {
@@ -125,7 +130,7 @@
         try:
             body = await self._answer(lambda: self._open().read(int(number)))
         except DiskError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         except MeshError as error:
             return json_answer(404, {wire_names.REASON: error.reason})
         return json_answer(200, json.loads(body))
--- a/marblefold/http_connections/call_router.py
+++ b/marblefold/http_connections/call_router.py
@@ -12,7 +12,7 @@
 from marblefold.http_connections.heads import find_header
 from marblefold.logs import log
 
-__all__ = ["Call", "CallRouter", "faults_answer", "json_answer", "not_now_answer"]
+__all__ = ["Call", "CallRouter", "invalid_order_answer", "json_answer", "outcome_unknown_answer"]
 
 _RETRY_SECONDS = 0.2
 _LONGEST_PATH = 1024
@@ -43,13 +43,13 @@
     return Answer(status, header_block=block, body=json.dumps(document).encode())
 
 
-def not_now_answer(error: MeshError) -> Answer:
+def outcome_unknown_answer(error: MeshError) -> Answer:
     """503: no majority answered in time, so the order may or may not take effect."""
     log.warning("outcome unknown", step=error.step, peer=error.peer, reason=error.reason)
     return json_answer(503, {wire_names.REASON: str(error)}, _RETRY_SECONDS)
 
 
-def faults_answer(group: ExceptionGroup) -> Answer:
+def invalid_order_answer(group: ExceptionGroup) -> Answer:
     """400: an invalid order, with every fault and its place."""
     return json_answer(
         400,
@@ -61,7 +61,7 @@
     """The handler of a method at a path, and the largest body in bytes."""
 
     serve: Serve
-    most_bytes: int
+    max_body_bytes: int
 
 
 async def _serve(route: _Route, call: Call) -> Answer:
@@ -83,12 +83,12 @@
     def __init__(self) -> None:
         self._routes: dict[str, dict[str, _Route]] = {}
 
-    def add(self, method: str, path: str, serve: Serve, most_bytes: int = 4096) -> None:
+    def add(self, method: str, path: str, serve: Serve, max_body_bytes: int = 4096) -> None:
         """Serves the method at the path; {} at its end stands for a subject.
 
-        `most_bytes` is the largest body, in bytes.
+        `max_body_bytes` is the largest body, in bytes.
         """
-        self._routes.setdefault(path, {})[method] = _Route(serve, most_bytes)
+        self._routes.setdefault(path, {})[method] = _Route(serve, max_body_bytes)
 
     async def handle(self, request: ClientRequest) -> Answer:
         """The answer to any call."""
@@ -106,9 +106,9 @@
                 header_block=answer.header_block + b"Allow: " + allowed.encode() + b"\r\n"
             )
         try:
-            body, _whole = await request.read_body(route.most_bytes + 1, route.most_bytes)
+            body, _whole = await request.read_body(route.max_body_bytes + 1, route.max_body_bytes)
         except BodyTooLarge:
-            document = {wire_names.REASON: f"more than {route.most_bytes} bytes"}
+            document = {wire_names.REASON: f"more than {route.max_body_bytes} bytes"}
             return json_answer(413, document)._replace(closes=True)
         except ConnectionError:
             return json_answer(400, {wire_names.REASON: "the body broke off"})
--- a/marblefold/http_connections/client_request.py
+++ b/marblefold/http_connections/client_request.py
@@ -6,7 +6,11 @@
 from aiohttp.streams import EMPTY_PAYLOAD
 
 from marblefold import wire_names
-from marblefold.http_connections.heads import REQUEST_ONLY_HERE, find_header, make_header_block
+from marblefold.http_connections.heads import (
+    UNFORWARDED_REQUEST_HEADERS,
+    find_header,
+    make_header_block,
+)
 
 __all__ = ["BodyTooLarge", "ClientRequest", "BufferedRequest", "ForwardedRequest"]
 
@@ -55,7 +59,7 @@
 
     def header_block(self) -> bytes:
         """The header lines to forward."""
-        return make_header_block(self.headers, REQUEST_ONLY_HERE)
+        return make_header_block(self.headers, UNFORWARDED_REQUEST_HEADERS)
 
     async def read_chunk(self, most: int) -> bytes:
         """The next part of the body; empty at its end.
--- a/marblefold/http_connections/heads.py
+++ b/marblefold/http_connections/heads.py
@@ -2,7 +2,12 @@
 
 from collections.abc import Iterable, Sequence
 
-__all__ = ["find_header", "make_header_block", "REQUEST_ONLY_HERE", "ANSWER_ONLY_HERE"]
+__all__ = [
+    "find_header",
+    "make_header_block",
+    "UNFORWARDED_REQUEST_HEADERS",
+    "UNFORWARDED_ANSWER_HEADERS",
+]
 
 _HOP_BY_HOP = frozenset(
     (
@@ -19,13 +24,13 @@
     )
 )
 # Set by the mesh itself, never forwarded.
-REQUEST_ONLY_HERE = _HOP_BY_HOP | {
+UNFORWARDED_REQUEST_HEADERS = _HOP_BY_HOP | {
     b"expect",
     b"deadline-ms",
     b"caller-service",
     b"expected-instance",
 }
-ANSWER_ONLY_HERE = _HOP_BY_HOP
+UNFORWARDED_ANSWER_HEADERS = _HOP_BY_HOP
 
 RawHeaders = Sequence[tuple[bytes, bytes]]
 
--- a/marblefold/maintenance/calls.py
+++ b/marblefold/maintenance/calls.py
@@ -9,9 +9,9 @@
 from marblefold.http_connections.call_router import (
     Call,
     CallRouter,
-    faults_answer,
+    invalid_order_answer,
     json_answer,
-    not_now_answer,
+    outcome_unknown_answer,
 )
 from marblefold.maintenance.duty import REGISTER
 from marblefold.maintenance.model import Document, WindowState, read_floors_body, read_window_body
@@ -65,7 +65,7 @@
         try:
             held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
         except MeshError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         document = Document.read(held.value)
         windows = sorted(document.windows.values(), key=lambda window: window.expected_start)
         return json_answer(
@@ -76,14 +76,14 @@
         try:
             floors = read_floors_body(call.body, self._capacity())
         except ExceptionGroup as group:
-            return faults_answer(group)
+            return invalid_order_answer(group)
         return await self._change(lambda document: document._replace(floors=floors))
 
     async def _set_window(self, call: Call) -> Answer:
         try:
             window = read_window_body(call.subject, call.body, self._zones())
         except ExceptionGroup as group:
-            return faults_answer(group)
+            return invalid_order_answer(group)
 
         def change(document: Document) -> Document:
             known = document.windows.get(window.name)
@@ -126,7 +126,7 @@
         except _Refused as refused:
             return json_answer(refused.status, {wire_names.REASON: str(refused)})
         except MeshError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         return json_answer(
             503, {wire_names.REASON: "others change it all the time"}, _RETRY_SECONDS
         )
--- a/marblefold/ownership/calls.py
+++ b/marblefold/ownership/calls.py
@@ -10,9 +10,9 @@
 from marblefold.http_connections.call_router import (
     Call,
     CallRouter,
-    faults_answer,
+    invalid_order_answer,
     json_answer,
-    not_now_answer,
+    outcome_unknown_answer,
 )
 from marblefold.json_bodies import BadBody, read_object
 from marblefold.logs import log
@@ -50,7 +50,7 @@
         try:
             held = await self._store_client.ask(RegisterCallKind.DESCRIBE, OWNERS_REGISTER)
         except MeshError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         claimed = self._claimed()
         clashes = find_clashes(claimed.claimants, claimed.owners)
         services = {}
@@ -69,14 +69,14 @@
         try:
             number, services = read_owners_body(call.body)
         except ExceptionGroup as group:
-            return faults_answer(group)
+            return invalid_order_answer(group)
         value = json.dumps({"services": services}, sort_keys=True).encode()
         try:
             held = await self._store_client.ask(
                 RegisterCallKind.CONFIGURATION, OWNERS_REGISTER, number, value
             )
         except MeshError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         if held.value != value or held.number != number:
             return json_answer(
                 409,
--- a/marblefold/partners/calls.py
+++ b/marblefold/partners/calls.py
@@ -9,9 +9,9 @@
 from marblefold.http_connections.call_router import (
     Call,
     CallRouter,
-    faults_answer,
+    invalid_order_answer,
     json_answer,
-    not_now_answer,
+    outcome_unknown_answer,
 )
 from marblefold.logs import log
 from marblefold.partners.document import (
@@ -60,7 +60,7 @@
         try:
             held = await self._store_client.ask(RegisterCallKind.DESCRIBE, REGISTER)
         except MeshError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         partners = {
             # Not even its digest is anybody's business.
             name: {key: value for key, value in partner.items() if key != "credential"}
@@ -80,7 +80,7 @@
         try:
             grant = read_grant(call.body)
         except ExceptionGroup as group:
-            return faults_answer(group)
+            return invalid_order_answer(group)
         return await self._change(lambda document: grant_partner(document, call.subject, grant))
 
     async def _withdraw(self, call: Call) -> Answer:
@@ -90,7 +90,7 @@
         try:
             word = read_exports(call.body)
         except ExceptionGroup as group:
-            return faults_answer(group)
+            return invalid_order_answer(group)
 
         def change(document: Document) -> Document:
             held = document.partners.get(call.subject)
@@ -124,7 +124,7 @@
                 document["number"] = refused.number
             return json_answer(refused.status, document)
         except MeshError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         return json_answer(
             503, {wire_names.REASON: "others change it all the time"}, _RETRY_SECONDS
         )
--- a/marblefold/registry/control_calls.py
+++ b/marblefold/registry/control_calls.py
@@ -7,7 +7,12 @@
 from marblefold.configuration.reading import InvalidConfiguration, read_configuration
 from marblefold.errors import MeshError
 from marblefold.http_connections.answer import Answer
-from marblefold.http_connections.call_router import Call, CallRouter, json_answer, not_now_answer
+from marblefold.http_connections.call_router import (
+    Call,
+    CallRouter,
+    json_answer,
+    outcome_unknown_answer,
+)
 from marblefold.logs import log
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import EvacuationState
@@ -61,7 +66,7 @@
                 RegisterCallKind.CONFIGURATION, _CONFIGURATION_REGISTER, number, call.body
             )
         except MeshError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         if Outcome.read(held.outcome) is Outcome.CONFLICT:
             return _answer_conflict(held.number)
         log.info("configuration held", number=number, newest=held.number)
@@ -71,7 +76,7 @@
         try:
             held = await self._store_client.ask(RegisterCallKind.DESCRIBE, _CONFIGURATION_REGISTER)
         except MeshError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         if not held.value:
             return json_answer(404, {wire_names.REASON: "no configuration yet"})
         return Answer(200, header_block=b"Content-Type: application/json\r\n", body=held.value)
@@ -93,7 +98,7 @@
                 lambda: self._evacuation_number(zone),
             )
         except MeshError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         log.info("evacuation held", zone=zone, state=state.name, number=number)
         return json_answer(200, {})
 
--- a/marblefold/registry/order_gate.py
+++ b/marblefold/registry/order_gate.py
@@ -89,13 +89,13 @@
         self._contact = contact
         self._clock = clock
 
-    def add(self, method: str, path: str, serve: Serve, most_bytes: int = 4096) -> None:
+    def add(self, method: str, path: str, serve: Serve, max_body_bytes: int = 4096) -> None:
         """Serves the method at the path, as any router does; orders pass the gate."""
         if method not in _READS:
             serve = self._gate(serve)
         elif path in _FROM_THE_FEED:
             serve = self._need_contact(serve)
-        super().add(method, path, serve, most_bytes)
+        super().add(method, path, serve, max_body_bytes)
 
     def _gate(self, serve: Serve) -> Serve:
         async def gated(call: Call) -> Answer:
--- a/marblefold/rehearsal/calls.py
+++ b/marblefold/rehearsal/calls.py
@@ -16,9 +16,9 @@
 from marblefold.http_connections.call_router import (
     Call,
     CallRouter,
-    faults_answer,
+    invalid_order_answer,
     json_answer,
-    not_now_answer,
+    outcome_unknown_answer,
 )
 
 __all__ = ["RehearsalCalls"]
@@ -80,7 +80,7 @@
             snapshot = read_snapshot(json.dumps(document).encode())
             lost = find_lost(snapshot, regions, zones)
         except ExceptionGroup as group:
-            return faults_answer(group)
+            return invalid_order_answer(group)
         config = PlayConfig(
             warm_seconds=1.5,
             after_seconds=5.0,
@@ -100,7 +100,7 @@
         try:
             word = await self._words.ask("describe", "configuration")
         except MeshError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         if not word.value:
             return json_answer(404, {wire_names.REASON: "no configuration yet"})
         return {
--- a/marblefold/request_path/target_caller.py
+++ b/marblefold/request_path/target_caller.py
@@ -9,7 +9,11 @@
 
 from marblefold import wire_names
 from marblefold.errors import MeshError
-from marblefold.http_connections.heads import ANSWER_ONLY_HERE, find_header, make_header_block
+from marblefold.http_connections.heads import (
+    UNFORWARDED_ANSWER_HEADERS,
+    find_header,
+    make_header_block,
+)
 from marblefold.http_connections.target_answer import TargetAnswer
 from marblefold.http_connections.target_connection import ConnectionLostUnused, TargetConnection
 from marblefold.http_connections.target_connection_pool import TargetConnectionPool
@@ -144,7 +148,7 @@
             outcome=HopOutcome.ANSWERED,
             status=answer.status,
             reason=answer.reason.encode("latin-1", "replace"),
-            header_block=make_header_block(answer.headers, ANSWER_ONLY_HERE),
+            header_block=make_header_block(answer.headers, UNFORWARDED_ANSWER_HEADERS),
         )
         _read_load(answer, result)
         parts: list[bytes] = []
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -30,9 +30,9 @@
         super().__init__()
         self.calls = set()
 
-    def add(self, method, path, serve, most_bytes=4096):
+    def add(self, method, path, serve, max_body_bytes=4096):
         self.calls.add((method, path))
-        super().add(method, path, serve, most_bytes)
+        super().add(method, path, serve, max_body_bytes)
 
 
 def test_the_calls_served_are_those_described():
