--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -67,7 +67,7 @@
             self.surroundings, PartnerHops(hops, hops, self.view), RunningWork(), ""
         )
         self.outbound = HttpServer(
-            self.executor.serve, max(4, free - for_targets), self.executor.may_run_ahead
+            self.executor.serve, max(4, free - for_targets), self.executor.may_run_concurrently
         )
         ready = CallRouter()
         ready.add(*wire_names.READINESS_CALL, self._readiness)
--- a/marblefold/http_connections/client_connection.py
+++ b/marblefold/http_connections/client_connection.py
@@ -23,26 +23,26 @@
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.logs import log
 
-__all__ = ["ClientConnection", "ConnectionKeeper"]
+__all__ = ["ClientConnection", "ConnectionServer"]
 
 _PARSER_BUFFER = 128 * 1024
 _MOST_TOGETHER = 8
 _REPEATABLE = ("GET", "HEAD", "OPTIONS")
 
 
-class ConnectionKeeper(Protocol):
+class ConnectionServer(Protocol):
     """What a connection needs of the server that accepted it."""
 
     is_leaving: bool
     header_bytes: int
 
-    def on_made(self, connection: "ClientConnection") -> None: ...
+    def on_connection_made(self, connection: "ClientConnection") -> None: ...
 
-    def on_lost(self, connection: "ClientConnection") -> None: ...
+    def on_connection_lost(self, connection: "ClientConnection") -> None: ...
 
     def handle(self, request: ClientRequest) -> Awaitable[Answer]: ...
 
-    def may_run_ahead(self, request: ClientRequest) -> bool: ...
+    def may_run_concurrently(self, request: ClientRequest) -> bool: ...
 
 
 class ClientConnection(BaseProtocol):
@@ -51,7 +51,7 @@
     # Set from the start here; the base class leaves it optional.
     _parser: HttpRequestParser
 
-    def __init__(self, keeper: ConnectionKeeper) -> None:
+    def __init__(self, keeper: ConnectionServer) -> None:
         loop = asyncio.get_running_loop()
         super().__init__(loop)
         self._keeper = keeper
@@ -77,7 +77,7 @@
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
-        self._keeper.on_made(self)
+        self._keeper.on_connection_made(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         super().connection_lost(exc)
@@ -90,7 +90,7 @@
         if self._writing is not None:
             self._writing.cancel()
         self._places.clear()
-        self._keeper.on_lost(self)
+        self._keeper.on_connection_lost(self)
 
     def data_received(self, data: bytes) -> None:
         if self._is_closing:
@@ -129,7 +129,7 @@
         self._close()
         return True
 
-    def turn_away(self) -> None:
+    def abort(self) -> None:
         """Aborts the connection at once, without an answer."""
         self._is_closing = True
         if self.transport is not None:
@@ -167,7 +167,7 @@
                 break
             is_repeatable = request.method in _REPEATABLE and not request.has_body
             # A request that may not be repeated runs alone and in order.
-            if together and not (is_repeatable and self._keeper.may_run_ahead(request)):
+            if together and not (is_repeatable and self._keeper.may_run_concurrently(request)):
                 break
             if place.task is None and place.answer is None:
                 place.task = self._loop.create_task(self._serve(place, request))
@@ -184,7 +184,7 @@
         except Exception as error:
             # It is unknown what was begun; only a reset makes no claim about it.
             log.error("request failed", attempt=request.attempt_id, error=repr(error))
-            self.turn_away()
+            self.abort()
             return
         place.take_answer(answer)
         self._flush()
--- a/marblefold/http_connections/http_server.py
+++ b/marblefold/http_connections/http_server.py
@@ -26,10 +26,10 @@
         self,
         handle: Callable[[ClientRequest], Awaitable[Answer]],
         most_connections: int | None = None,
-        may_run_ahead: Callable[[ClientRequest], bool] = lambda request: True,
+        may_run_concurrently: Callable[[ClientRequest], bool] = lambda request: True,
     ) -> None:
         """Whether a pipelined request may run before the ones ahead of it are
-        answered is asked of may_run_ahead; a client sends it again where one of
+        answered is asked of may_run_concurrently; a client sends it again where one of
         those ends the connection.
         """
         self.is_leaving = False
@@ -41,7 +41,7 @@
         self.last_arrival = time.monotonic()
         self.in_progress = 0
         self._handle = handle
-        self._may_run_ahead = may_run_ahead
+        self._may_run_concurrently = may_run_concurrently
         self._watch = LoopWatch(_SWEEP.total_seconds())
         self._most_connections = most_connections
         self._connections: set[ClientConnection] = set()
@@ -68,17 +68,17 @@
         finally:
             self.in_progress -= 1
 
-    def may_run_ahead(self, request: ClientRequest) -> bool:
+    def may_run_concurrently(self, request: ClientRequest) -> bool:
         """Whether the request may run twice, and so before its turn."""
-        return self._may_run_ahead(request)
+        return self._may_run_concurrently(request)
 
-    def on_made(self, connection: ClientConnection) -> None:
+    def on_connection_made(self, connection: ClientConnection) -> None:
         """A client has connected."""
         self._connections.add(connection)
         if self._most_connections is not None and len(self._connections) > self._most_connections:
             self._make_room(connection)
 
-    def on_lost(self, connection: ClientConnection) -> None:
+    def on_connection_lost(self, connection: ClientConnection) -> None:
         """A client has disconnected."""
         self._connections.discard(connection)
 
@@ -105,7 +105,7 @@
         if idle:
             min(idle, key=lambda connection: connection.quiet_since).close_if_idle()
         else:
-            newcomer.turn_away()
+            newcomer.abort()
 
     def stop(self) -> None:
         """Stops listening."""
--- a/marblefold/http_connections/target_connection.py
+++ b/marblefold/http_connections/target_connection.py
@@ -96,7 +96,7 @@
             return
         self.state = state
 
-    async def begin(self, head: bytes, attempt_id: bytes | None) -> None:
+    async def send_head(self, head: bytes, attempt_id: bytes | None) -> None:
         """Sends the head of a request, perhaps with its body behind it.
 
         Raises ConnectionLostUnused if not a byte of the request was written, and
--- a/marblefold/http_connections/target_connection_pool.py
+++ b/marblefold/http_connections/target_connection_pool.py
@@ -25,7 +25,7 @@
 
     def __init__(self, address: Address, connect_seconds: float = 0.25) -> None:
         # When a byte last came from the target (monotonic seconds).
-        self.heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
         self._address = address
         self._connect_seconds = connect_seconds
         self._kept: list[TargetConnection] = []
@@ -152,4 +152,4 @@
         return connection
 
     def _note_heard(self) -> None:
-        self.heard_at = time.monotonic()
+        self.last_received_at = time.monotonic()
--- a/marblefold/proxy/health_probe.py
+++ b/marblefold/proxy/health_probe.py
@@ -33,7 +33,7 @@
         async with asyncio.timeout(_PROBE_SECONDS):
             connection = await connections.acquire()
             head = f"GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n"
-            await connection.begin(head.encode(), None)
+            await connection.send_head(head.encode(), None)
             answer = await connection.answer()
             await answer.payload.read()
     except (MeshError, TimeoutError, ConnectionError, HttpProcessingError):
--- a/marblefold/proxy/program.py
+++ b/marblefold/proxy/program.py
@@ -93,7 +93,9 @@
             config,
             lambda: self.guard.slots.service_seconds,
         )
-        self.outbound = HttpServer(self.executor.serve, may_run_ahead=self.executor.may_run_ahead)
+        self.outbound = HttpServer(
+            self.executor.serve, may_run_concurrently=self.executor.may_run_concurrently
+        )
         calls, ready = CallRouter(), CallRouter()
         BeatCalls(self.target, config.zone).add_to(calls)
         ready.add(*wire_names.READINESS_CALL, self._readiness)
--- a/marblefold/registry/platform_list.py
+++ b/marblefold/registry/platform_list.py
@@ -67,7 +67,7 @@
             async with asyncio.timeout(_CALL_SECONDS):
                 connection = await self._connections.acquire()
                 head = f"GET {path} HTTP/1.1\r\nHost: {peer}\r\n\r\n"
-                await connection.begin(head.encode(), None)
+                await connection.send_head(head.encode(), None)
                 answer = await connection.answer()
                 body = await answer.payload.read()
             self._connections.release(connection)
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -206,7 +206,7 @@
             if tracer is not None and hop is not None:
                 tracer.finish_hop(hop, result)
 
-    def may_run_ahead(self, request: ClientRequest) -> bool:
+    def may_run_concurrently(self, request: ClientRequest) -> bool:
         """Whether a pipelined request may run before those ahead of it are answered.
 
         Whether a request may be repeated depends on its route, not on its method.
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -109,7 +109,11 @@
             # One long request proves nothing; several without a byte do.
             waiting = self._offered.count_older(now, _QUIET_SECONDS)
             connections = self._connections
-            if connections is None or waiting < 2 or now - connections.heard_at < _QUIET_SECONDS:
+            if (
+                connections is None
+                or waiting < 2
+                or now - connections.last_received_at < _QUIET_SECONDS
+            ):
                 continue
             if not await connections.is_reachable():
                 self._give_up_on_target(now)
--- a/marblefold/request_path/target_caller.py
+++ b/marblefold/request_path/target_caller.py
@@ -124,7 +124,7 @@
     ) -> TargetAnswer:
         if connection.transport is not None:
             self._on_write()
-        await connection.begin(pack_request(head), head.attempt_id.encode("latin-1", "replace"))
+        await connection.send_head(pack_request(head), head.attempt_id.encode("latin-1", "replace"))
         if head.body_follows:
             await _send_rest(connection, exchange, head)
         return await connection.answer()
--- a/tests/simulated_cold.py
+++ b/tests/simulated_cold.py
@@ -65,7 +65,9 @@
         peers = PeerBook(SimpleNamespace(on_lost=lambda _connection: None))
         sender = HopSender(peers, lambda _peer: None)
         executor = RequestExecutor(surroundings, sender, RunningWork(), "shop")
-        self._server = HttpServer(executor.serve, may_run_ahead=executor.may_run_ahead)
+        self._server = HttpServer(
+            executor.serve, may_run_concurrently=executor.may_run_concurrently
+        )
 
     def start_proxy(self):
         """A new process beside the target: no configuration, nothing heard of the target."""
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -110,10 +110,10 @@
     async def handle(self, request):
         return await self.router.handle(request)
 
-    def on_made(self, connection):
+    def on_connection_made(self, connection):
         """Nobody counts connections here."""
 
-    def on_lost(self, connection):
+    def on_connection_lost(self, connection):
         """Nobody counts connections here."""
 
     async def send(self, data, ends=False):
--- a/tests/test_client_connection_model.py
+++ b/tests/test_client_connection_model.py
@@ -89,12 +89,12 @@
         finally:
             self.stage.close()
 
-    def on_made(self, _connection):
+    def on_connection_made(self, _connection):
         pass
 
-    on_lost = on_made
+    on_connection_lost = on_connection_made
 
-    def may_run_ahead(self, request):
+    def may_run_concurrently(self, request):
         return "/unsafe/" not in request.path
 
     async def handle(self, request):
--- a/tests/test_http_connections.py
+++ b/tests/test_http_connections.py
@@ -49,12 +49,12 @@
     def __init__(self):
         self.requests, self.answers = [], {}
 
-    def on_made(self, connection):
+    def on_connection_made(self, connection):
         pass
 
-    on_lost = on_made
+    on_connection_lost = on_connection_made
 
-    def may_run_ahead(self, request):
+    def may_run_concurrently(self, request):
         return True
 
     async def handle(self, request):
@@ -215,7 +215,7 @@
 def test_a_late_surplus_answer_is_told_apart_by_its_id():
     async def test():
         connection, _transport = make_target()
-        await connection.begin(b"GET", b"mine")
+        await connection.send_head(b"GET", b"mine")
         connection.data_received(ANSWER % (b"other", b"no") + ANSWER % (b"mine", b"ok"))
         answer = await connection.answer()
         assert await answer.payload.read() == b"ok"
@@ -244,7 +244,7 @@
 def test_what_cannot_be_the_answer_breaks_off(data):
     async def test():
         connection, _transport = make_target()
-        await connection.begin(b"GET", b"mine")
+        await connection.send_head(b"GET", b"mine")
         connection.data_received(data)
         with pytest.raises(MeshError):
             await connection.answer()
@@ -256,7 +256,7 @@
 def test_an_answer_without_a_length_is_whole_only_if_its_connection_ends_in_order(is_reset):
     async def test():
         connection, transport = make_target()
-        await connection.begin(b"GET", b"mine")
+        await connection.send_head(b"GET", b"mine")
         connection.data_received(b"HTTP/1.1 200 OK\r\nAttempt-Id: mine\r\n\r\nto the end")
         answer = await connection.answer()
         # Nothing ends it but the connection.
@@ -279,7 +279,7 @@
         connection, transport = make_target()
         connection.connection_lost(None)
         with pytest.raises(ConnectionLostUnused):
-            await connection.begin(b"GET", b"mine")
+            await connection.send_head(b"GET", b"mine")
         assert transport.written == b""
 
     run(test)
@@ -288,7 +288,7 @@
 def test_an_answer_cut_off_never_looks_whole():
     async def test():
         connection, _transport = make_target()
-        await connection.begin(b"GET", b"mine")
+        await connection.send_head(b"GET", b"mine")
         connection.data_received(
             b"HTTP/1.1 200 OK\r\nAttempt-Id: mine\r\nContent-Length: 9\r\n\r\nhalf"
         )
@@ -303,7 +303,7 @@
 def test_a_refusal_may_come_without_an_id_and_keep_alive_bounds_the_reuse():
     async def test():
         connection, _transport = make_target()
-        await connection.begin(b"GET", b"mine")
+        await connection.send_head(b"GET", b"mine")
         connection.data_received(
             b"HTTP/1.1 503 no\r\nNot-Executed: 1\r\nKeep-Alive: timeout=0\r\n"
             b"Content-Length: 0\r\n\r\n"
--- a/tests/test_sent_at_most_once.py
+++ b/tests/test_sent_at_most_once.py
@@ -63,7 +63,7 @@
         peers = PeerBook(SimpleNamespace(on_lost=lambda _connection: None))
         sender = HopSender(peers, lambda peer: selector.note_silent(peer, self.stage.now))
         executor = RequestExecutor(surroundings, sender, RunningWork(), "shop")
-        self.server = HttpServer(executor.serve, may_run_ahead=executor.may_run_ahead)
+        self.server = HttpServer(executor.serve, may_run_concurrently=executor.may_run_concurrently)
         for run in (sender.run, self.server.run, *(guard.run for guard in self.guards.values())):
             self.stage.start(run())
 
