--- a/marblefold/gateway/partner_hops.py
+++ b/marblefold/gateway/partner_hops.py
@@ -52,12 +52,12 @@
         head.expected_instance = ""
 
         def find_obstacle() -> str:
-            may_leave = self.may_leave(partner, peer, request, time.monotonic())
-            return "" if may_leave else "not allowed any more"
+            is_still_allowed = self.is_still_allowed(partner, peer, request, time.monotonic())
+            return "" if is_still_allowed else "not allowed any more"
 
         return await self._to_partners.send(peer, head, request, body_bound, seconds, find_obstacle)
 
-    def may_leave(
+    def is_still_allowed(
         self,
         partner: str,
         peer: str,
--- a/tests/simulated_cold.py
+++ b/tests/simulated_cold.py
@@ -26,7 +26,7 @@
 from marblefold.request_path.surroundings import Surroundings
 from marblefold.request_path.target_selection import TargetSelector
 from tests.mesh_on_loopback import make_config
-from tests.simulated_connections import ListTransport, Stage
+from tests.simulated_connections import InMemoryTransport, Simulation
 from tests.simulated_path import make_entry, make_rows
 
 COLD_START = timedelta(seconds=3)
@@ -45,7 +45,7 @@
     """One peer, one guard and one target, on a clock that the test moves."""
 
     def __init__(self):
-        self.stage = Stage()
+        self.stage = Simulation()
         self.stage.loop.connector = self._connect
         self.bounds = parse_config(make_config("10.0.0.9", 7000, "")).bounds
         # When each request was written to the target.
@@ -134,7 +134,7 @@
         for _request in range(count):
             self._asked += 1
             connection = self.stage.call(ClientConnection, self._server)
-            transport = ListTransport(connection, self.stage.loop)
+            transport = InMemoryTransport(connection, self.stage.loop)
             self.stage.call(connection.connection_made, transport)
             self.stage.call(
                 connection.data_received,
@@ -164,7 +164,7 @@
             return
         owner = SimpleNamespace(on_hop=self.guard.on_hop, on_lost=lambda _connection: None)
         protocol = PeerConnection(owner)
-        far = ListTransport(protocol, self.stage.loop)
+        far = InMemoryTransport(protocol, self.stage.loop)
         protocol.connection_made(far)
         self._links.append((near, far))
 
--- a/tests/simulated_connections.py
+++ b/tests/simulated_connections.py
@@ -9,7 +9,7 @@
 from unittest import mock
 
 
-class ListTransport:
+class InMemoryTransport:
     """Keeps what its protocol writes until the test moves it."""
 
     def __init__(self, protocol, loop, address=""):
@@ -65,7 +65,7 @@
     resume_reading = pause_reading
 
 
-class ListLoop(asyncio.SelectorEventLoop):
+class InMemoryEventLoop(asyncio.SelectorEventLoop):
     """Opens connections by asking the test, which makes the other end."""
 
     # Given the address and the near transport; an OSError refuses.
@@ -77,20 +77,20 @@
         if self.gate is not None:
             await self.gate.wait()
         protocol = make_protocol()
-        transport = ListTransport(protocol, self, f"{host}:{port}")
+        transport = InMemoryTransport(protocol, self, f"{host}:{port}")
         self.connector(transport.address, transport)
         protocol.connection_made(transport)
         return transport, protocol
 
 
-class Stage:
+class Simulation:
     """A loop and a clock for one run of a state machine."""
 
     def __init__(self):
         self.now = 1000.0
         self._patch = mock.patch.object(time, "monotonic", lambda: self.now)
         self._patch.start()
-        self.loop = ListLoop()
+        self.loop = InMemoryEventLoop()
         # What was found wrong inside the programs' own tasks, which go on.
         self.faults = []
 
--- a/tests/simulated_leases.py
+++ b/tests/simulated_leases.py
@@ -159,7 +159,7 @@
     def leave(self):
         entered, self.entered = self.entered, []
         for prefix, request in entered:
-            if self.hops.may_leave("dealer", "10.0.0.1:80", request, self.clock):
+            if self.hops.is_still_allowed("dealer", "10.0.0.1:80", request, self.clock):
                 self.world.carry(prefix)
 
 
--- a/tests/simulated_target.py
+++ b/tests/simulated_target.py
@@ -10,7 +10,7 @@
     return b"\r\n".join(head) + b"\r\n\r\n" + body
 
 
-class Line:
+class SimulatedTargetConnection:
     """One connection, as the target sees it."""
 
     def __init__(self, transport):
--- a/tests/test_client_connection_model.py
+++ b/tests/test_client_connection_model.py
@@ -15,7 +15,7 @@
 from marblefold.http_connections.answer import Answer
 from marblefold.http_connections.client_connection import ClientConnection
 from marblefold.inner_protocol.body_pipe import BodyPipe
-from tests.simulated_connections import ListTransport, Stage
+from tests.simulated_connections import InMemoryTransport, Simulation
 
 CHOICE = st.integers(0, 10_000)
 SENT = {
@@ -72,11 +72,11 @@
 
     def __init__(self):
         super().__init__()
-        self.stage = Stage()
+        self.stage = Simulation()
         self.kinds, self.inbox, self.served = [], b"", []
         self.has_left = False
         self.connection = self.stage.call(ClientConnection, self)
-        self.transport = ListTransport(self.connection, self.stage.loop)
+        self.transport = InMemoryTransport(self.connection, self.stage.loop)
         self.stage.call(self.connection.connection_made, self.transport)
 
     def teardown(self):
--- a/tests/test_given_up_in_time.py
+++ b/tests/test_given_up_in_time.py
@@ -23,21 +23,21 @@
 from marblefold.request_path.outcome import HopOutcome
 from marblefold.request_path.target_caller import TargetCaller
 from tests.mesh_on_loopback import make_config
-from tests.simulated_connections import ListTransport, Stage
+from tests.simulated_connections import InMemoryTransport, Simulation
 
 GET = b"GET /1 HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\n\r\n"
 
 
 @pytest.fixture
 def stage():
-    stage = Stage()
+    stage = Simulation()
     yield stage
     stage.close()
 
 
 def open_client(stage, server):
     connection = stage.call(ClientConnection, server)
-    transport = ListTransport(connection, stage.loop)
+    transport = InMemoryTransport(connection, stage.loop)
     stage.call(connection.connection_made, transport)
     return connection, transport
 
@@ -82,7 +82,7 @@
     guard = stage.call(Guard, LocalTarget(lambda: None), MeshView("n"), bounds)
     connection = PeerConnection(guard)
     guard.on_lost = lambda _connection: None
-    transport = ListTransport(connection, stage.loop)
+    transport = InMemoryTransport(connection, stage.loop)
     stage.call(connection.connection_made, transport)
     return guard, connection, transport
 
--- a/tests/test_partner_leases.py
+++ b/tests/test_partner_leases.py
@@ -144,7 +144,7 @@
 
 def test_the_simulation_shows_what_the_far_end_check_is_for(monkeypatch):
     monkeypatch.setattr(
-        "marblefold.gateway.partner_hops.PartnerHops.may_leave", lambda *_args: True
+        "marblefold.gateway.partner_hops.PartnerHops.is_still_allowed", lambda *_args: True
     )
     assert carry_over_a_withdrawal(False).forbidden_carried == 1
     assert carry_over_a_withdrawal(True).forbidden_carried == 1
--- a/tests/test_peer_connection_model.py
+++ b/tests/test_peer_connection_model.py
@@ -19,7 +19,7 @@
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.request_path.hop_sender import HopSender
 from marblefold.request_path.outcome import HopOutcome
-from tests.simulated_connections import ListTransport, Stage
+from tests.simulated_connections import InMemoryTransport, Simulation
 from tests.simulated_peer import Body, Far
 
 CHOICE = st.integers(0, 10_000)
@@ -33,7 +33,7 @@
         super().__init__()
         self.patch = mock.patch.object(peer_connection, "LAST_NUMBER", self.last_number)
         self.patch.start()
-        self.stage = Stage()
+        self.stage = Simulation()
         self.stage.loop.connector = self.connect
         self.links, self.hops, self.asked, self.read = [], [], {}, {}
         self.is_dying = False
@@ -75,7 +75,7 @@
         if self.is_down:
             raise ConnectionRefusedError
         protocol = PeerConnection(self.far)
-        far = ListTransport(protocol, self.stage.loop)
+        far = InMemoryTransport(protocol, self.stage.loop)
         protocol.connection_made(far)
         self.links.append((near, far))
         if self.is_dying:
--- a/tests/test_sent_at_most_once.py
+++ b/tests/test_sent_at_most_once.py
@@ -28,7 +28,7 @@
 from marblefold.request_path.surroundings import Surroundings
 from marblefold.request_path.target_selection import TargetSelector
 from tests.mesh_on_loopback import make_config
-from tests.simulated_connections import ListTransport, Stage
+from tests.simulated_connections import InMemoryTransport, Simulation
 from tests.simulated_path import MOST, Asked, Write, make_entry, make_rows
 
 CHOICE = st.integers(0, 10_000)
@@ -45,7 +45,7 @@
 
     def __init__(self):
         super().__init__()
-        self.stage = Stage()
+        self.stage = Simulation()
         self.asked, self.links, self.lines, self.held = {}, [], [], set()
         self.opening_takes, self.refuses = 0.0, set()
         # For how long each link was silent.
@@ -88,7 +88,7 @@
             return
         owner = SimpleNamespace(on_hop=self.guards[number].on_hop, on_lost=lambda _connection: None)
         far_protocol = PeerConnection(owner)
-        far = ListTransport(far_protocol, self.stage.loop)
+        far = InMemoryTransport(far_protocol, self.stage.loop)
         far_protocol.connection_made(far)
         self.links.append((near, far, number))
 
@@ -148,7 +148,7 @@
     def ask_one(self, route, milliseconds):
         name = f"a{len(self.asked)}"
         connection = self.stage.call(ClientConnection, self.server)
-        transport = ListTransport(connection, self.stage.loop)
+        transport = InMemoryTransport(connection, self.stage.loop)
         self.stage.call(connection.connection_made, transport)
         now = self.stage.now
         ends = now + min(2.0, milliseconds / 1000)
--- a/tests/test_target_connection_model.py
+++ b/tests/test_target_connection_model.py
@@ -16,8 +16,8 @@
 from marblefold.node_config.model import Address
 from marblefold.request_path.outcome import HopOutcome
 from marblefold.request_path.target_caller import TargetCaller
-from tests.simulated_connections import Stage
-from tests.simulated_target import Line, pack
+from tests.simulated_connections import Simulation
+from tests.simulated_target import SimulatedTargetConnection, pack
 
 HEAD = re.compile(rb"GET / HTTP/1\.1\r\nAttempt-Id: (\w+)\r\n(?:[^\r]+\r\n)*\r\n")
 CHOICE = st.integers(0, 10_000)
@@ -32,7 +32,7 @@
 class TargetModel(RuleBasedStateMachine):
     def __init__(self):
         super().__init__()
-        self.stage = Stage()
+        self.stage = Simulation()
         self.lines, self.asked, self.checked = [], {}, set()
         self.refused, self.answers = set(), {}
         self.refuses_connections = False
@@ -46,7 +46,7 @@
     def connect(self, _address, transport):
         if self.refuses_connections:
             raise ConnectionRefusedError
-        self.lines.append(Line(transport))
+        self.lines.append(SimulatedTargetConnection(transport))
 
     def pick(self, choice, want):
         found = [line for line in self.lines if line.is_open and want(line)]
