--- a/marblefold/http_connections/client_connection.py
+++ b/marblefold/http_connections/client_connection.py
@@ -186,7 +186,7 @@
             log.error("request failed", attempt=request.attempt_id, error=repr(error))
             self.abort()
             return
-        place.take_answer(answer)
+        place.set_answer(answer)
         self._flush()
 
     def _flush(self) -> None:
--- a/marblefold/http_connections/http_server.py
+++ b/marblefold/http_connections/http_server.py
@@ -34,11 +34,11 @@
         """
         self.is_leaving = False
         # Late in the shutdown, new requests are refused.
-        self.turns_away = False
+        self.refuses_requests = False
         self.header_bytes = 16384
         self.idle_time = timedelta(seconds=15)
         self.header_time = timedelta(seconds=3)
-        self.last_arrival = time.monotonic()
+        self.last_request_at = time.monotonic()
         self.in_progress = 0
         self._handle = handle
         self._may_run_concurrently = may_run_concurrently
@@ -56,11 +56,11 @@
 
     async def handle(self, request: ClientRequest) -> Answer:
         """Serves one request."""
-        self.last_arrival = request.arrived
+        self.last_request_at = request.arrived
         self.in_progress += 1
         try:
             await self._watch.settle()
-            if self.turns_away:
+            if self.refuses_requests:
                 # Read whole first: a close with unread bytes resets the answer.
                 await request.read_body(_LARGEST_UNSERVED, _LARGEST_UNSERVED)
                 return own_answer(503, "leaving", request.attempt_id, 0.1, closes=True)
--- a/marblefold/http_connections/pipeline_slot.py
+++ b/marblefold/http_connections/pipeline_slot.py
@@ -19,7 +19,7 @@
         self.answer: Answer | None = None
         self._is_dropped = False
 
-    def take_answer(self, answer: Answer) -> None:
+    def set_answer(self, answer: Answer) -> None:
         """Stores the answer; if the client is gone, it is released instead."""
         if self._is_dropped:
             _release(answer)
--- a/marblefold/proxy/leaving.py
+++ b/marblefold/proxy/leaving.py
@@ -46,12 +46,12 @@
         if now - began > program.grace_period.total_seconds() * _TAKING_SHARE:
             # Clients may arrive as long as we listen: a request accepted later
             # than this could not be finished.
-            program.outbound.turns_away = True
+            program.outbound.refuses_requests = True
             program.outbound.stop()
         is_noticed = now - began > _NOTICED.total_seconds()
         is_quiet = (
-            program.outbound.turns_away
-            or now - program.outbound.last_arrival > _QUIET.total_seconds()
+            program.outbound.refuses_requests
+            or now - program.outbound.last_request_at > _QUIET.total_seconds()
         )
         if is_noticed and is_quiet:
             program.outbound.close_idle()
