--- a/marblefold/gateway/partner_hops.py
+++ b/marblefold/gateway/partner_hops.py
@@ -1,7 +1,7 @@
-"""The egress of partner routes: where a request leaves for the partner.
+"""The egress of partner routes: sends hops to the gateways of partners.
 
-A permission may have been revoked since the request arrived.  It is checked again
-after the connection is obtained, just before the first byte is sent.
+The permission may have been revoked since the request arrived.  It is checked again
+once a connection has been acquired, just before the first byte is sent.
 """
 
 import time
@@ -17,21 +17,21 @@
 
 __all__ = ["PartnerHops", "add_partner_hops"]
 
-# How many of a proxy's descriptors connections to partner gateways may use.
-_DESCRIPTORS = 64
+# How many of a proxy's file descriptors may be used for connections to partner gateways.
+_MAX_PARTNER_DESCRIPTORS = 64
 
 
 class PartnerHops:
-    """Sends hops to partners through their own sender, and all others as usual."""
+    """Sends hops to partners through a sender of their own, and all others by default."""
 
-    def __init__(self, usual: Hops, to_partners: TargetHops, view: MeshView) -> None:
-        self._usual = usual
-        self._to_partners = to_partners
+    def __init__(self, default_hops: Hops, partner_hops: TargetHops, view: MeshView) -> None:
+        self._default_hops = default_hops
+        self._partner_hops = partner_hops
         self._view = view
 
     def has_guard(self, upstream: str) -> bool:
-        """Whether a guard serves the upstream; a partner's gateway has none."""
-        return not partner_of(upstream) and self._usual.has_guard(upstream)
+        """Whether a guard protects the upstream; the gateway of a partner has none."""
+        return not partner_of(upstream) and self._default_hops.has_guard(upstream)
 
     async def send(
         self,
@@ -41,21 +41,23 @@
         body_bound: int,
         seconds: float,
     ) -> HopResult:
-        """The result of the hop, sent within `seconds`.
+        """Sends the hop and returns its result within `seconds`.
 
-        Raises BodyTooLarge if the request has more than `body_bound` bytes.
+        Raises BodyTooLarge if the body exceeds `body_bound` bytes.
         """
         partner = partner_of(head.upstream)
         if not partner:
-            return await self._usual.send(peer, head, request, body_bound, seconds)
-        # A partner does not know our instances.
+            return await self._default_hops.send(peer, head, request, body_bound, seconds)
+        # Partners do not know the instances of this mesh.
         head.expected_instance = ""
 
         def find_obstacle() -> str:
-            is_still_allowed = self.is_still_allowed(partner, peer, request, time.monotonic())
-            return "" if is_still_allowed else "not allowed any more"
+            is_allowed = self.is_still_allowed(partner, peer, request, time.monotonic())
+            return "" if is_allowed else "not allowed any more"
 
-        return await self._to_partners.send(peer, head, request, body_bound, seconds, find_obstacle)
+        return await self._partner_hops.send(
+            peer, head, request, body_bound, seconds, find_obstacle
+        )
 
     def is_still_allowed(
         self,
@@ -72,10 +74,11 @@
         return partners is not None and partners.addresses.get(partner) == peer
 
 
-def add_partner_hops(usual: Hops, view: MeshView, tasks: TaskKeeper) -> PartnerHops:
-    """Adds a sender for hops to partners to the usual one of a proxy."""
+def add_partner_hops(default_hops: Hops, view: MeshView, tasks: TaskKeeper) -> PartnerHops:
+    """Adds a sender for hops to partners to the default sender of a proxy."""
     pool = TargetPool(
-        _DESCRIPTORS, lambda: set(view.partners.addresses.values()) if view.partners else set()
+        _MAX_PARTNER_DESCRIPTORS,
+        lambda: set(view.partners.addresses.values()) if view.partners else set(),
     )
     tasks.start(pool.run())
-    return PartnerHops(usual, TargetHops(pool), view)
+    return PartnerHops(default_hops, TargetHops(pool), view)
--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -30,16 +30,16 @@
 
 __all__ = ["GatewayProgram"]
 
-_OVERDUE_LOOK = timedelta(seconds=10)
-# The platform keeps some descriptors for files; listeners, registries and the
-# loop take a few more.
-_KEPT_FOR_FILES = 200
-_KEPT_FOR_OURSELVES = 14
-_TARGET_SHARE = 0.5
+_OVERDUE_CHECK_INTERVAL = timedelta(seconds=10)
+# Descriptors of the platform's limit that files use; listeners, connections to
+# registries and the event loop take a few more.
+_FILE_DESCRIPTORS_FOR_FILES = 200
+_FILE_DESCRIPTORS_FOR_CONTROL = 14
+_TARGET_DESCRIPTOR_SHARE = 0.5
 
 
 class GatewayProgram:
-    """Puts the parts of a gateway together and runs them."""
+    """Creates the parts of a gateway and runs them."""
 
     def __init__(self, watch: ConfigWatch) -> None:
         config = watch.config
@@ -47,7 +47,7 @@
         self._config = config
         self.is_leaving = False
         self.view = MeshView(config.node_name)
-        # To save connections one feed is enough; a second registry is the standby.
+        # One feed is enough, which saves connections; a second registry is the standby.
         self.follower = RegistryFollower(
             config.node_name,
             self._seed_registries,
@@ -58,16 +58,22 @@
         selector = TargetSelector(
             self.view, config.zone, subset_of=config.node_name, has_guards=False
         )
-        free = config.limits.file_descriptors - _KEPT_FOR_FILES - _KEPT_FOR_OURSELVES
-        for_targets = max(4, int(free * _TARGET_SHARE))
+        free_descriptors = (
+            config.limits.file_descriptors
+            - _FILE_DESCRIPTORS_FOR_FILES
+            - _FILE_DESCRIPTORS_FOR_CONTROL
+        )
+        target_descriptors = max(4, int(free_descriptors * _TARGET_DESCRIPTOR_SHARE))
         self.surroundings = Surroundings(self.view, selector, config.bounds, config.limits)
-        self.pool = TargetPool(for_targets, self._addresses)
+        self.pool = TargetPool(target_descriptors, self._addresses)
         hops = TargetHops(self.pool)
         self.executor = RequestExecutor(
             self.surroundings, PartnerHops(hops, hops, self.view), RunningWork(), ""
         )
         self.outbound = HttpServer(
-            self.executor.serve, max(4, free - for_targets), self.executor.may_run_concurrently
+            self.executor.serve,
+            max(4, free_descriptors - target_descriptors),
+            self.executor.may_run_concurrently,
         )
         ready = CallRouter()
         ready.add(*wire_names.READINESS_CALL, self._readiness)
@@ -75,7 +81,7 @@
         self.view.on_configuration = self._on_configuration
         self._stop = asyncio.Event()
         self._tasks = TaskKeeper()
-        # Hops end at targets: there are no peers to pass marks on to.
+        # Hops end at targets, so there are no peers to propagate trace marks to.
         self._tracing = start_tracing(
             config, str(config.listen.get("front-http", "")), self.view, self.follower, self._tasks
         )
@@ -84,7 +90,7 @@
         self._traffic = TrafficTeller(self.surroundings.traffic, self.follower, config)
 
     async def run(self) -> None:
-        """Serves until a SIGTERM has been obeyed."""
+        """Serves until SIGTERM, then shuts down gracefully."""
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, self._stop.set)
         loop.add_signal_handler(signal.SIGHUP, self._watch.reread)
@@ -99,7 +105,7 @@
             self.outbound.run(),
             self._readiness_server.run(),
             self.pool.run(),
-            self._look_for_overdue(),
+            self._log_overdue(),
             self._traffic.run(),
         ):
             self._tasks.start(run)
@@ -112,12 +118,12 @@
         self._tasks.cancel()
 
     def tell_leaving(self) -> None:
-        """Fails the readiness checks, so that the platform sends clients elsewhere."""
+        """Fails the readiness checks, so that the platform routes clients elsewhere."""
         self.is_leaving = True
 
     @property
     def hops_in_progress(self) -> int:
-        """Always 0: a gateway serves no hops of peers."""
+        """Always 0: a gateway executes no hops for peers."""
         return 0
 
     @property
@@ -126,8 +132,8 @@
         return self._config.bounds.grace_period
 
     async def _readiness(self, _call: Call) -> Answer:
-        # Ready means: a client that comes now can be served as it should.
-        # Load is not considered: a full gateway refuses requests, but stays ready.
+        # Ready means that requests can be routed now.  Load is not considered: an
+        # overloaded gateway refuses requests, but stays ready.
         is_ready = not self.is_leaving and self.view.table is not None and self.view.peers()
         return json_answer(200 if is_ready else 503, {"ready": bool(is_ready)})
 
@@ -145,7 +151,7 @@
     def _on_config(self, config: NodeConfig) -> None:
         self._config = config
 
-    async def _look_for_overdue(self) -> None:
+    async def _log_overdue(self) -> None:
         while True:
-            await asyncio.sleep(_OVERDUE_LOOK.total_seconds())
-            self.surroundings.log_overdue(_OVERDUE_LOOK)
+            await asyncio.sleep(_OVERDUE_CHECK_INTERVAL.total_seconds())
+            self.surroundings.log_overdue(_OVERDUE_CHECK_INTERVAL)
--- a/marblefold/gateway/target_hops.py
+++ b/marblefold/gateway/target_hops.py
@@ -1,7 +1,7 @@
-"""Sends hops directly to a target, where a proxy sends them to a peer's guard.
+"""Sends hops directly to a target, where a proxy sends them to the guard of a peer.
 
-The same TargetCaller as behind a guard is used; its exchange is the local one
-below instead of one on a connection to a peer.
+It uses the same TargetCaller as a guard does, with an in-process exchange instead of
+one on a connection to a peer.
 """
 
 import asyncio
@@ -21,28 +21,28 @@
 
 
 class _RequestBody:
-    """The body of the client's request, as the caller reads it."""
+    """The body of the client's request, as a BodySource of TargetCaller."""
 
-    def __init__(self, request: ForwardedRequest, bound: int) -> None:
+    def __init__(self, request: ForwardedRequest, max_bytes: int) -> None:
         self._request = request
-        self._bound = bound
+        self._max_bytes = max_bytes
 
     async def read(self) -> bytes:
-        return await self._request.read_chunk(self._bound)
+        return await self._request.read_chunk(self._max_bytes)
 
 
 class _TargetExchange:
-    """The hop as TargetCaller uses it."""
+    """An in-process exchange: what TargetCaller sends is the answer of the hop."""
 
-    def __init__(self, request: ForwardedRequest, bound: int) -> None:
-        self.incoming = _RequestBody(request, bound)
+    def __init__(self, request: ForwardedRequest, max_bytes: int) -> None:
+        self.incoming = _RequestBody(request, max_bytes)
         self.answer: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
         self.pipe = BodyPipe(self._grant)
         self._credit = FIRST_CREDIT
         self._waiter: asyncio.Future | None = None
 
     def send(self, kind: FrameKind, payload: bytes = b"") -> None:
-        """Applies a frame of the answer."""
+        """Handles a frame of the answer."""
         if kind == FrameKind.ANSWER and not self.answer.done():
             self.answer.set_result(payload)
         elif kind == FrameKind.BODY_END:
@@ -51,7 +51,7 @@
             self.pipe.break_off(MeshError("answer", "aborted by the target"))
 
     async def send_body(self, chunk: bytes) -> None:
-        """A part of the answer's body; waits for a client that reads slowly."""
+        """Passes on a part of the answer's body; waits while the client's credit is used up."""
         self._credit -= len(chunk)
         self.pipe.feed(chunk)
         while self._credit <= 0:
@@ -83,10 +83,15 @@
         seconds: float,
         find_obstacle: Callable[[], str] | None = None,
     ) -> HopResult:
-        """The hop's end; it raises only BodyTooLarge and a lost client."""
+        """Sends the hop and returns its result within `seconds`.
+
+        `find_obstacle` is called just before the first byte is sent; a text other than
+        "" prevents it.  Raises BodyTooLarge if the body exceeds `body_bound` bytes, and
+        ConnectionError if the client is lost.
+        """
         caller = self._pool.caller(peer)
         if caller is None:
-            # Nothing was sent: certain.
+            # Nothing was sent, so the request was certainly not executed.
             return HopResult(HopOutcome.NEVER_OFFERED, step="no descriptor", retry_after=0.1)
         started = time.monotonic()
         exchange = _TargetExchange(request, body_bound)
@@ -94,21 +99,22 @@
             caller.offer(exchange, head, seconds, find_obstacle)
         )
         try:
-            # The body of a large answer follows its head; a small one is part of it.
+            # A large answer arrives on the exchange, with its body behind its head; a
+            # small one is the result of the call.
             await asyncio.wait({offer, exchange.answer}, return_when=asyncio.FIRST_COMPLETED)
         except asyncio.CancelledError:
             offer.cancel()
             raise
         if exchange.answer.done():
             answer_head = kinds.AnswerHead.FromString(exchange.answer.result())
-            offer.add_done_callback(_look_at_end)
+            offer.add_done_callback(_retrieve_error)
         else:
             answer_head = offer.result()
         answer_head.service_us = int((time.monotonic() - started) * 1e6)
         return make_result(answer_head, exchange.pipe, offer.cancel, request.method)
 
 
-def _look_at_end(offer: asyncio.Task) -> None:
-    # The pipe carries the error of a large answer; mark it as retrieved here.
+def _retrieve_error(offer: asyncio.Task) -> None:
+    # The reader of the pipe sees the error; asyncio would log it as never retrieved.
     if not offer.cancelled():
         offer.exception()
--- a/marblefold/http_connections/answer.py
+++ b/marblefold/http_connections/answer.py
@@ -1,4 +1,4 @@
-"""The answer to a client as a value, and the encoder of its head."""
+"""The answer to a client, and the encoder of its status line and headers."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -13,7 +13,7 @@
 
 
 class Answer(NamedTuple):
-    """An answer ready to be written; the body is in `body` or comes through a pipe."""
+    """An answer ready to be written; its body is in `body` or comes through `pipe`."""
 
     status: int
     reason: bytes = b""
@@ -21,9 +21,9 @@
     body: bytes = b""
     pipe: BodyPipe | None = None
     closes: bool = False
-    # The answer to HEAD states a length but carries no body.
+    # An answer to HEAD states a length but has no body.
     is_bodiless: bool = False
-    # Called once the answer is written or given up.
+    # Called once the answer has been written or dropped.
     release: Callable[[], object] | None = None
 
 
@@ -34,7 +34,7 @@
     retry_after: float | None = None,
     closes: bool = False,
 ) -> Answer:
-    """An answer of the mesh itself; `retry_after` is in seconds."""
+    """Returns a plain text answer of the mesh itself; `retry_after` is in seconds."""
     block = b"Content-Type: text/plain\r\n"
     if attempt_id:
         block += wire_names.ATTEMPT_ID + b": " + attempt_id.encode("latin-1") + b"\r\n"
@@ -44,7 +44,7 @@
 
 
 def pack_head(answer: Answer, closes: bool, is_chunked: bool) -> bytes:
-    """The head of the answer on the wire."""
+    """Returns the bytes of the status line and headers."""
     reason = answer.reason or _REASONS.get(answer.status, b"Unknown")
     parts = [b"HTTP/1.1 %d " % answer.status, reason, b"\r\n", answer.header_block]
     if is_chunked:
--- a/marblefold/http_connections/call_router.py
+++ b/marblefold/http_connections/call_router.py
@@ -1,4 +1,4 @@
-"""Routes calls of targets and operators to their handlers."""
+"""Routes control calls of targets and operators to their handlers."""
 
 import json
 from collections.abc import Awaitable, Callable
@@ -14,18 +14,18 @@
 
 __all__ = ["Call", "CallRouter", "invalid_order_answer", "json_answer", "outcome_unknown_answer"]
 
-_RETRY_SECONDS = 0.2
-_LONGEST_PATH = 1024
+_RETRY_AFTER_SECONDS = 0.2
+_MAX_PATH_LENGTH = 1024
 
 
 class Call(NamedTuple):
-    """One call of a target or an operator, with its whole body."""
+    """One call of a target or an operator, with its complete body."""
 
     subject: str
     body: bytes
     # The bearer token of the caller.
     credential: str = ""
-    # The query string, not decoded.
+    # The query string, still percent-encoded.
     query: str = ""
 
 
@@ -33,7 +33,7 @@
 
 
 def json_answer(status: int, document: object, retry_after: float | None = None) -> Answer:
-    """An answer with a JSON document; `retry_after` is in seconds.
+    """Returns an answer with a JSON document; `retry_after` is in seconds.
 
     Raises TypeError if the document cannot be encoded.
     """
@@ -44,56 +44,57 @@
 
 
 def outcome_unknown_answer(error: MeshError) -> Answer:
-    """503: no majority answered in time, so the order may or may not take effect."""
+    """Returns 503: no majority answered in time, so the order may or may not take effect."""
     log.warning("outcome unknown", step=error.step, peer=error.peer, reason=error.reason)
-    return json_answer(503, {wire_names.REASON: str(error)}, _RETRY_SECONDS)
+    return json_answer(503, {wire_names.REASON: str(error)}, _RETRY_AFTER_SECONDS)
 
 
 def invalid_order_answer(group: ExceptionGroup) -> Answer:
-    """400: an invalid order, with every fault and its place."""
+    """Returns 400 with every error of an invalid order and its location."""
     return json_answer(
         400,
-        {wire_names.REASON: [getattr(fault, "reason", str(fault)) for fault in group.exceptions]},
+        {wire_names.REASON: [getattr(error, "reason", str(error)) for error in group.exceptions]},
     )
 
 
 class _Route(NamedTuple):
-    """The handler of a method at a path, and the largest body in bytes."""
+    """The handler of a method at a path, and the maximum body size in bytes."""
 
     serve: Serve
     max_body_bytes: int
 
 
 async def _serve(route: _Route, call: Call) -> Answer:
-    """The answer of a call; 503 if the handler failed.
+    """Returns the handler's answer, or 503 if the handler failed.
 
-    The order may or may not have taken effect, and no other status would be true.
+    After a failure the order may or may not have taken effect; any other status would
+    claim one or the other.
     """
     try:
         return await route.serve(call)
     except Exception as error:
         log.exception("control call failed", subject=ascii(call.subject))
         reason = f"a fault of ours: {type(error).__name__}"
-        return json_answer(503, {wire_names.REASON: reason}, _RETRY_SECONDS)
+        return json_answer(503, {wire_names.REASON: reason}, _RETRY_AFTER_SECONDS)
 
 
 class CallRouter:
-    """Knows each path once; other paths are 404, other methods 405."""
+    """Dispatches calls by path and method: 404 for unknown paths, 405 for other methods."""
 
     def __init__(self) -> None:
         self._routes: dict[str, dict[str, _Route]] = {}
 
     def add(self, method: str, path: str, serve: Serve, max_body_bytes: int = 4096) -> None:
-        """Serves the method at the path; {} at its end stands for a subject.
+        """Registers a handler; a path may end in {}, which matches any subject.
 
-        `max_body_bytes` is the largest body, in bytes.
+        `max_body_bytes` is the maximum body size in bytes.
         """
         self._routes.setdefault(path, {})[method] = _Route(serve, max_body_bytes)
 
     async def handle(self, request: ClientRequest) -> Answer:
-        """The answer to any call."""
-        path, _sign, query = request.path.partition("?")
-        if not path.isprintable() or len(path) > _LONGEST_PATH:
+        """Returns the answer to a call."""
+        path, _separator, query = request.path.partition("?")
+        if not path.isprintable() or len(path) > _MAX_PATH_LENGTH:
             return json_answer(400, {wire_names.REASON: "path: too long, or not readable"})
         methods, subject = self._find(path)
         if methods is None:
@@ -106,7 +107,9 @@
                 header_block=answer.header_block + b"Allow: " + allowed.encode() + b"\r\n"
             )
         try:
-            body, _whole = await request.read_body(route.max_body_bytes + 1, route.max_body_bytes)
+            body, _is_complete = await request.read_body(
+                route.max_body_bytes + 1, route.max_body_bytes
+            )
         except BodyTooLarge:
             document = {wire_names.REASON: f"more than {route.max_body_bytes} bytes"}
             return json_answer(413, document)._replace(closes=True)
@@ -120,7 +123,7 @@
         methods = self._routes.get(path)
         if methods is not None:
             return methods, ""
-        parent, _slash, subject = path.rpartition("/")
+        parent, _separator, subject = path.rpartition("/")
         if not subject:
             return None, ""
         return self._routes.get(parent + "/{}"), unquote(subject)
--- a/marblefold/http_connections/client_connection.py
+++ b/marblefold/http_connections/client_connection.py
@@ -1,8 +1,8 @@
-"""One connection from a client: requests in, answers out in their order.
+"""One connection from a client; its requests are answered in order.
 
-The parser is aiohttp's.  Its own server answers pipelined requests one by
-one; here repeatable ones behind each other run together, since a client
-that sends several at once waits for them all.
+The parser is aiohttp's.  aiohttp's own server runs pipelined requests one by one; here
+consecutive repeatable ones run concurrently, since a client that pipelines requests
+waits for all of them.
 """
 
 import asyncio
@@ -25,13 +25,13 @@
 
 __all__ = ["ClientConnection", "ConnectionServer"]
 
-_PARSER_BUFFER = 128 * 1024
-_MOST_TOGETHER = 8
-_REPEATABLE = ("GET", "HEAD", "OPTIONS")
+_PARSER_BUFFER_BYTES = 128 * 1024
+_MAX_CONCURRENT_REQUESTS = 8
+_SAFE_METHODS = ("GET", "HEAD", "OPTIONS")
 
 
 class ConnectionServer(Protocol):
-    """What a connection needs of the server that accepted it."""
+    """The interface of the server that accepted a connection."""
 
     is_leaving: bool
     header_bytes: int
@@ -46,91 +46,94 @@
 
 
 class ClientConnection(BaseProtocol):
-    """Owns one accepted connection."""
+    """Reads requests from one accepted connection and writes their answers."""
 
-    # Set from the start here; the base class leaves it optional.
+    # Always set here; optional in the base class.
     _parser: HttpRequestParser
 
-    def __init__(self, keeper: ConnectionServer) -> None:
+    def __init__(self, server: ConnectionServer) -> None:
         loop = asyncio.get_running_loop()
         super().__init__(loop)
-        self._keeper = keeper
+        self._server = server
         self._parser = HttpRequestParser(
             self,
             loop,
-            _PARSER_BUFFER,
-            max_line_size=keeper.header_bytes,
-            max_field_size=keeper.header_bytes,
+            _PARSER_BUFFER_BYTES,
+            max_line_size=server.header_bytes,
+            max_field_size=server.header_bytes,
         )
-        self._places: deque[PipelineSlot] = deque()
+        self._slots: deque[PipelineSlot] = deque()
         self._is_closing = False
-        self._writing: asyncio.Task | None = None
+        self._write_task: asyncio.Task | None = None
         self._payload: StreamReader | None = None
-        self.quiet_since = time.monotonic()
-        # When the first bytes of a head came that is not whole yet.
-        self.head_since: float | None = None
+        self.last_activity_at = time.monotonic()
+        # When the first bytes of a still incomplete head arrived (monotonic seconds).
+        self.partial_head_since: float | None = None
 
     @property
     def is_idle(self) -> bool:
         """Whether no request is being served."""
-        return not self._places and self._writing is None
+        return not self._slots and self._write_task is None
 
     def connection_made(self, transport) -> None:
         super().connection_made(transport)
-        self._keeper.on_connection_made(self)
+        self._server.on_connection_made(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         super().connection_lost(exc)
         self._is_closing = True
         if self._payload is not None:
             self._payload.set_exception(ConnectionResetError("client left"))
-        # The client is gone: stop the work at the targets too.
-        for place in self._places:
-            place.drop()
-        if self._writing is not None:
-            self._writing.cancel()
-        self._places.clear()
-        self._keeper.on_connection_lost(self)
+        # The client has disconnected: cancel the work at the targets too.
+        for slot in self._slots:
+            slot.cancel()
+        if self._write_task is not None:
+            self._write_task.cancel()
+        self._slots.clear()
+        self._server.on_connection_lost(self)
 
     def data_received(self, data: bytes) -> None:
         if self._is_closing:
             return
-        self.quiet_since = time.monotonic()
+        self.last_activity_at = time.monotonic()
         try:
             messages, _upgraded, _tail = self._parser.feed_data(data)
         except (HttpProcessingError, ValueError) as error:
-            self._refuse_bytes(error)
+            self._refuse_malformed(error)
             return
         for message, payload in messages:
             self._payload = payload
             size = sum(len(name) + len(value) + 4 for name, value in message.raw_headers)
-            if size > self._keeper.header_bytes:
-                self._refuse_bytes(LineTooLong("head", self._keeper.header_bytes))
+            if size > self._server.header_bytes:
+                self._refuse_malformed(LineTooLong("head", self._server.header_bytes))
                 return
-            self._places.append(
+            self._slots.append(
                 PipelineSlot(
-                    ClientRequest(message, payload, self.quiet_since, self._write_continue)
+                    ClientRequest(message, payload, self.last_activity_at, self._write_continue)
                 )
             )
         if messages:
-            self.head_since = None
-            self._start_places()
-        elif data and not self._places and self.head_since is None:
-            self.head_since = self.quiet_since
+            self.partial_head_since = None
+            self._start_requests()
+        elif data and not self._slots and self.partial_head_since is None:
+            self.partial_head_since = self.last_activity_at
 
     def refuse_slow_head(self) -> None:
-        """Answers 408 to a head that took too long, and closes the connection."""
+        """Answers 408 to a head that did not arrive in time, and closes the connection."""
         self._append_answer(own_answer(408, "the head took too long", closes=True))
 
     def close_if_idle(self) -> bool:
-        """Closes the connection unless a request is being served on it."""
-        if not self.is_idle or self.head_since is not None:
+        """Closes the connection unless a request is being served or received on it.
+
+        Returns whether it was closed.
+        """
+        if not self.is_idle or self.partial_head_since is not None:
             return False
         self._close()
         return True
 
     def abort(self) -> None:
-        """Aborts the connection at once, without an answer."""
+        """Resets the connection at once, without an answer."""
         self._is_closing = True
         if self.transport is not None:
             self.transport.abort()
@@ -140,97 +143,99 @@
         if self.transport is not None:
             self.transport.close()
 
-    def _refuse_bytes(self, error: Exception) -> None:
-        # What follows malformed bytes cannot be parsed, and a body in transfer
-        # will not be complete.
+    def _refuse_malformed(self, error: Exception) -> None:
+        # Nothing after malformed bytes can be parsed, so a body in transfer stays
+        # incomplete.
         if self._payload is not None and not self._payload.is_eof():
             self._payload.set_exception(ConnectionResetError("the body cannot be read"))
-        is_long = isinstance(error, LineTooLong) and not isinstance(error, BadStatusLine)
-        status = 431 if is_long else 400
+        is_too_long = isinstance(error, LineTooLong) and not isinstance(error, BadStatusLine)
+        status = 431 if is_too_long else 400
         self._append_answer(own_answer(status, "the request cannot be read", closes=True))
 
     def _append_answer(self, answer: Answer) -> None:
-        place = PipelineSlot(None)
-        place.answer = answer
-        self._places.append(place)
+        slot = PipelineSlot(None)
+        slot.answer = answer
+        self._slots.append(slot)
         self._flush()
 
     def _write_continue(self) -> None:
         if self.transport is not None:
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _start_places(self) -> None:
-        together = 0
-        for place in self._places:
-            request = place.request
+    def _start_requests(self) -> None:
+        running = 0
+        for slot in self._slots:
+            request = slot.request
             if request is None:
                 break
-            is_repeatable = request.method in _REPEATABLE and not request.has_body
-            # A request that may not be repeated runs alone and in order.
-            if together and not (is_repeatable and self._keeper.may_run_concurrently(request)):
+            is_repeatable = request.method in _SAFE_METHODS and not request.has_body
+            # A request that must not run twice starts only once all earlier ones
+            # have been answered, and none starts before it is answered.
+            if running and not (is_repeatable and self._server.may_run_concurrently(request)):
                 break
-            if place.task is None and place.answer is None:
-                place.task = self._loop.create_task(self._serve(place, request))
-            together += 1
-            if not is_repeatable or together >= _MOST_TOGETHER:
+            if slot.task is None and slot.answer is None:
+                slot.task = self._loop.create_task(self._serve(slot, request))
+            running += 1
+            if not is_repeatable or running >= _MAX_CONCURRENT_REQUESTS:
                 break
 
-    async def _serve(self, place: PipelineSlot, request: ClientRequest) -> None:
+    async def _serve(self, slot: PipelineSlot, request: ClientRequest) -> None:
         try:
-            answer = await self._keeper.handle(request)
+            answer = await self._server.handle(request)
         except ConnectionError:
-            # The body was truncated or is malformed: there is no valid request.
+            # The body is truncated or malformed, so the request is invalid.
             answer = own_answer(400, "the body cannot be read", closes=True)
         except Exception as error:
-            # It is unknown what was begun; only a reset makes no claim about it.
+            # The request may or may not have been executed; any answer would claim one
+            # or the other, a reset does not.
             log.error("request failed", attempt=request.attempt_id, error=repr(error))
             self.abort()
             return
-        place.set_answer(answer)
+        slot.set_answer(answer)
         self._flush()
 
     def _flush(self) -> None:
-        """Writes the answers that are next in order."""
-        while self._places and self._writing is None and not self._is_closing:
-            place = self._places[0]
-            answer = place.answer
+        """Writes the answers that are next in order, and starts the requests behind them."""
+        while self._slots and self._write_task is None and not self._is_closing:
+            slot = self._slots[0]
+            answer = slot.answer
             if answer is None:
                 break
             if answer.pipe is not None:
-                self._writing = self._loop.create_task(
-                    self._write_in_parts(place, answer, answer.pipe)
+                self._write_task = self._loop.create_task(
+                    self._write_streamed(slot, answer, answer.pipe)
                 )
                 break
-            closes = self._closes(place, answer)
+            closes = self._must_close(slot, answer)
             if self.transport is None:
                 break
             self.transport.write(pack_head(answer, closes, False) + answer.body)
             self._finish(closes)
         if not self._is_closing:
-            self._start_places()
+            self._start_requests()
 
-    def _closes(self, place: PipelineSlot, answer: Answer) -> bool:
-        request = place.request
+    def _must_close(self, slot: PipelineSlot, answer: Answer) -> bool:
+        request = slot.request
         if request is None or answer.closes or request.closes:
             return True
-        # A body not read to its end would be parsed as a request.
+        # The unread rest of a body would be parsed as a request.
         if not request.is_body_complete:
             return True
-        return self._keeper.is_leaving and len(self._places) == 1
+        return self._server.is_leaving and len(self._slots) == 1
 
     def _finish(self, closes: bool) -> None:
-        self._places.popleft()
-        self.quiet_since = time.monotonic()
+        self._slots.popleft()
+        self.last_activity_at = time.monotonic()
         if closes:
-            for place in self._places:
-                place.drop()
-            self._places.clear()
+            for slot in self._slots:
+                slot.cancel()
+            self._slots.clear()
             self._close()
 
-    async def _write_in_parts(self, place: PipelineSlot, answer: Answer, pipe: BodyPipe) -> None:
-        request = place.request
+    async def _write_streamed(self, slot: PipelineSlot, answer: Answer, pipe: BodyPipe) -> None:
+        request = slot.request
         is_chunked = request is None or not request.is_http_1_0
-        closes = self._closes(place, answer) or not is_chunked
+        closes = self._must_close(slot, answer) or not is_chunked
         try:
             transport = self.transport
             if transport is None:
@@ -244,12 +249,12 @@
             if is_chunked:
                 transport.write(b"0\r\n\r\n")
         except (MeshError, ConnectionError):
-            # An early end must never look complete: reset the connection.
+            # A truncated answer must not look complete: reset the connection.
             if self.transport is not None:
                 self.transport.abort()
             return
         finally:
-            self._writing = None
+            self._write_task = None
             if answer.release is not None:
                 answer.release()
         self._finish(closes)
--- a/marblefold/http_connections/client_request.py
+++ b/marblefold/http_connections/client_request.py
@@ -1,4 +1,4 @@
-"""A request as a client sent it."""
+"""The request of a client: its head, and its body as it arrives or buffered."""
 
 from collections.abc import Callable
 
@@ -15,7 +15,7 @@
 __all__ = ["BodyTooLarge", "ClientRequest", "BufferedRequest", "ForwardedRequest"]
 
 
-_HELD_CHUNK = 16 * 1024
+_BUFFERED_CHUNK_BYTES = 16 * 1024
 
 
 class BodyTooLarge(Exception):
@@ -23,7 +23,7 @@
 
 
 class ClientRequest:
-    """The head of a request, and its body as far as it has come."""
+    """The head of a request, and its body, which may still be arriving."""
 
     def __init__(self, message, payload, arrived: float, write_continue: Callable) -> None:
         self.method: str = message.method
@@ -40,11 +40,11 @@
         self._payload = payload
         self._wants_continue = message.headers.get("Expect", "").lower() == "100-continue"
         self._write_continue = write_continue
-        self._taken = 0
+        self._received_bytes = 0
 
     @property
     def deadline_ms(self) -> float | None:
-        """How long the client waits, in milliseconds, or None without a valid header."""
+        """How long the client waits in milliseconds, or None without a valid header."""
         text = find_header(self.headers, wire_names.DEADLINE_MS)
         try:
             value = float(text) if text is not None else None
@@ -54,18 +54,18 @@
 
     @property
     def is_body_complete(self) -> bool:
-        """Whether nothing of the body is still to come."""
+        """Whether the whole body has arrived and been read."""
         return not self.has_body or self._payload.at_eof()
 
     def header_block(self) -> bytes:
-        """The header lines to forward."""
+        """Returns the header lines to forward."""
         return make_header_block(self.headers, UNFORWARDED_REQUEST_HEADERS)
 
-    async def read_chunk(self, most: int) -> bytes:
-        """The next part of the body; empty at its end.
+    async def read_chunk(self, max_bytes: int) -> bytes:
+        """Returns the next part of the body, or b"" at its end.
 
-        Raises BodyTooLarge above `most` bytes in all, and ConnectionError if the body
-        is malformed or the client is lost.
+        Raises BodyTooLarge if the body exceeds `max_bytes` in total, and ConnectionError
+        if it is malformed or the connection is lost.
         """
         if not self.has_body:
             return b""
@@ -76,25 +76,26 @@
             chunk = await self._payload.readany()
         except HttpProcessingError as error:
             raise ConnectionError(str(error)) from error
-        self._taken += len(chunk)
-        if self._taken > most:
+        self._received_bytes += len(chunk)
+        if self._received_bytes > max_bytes:
             raise BodyTooLarge()
         return chunk
 
-    async def read_body(self, bound: int, most: int) -> tuple[bytes, bool]:
-        """Reads about `bound` bytes of the body; returns them and whether that is all.
+    async def read_body(self, enough_bytes: int, max_bytes: int) -> tuple[bytes, bool]:
+        """Reads the body until `enough_bytes` have been read or it ends.
 
-        Raises BodyTooLarge above `most` bytes, and ConnectionError if the body is
-        malformed or the client is lost.
+        Returns what was read, and whether that is the whole body.  Raises BodyTooLarge
+        if the body exceeds `max_bytes`, and ConnectionError if it is malformed or the
+        connection is lost.
         """
         if not self.has_body:
             return b"", True
-        if self.body_length > most:
+        if self.body_length > max_bytes:
             raise BodyTooLarge()
         parts: list[bytes] = []
         size = 0
-        while size < bound:
-            chunk = await self.read_chunk(most)
+        while size < enough_bytes:
+            chunk = await self.read_chunk(max_bytes)
             if not chunk:
                 return b"".join(parts), True
             parts.append(chunk)
@@ -103,21 +104,21 @@
 
 
 class BufferedRequest:
-    """A request with a buffered body, for one attempt to send it."""
+    """A request with a buffered body; one instance serves one attempt to send it."""
 
     def __init__(self, request: ClientRequest, body: bytes) -> None:
         self.method = request.method
         self.host = request.host
         self.path = request.path
         self._body = body
-        self._place = 0
+        self._offset = 0
 
-    async def read_chunk(self, _most: int) -> bytes:
-        """The next part of the body; empty at its end."""
-        chunk = self._body[self._place : self._place + _HELD_CHUNK]
-        self._place += len(chunk)
+    async def read_chunk(self, _max_bytes: int) -> bytes:
+        """Returns the next part of the body, or b"" at its end."""
+        chunk = self._body[self._offset : self._offset + _BUFFERED_CHUNK_BYTES]
+        self._offset += len(chunk)
         return chunk
 
 
-# What a hop sends: the request as it is read, or one whose body is held.
+# What a hop forwards: a request that is still being read, or one with a buffered body.
 ForwardedRequest = ClientRequest | BufferedRequest
--- a/marblefold/http_connections/heads.py
+++ b/marblefold/http_connections/heads.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers: what may pass a proxy and what may not."""
+"""Headers of requests and answers, and which of them a proxy forwards."""
 
 from collections.abc import Iterable, Sequence
 
@@ -23,7 +23,7 @@
         b"content-length",
     )
 )
-# Set by the mesh itself, never forwarded.
+# Besides the hop-by-hop headers, those that the mesh handles or sets itself.
 UNFORWARDED_REQUEST_HEADERS = _HOP_BY_HOP | {
     b"expect",
     b"deadline-ms",
@@ -36,18 +36,18 @@
 
 
 def find_header(headers: RawHeaders, name: bytes) -> bytes | None:
-    """The first value of the header, or None; names are case-insensitive."""
-    lowered = name.lower()
+    """Returns the first value of the header, or None; names are case-insensitive."""
+    lowercase_name = name.lower()
     for key, value in headers:
-        if key.lower() == lowered:
+        if key.lower() == lowercase_name:
             return value
     return None
 
 
 def make_header_block(headers: RawHeaders, dropped: Iterable[bytes]) -> bytes:
-    """The header lines to forward, with duplicates and in order."""
+    """Returns the header lines to forward, with duplicates and in order."""
     connection = find_header(headers, b"connection")
-    # A header named by Connection concerns that connection only.
+    # Headers named by Connection are hop-by-hop too.
     if connection is not None and connection.lower() not in (b"keep-alive", b"close"):
         dropped = set(dropped)
         dropped.update(name.strip().lower() for name in connection.split(b","))
--- a/marblefold/http_connections/http_server.py
+++ b/marblefold/http_connections/http_server.py
@@ -1,4 +1,4 @@
-"""Accepts the connections of clients and closes idle or slow ones."""
+"""Accepts connections of clients, and closes those that are idle or slow."""
 
 import asyncio
 import time
@@ -14,9 +14,9 @@
 
 __all__ = ["HttpServer"]
 
-_SWEEP = timedelta(milliseconds=500)
-_BACKLOG = 1024
-_LARGEST_UNSERVED = 64 * 1024 * 1024
+_SWEEP_INTERVAL = timedelta(milliseconds=500)
+_LISTEN_BACKLOG = 1024
+_MAX_DISCARDED_BODY_BYTES = 64 * 1024 * 1024
 
 
 class HttpServer:
@@ -25,33 +25,33 @@
     def __init__(
         self,
         handle: Callable[[ClientRequest], Awaitable[Answer]],
-        most_connections: int | None = None,
+        max_connections: int | None = None,
         may_run_concurrently: Callable[[ClientRequest], bool] = lambda request: True,
     ) -> None:
-        """Whether a pipelined request may run before the ones ahead of it are
-        answered is asked of may_run_concurrently; a client sends it again where one of
-        those ends the connection.
+        """`may_run_concurrently` decides whether a pipelined request may run before the
+        ones ahead of it are answered.  If one of those closes the connection, the client
+        sends the request again, so it must be safe to run twice.
         """
         self.is_leaving = False
-        # Late in the shutdown, new requests are refused.
+        # Set late in the shutdown: new requests are answered with 503.
         self.refuses_requests = False
         self.header_bytes = 16384
-        self.idle_time = timedelta(seconds=15)
-        self.header_time = timedelta(seconds=3)
+        self.idle_timeout = timedelta(seconds=15)
+        self.header_timeout = timedelta(seconds=3)
         self.last_request_at = time.monotonic()
         self.in_progress = 0
         self._handle = handle
         self._may_run_concurrently = may_run_concurrently
-        self._watch = LoopWatch(_SWEEP.total_seconds())
-        self._most_connections = most_connections
+        self._loop_watch = LoopWatch(_SWEEP_INTERVAL.total_seconds())
+        self._max_connections = max_connections
         self._connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
 
     async def start(self, address: Address) -> None:
-        """Begins to listen; OSError if the address cannot be bound."""
+        """Starts listening; raises OSError if the address cannot be bound."""
         loop = asyncio.get_running_loop()
         self._server = await loop.create_server(
-            lambda: ClientConnection(self), address.host, address.port, backlog=_BACKLOG
+            lambda: ClientConnection(self), address.host, address.port, backlog=_LISTEN_BACKLOG
         )
 
     async def handle(self, request: ClientRequest) -> Answer:
@@ -59,27 +59,31 @@
         self.last_request_at = request.arrived
         self.in_progress += 1
         try:
-            await self._watch.settle()
+            await self._loop_watch.settle()
             if self.refuses_requests:
-                # Read whole first: a close with unread bytes resets the answer.
-                await request.read_body(_LARGEST_UNSERVED, _LARGEST_UNSERVED)
+                # The body is read first: closing with unread bytes resets the
+                # connection, and the client may lose the answer.
+                await request.read_body(_MAX_DISCARDED_BODY_BYTES, _MAX_DISCARDED_BODY_BYTES)
                 return own_answer(503, "leaving", request.attempt_id, 0.1, closes=True)
             return await self._handle(request)
         finally:
             self.in_progress -= 1
 
     def may_run_concurrently(self, request: ClientRequest) -> bool:
-        """Whether the request may run twice, and so before its turn."""
+        """Whether a pipelined request may run before those ahead of it are answered.
+
+        Such a request may run twice, so it must be repeatable.
+        """
         return self._may_run_concurrently(request)
 
     def on_connection_made(self, connection: ClientConnection) -> None:
-        """A client has connected."""
+        """Registers a new connection, and closes one if there are too many."""
         self._connections.add(connection)
-        if self._most_connections is not None and len(self._connections) > self._most_connections:
-            self._make_room(connection)
+        if self._max_connections is not None and len(self._connections) > self._max_connections:
+            self._evict_connection(connection)
 
     def on_connection_lost(self, connection: ClientConnection) -> None:
-        """A client has disconnected."""
+        """Removes a closed connection."""
         self._connections.discard(connection)
 
     def close_idle(self) -> None:
@@ -90,22 +94,24 @@
     def set_limits(self, limits: Limits) -> None:
         """Applies the operator's limits for clients."""
         self.header_bytes = limits.header_bytes
-        self.header_time = limits.header_time
-        self.idle_time = limits.idle_time
+        self.header_timeout = limits.header_time
+        self.idle_timeout = limits.idle_time
 
-    def _make_room(self, newcomer: ClientConnection) -> None:
-        """Closes a connection, so that descriptors are left for connections to targets."""
+    def _evict_connection(self, new_connection: ClientConnection) -> None:
+        """Closes one connection, so that file descriptors remain for targets."""
         idle = [
             connection
             for connection in self._connections
-            if connection is not newcomer and connection.is_idle and connection.head_since is None
+            if connection is not new_connection
+            and connection.is_idle
+            and connection.partial_head_since is None
         ]
-        # Any client resends what was not read, so if no connection is idle the
-        # new one is closed before it is read.
+        # If no connection is idle, the new one is closed before anything is read from
+        # it: clients may safely resend a request of which nothing was read.
         if idle:
-            min(idle, key=lambda connection: connection.quiet_since).close_if_idle()
+            min(idle, key=lambda connection: connection.last_activity_at).close_if_idle()
         else:
-            newcomer.abort()
+            new_connection.abort()
 
     def stop(self) -> None:
         """Stops listening."""
@@ -113,15 +119,18 @@
             self._server.close()
 
     async def run(self) -> None:
-        """Closes connections that are idle or slow for too long; runs forever."""
+        """Closes connections that are idle or sending a head for too long; runs forever."""
         while True:
-            await asyncio.sleep(_SWEEP.total_seconds())
+            await asyncio.sleep(_SWEEP_INTERVAL.total_seconds())
             now = time.monotonic()
-            self._watch.tick(now)
-            idle_before = now - self.idle_time.total_seconds()
-            head_before = now - self.header_time.total_seconds()
+            self._loop_watch.tick(now)
+            idle_cutoff = now - self.idle_timeout.total_seconds()
+            head_cutoff = now - self.header_timeout.total_seconds()
             for connection in list(self._connections):
-                if connection.head_since is not None and connection.head_since < head_before:
+                if (
+                    connection.partial_head_since is not None
+                    and connection.partial_head_since < head_cutoff
+                ):
                     connection.refuse_slow_head()
-                elif connection.quiet_since < idle_before:
+                elif connection.last_activity_at < idle_cutoff:
                     connection.close_if_idle()
--- a/marblefold/http_connections/pipeline_slot.py
+++ b/marblefold/http_connections/pipeline_slot.py
@@ -1,4 +1,4 @@
-"""The position of one request in the ordered answers of a connection."""
+"""The slot of one request in the ordered answers of a connection."""
 
 import asyncio
 
@@ -11,24 +11,24 @@
 class PipelineSlot:
     """Holds a request, the task that serves it, and its answer until it is written."""
 
-    __slots__ = ("request", "task", "answer", "_is_dropped")
+    __slots__ = ("request", "task", "answer", "_is_cancelled")
 
     def __init__(self, request: ClientRequest | None) -> None:
         self.request = request
         self.task: asyncio.Task | None = None
         self.answer: Answer | None = None
-        self._is_dropped = False
+        self._is_cancelled = False
 
     def set_answer(self, answer: Answer) -> None:
-        """Stores the answer; if the client is gone, it is released instead."""
-        if self._is_dropped:
+        """Stores the answer, or releases it if the client has disconnected."""
+        if self._is_cancelled:
             _release(answer)
         else:
             self.answer = answer
 
-    def drop(self) -> None:
-        """The client is gone: cancels the task that serves the request."""
-        self._is_dropped = True
+    def cancel(self) -> None:
+        """Cancels the task that serves the request and releases an answer not yet written."""
+        self._is_cancelled = True
         if self.task is not None:
             self.task.cancel()
         if self.answer is not None:
--- a/marblefold/http_connections/target_answer.py
+++ b/marblefold/http_connections/target_answer.py
@@ -1,4 +1,4 @@
-"""What the head of a target's answer states about the request and the connection."""
+"""Interprets the head of a target's answer: the request's outcome and connection reuse."""
 
 from typing import NamedTuple
 
@@ -12,14 +12,14 @@
     "TargetAnswer",
     "has_length",
     "is_between_answers",
-    "kept_seconds",
+    "reuse_seconds",
     "says_not_executed",
 ]
 
-# An idle connection is dropped so many seconds before the target would close it.
-_KEEP_MARGIN_SECONDS = 0.7
-_LONGEST_KEPT_SECONDS = 30.0
-# Read by our own parser, never written to a target.
+# Reuse of a connection ends so many seconds before the target would close it.
+_REUSE_MARGIN_SECONDS = 0.7
+_MAX_REUSE_SECONDS = 30.0
+# Fed to the parser of a connection to test it; never sent to a target.
 _INTERIM_ANSWER = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
@@ -34,38 +34,38 @@
 
 
 def says_not_executed(message) -> bool:
-    """Whether the target states that it did not run the request and never will."""
+    """Whether the target states that it did not execute the request and never will."""
     return (
         message.code == 421 or find_header(message.raw_headers, wire_names.NOT_EXECUTED) is not None
     )
 
 
 def has_length(message) -> bool:
-    """Whether the end of the answer is framed; otherwise it ends with the connection."""
+    """Whether the answer is framed; otherwise its body ends with the connection."""
     if message.code in (204, 304) or message.chunked:
         return True
     return "Content-Length" in message.headers
 
 
-def kept_seconds(message) -> float:
-    """For how many seconds the connection may be reused after this answer."""
+def reuse_seconds(message) -> float:
+    """Returns for how many seconds the connection may be reused after this answer."""
     if message.should_close or not has_length(message):
         return 0.0
-    kept = _LONGEST_KEPT_SECONDS
+    seconds = _MAX_REUSE_SECONDS
     header = message.headers.get("Keep-Alive", "")
     for part in header.split(","):
-        name, _sign, value = part.strip().partition("=")
+        name, _separator, value = part.strip().partition("=")
         if name.lower() == "timeout" and value.isdigit():
-            kept = min(kept, float(value) - _KEEP_MARGIN_SECONDS)
-    return kept
+            seconds = min(seconds, float(value) - _REUSE_MARGIN_SECONDS)
+    return seconds
 
 
 def is_between_answers(parser) -> bool:
-    """Whether the parser of a connection holds no part of a further answer.
+    """Whether the parser holds no buffered bytes of a further answer.
 
-    The parser does not expose this, so it is fed a complete interim answer: buffered
-    bytes would corrupt that one, which would then have another status, have headers,
-    or not be parsed at all.
+    The parser does not expose its buffer, so it is fed a complete interim answer:
+    buffered bytes would corrupt it, so that it is parsed with another status, with
+    headers, or not at all.
     """
     try:
         messages, _upgraded, _tail = parser.feed_data(_INTERIM_ANSWER)
--- a/marblefold/http_connections/target_connection.py
+++ b/marblefold/http_connections/target_connection.py
@@ -1,7 +1,7 @@
-"""One connection to the target beside this proxy: one request at a time.
+"""One connection to a target, which carries one request at a time.
 
-The parser is aiohttp's.  Its client is not used: it repeats requests by itself
-when a reused connection fails, which only the request path may do here.
+The parser is aiohttp's.  Its client is not used, because it retries requests by itself
+when a reused connection fails; here only the request path may retry.
 """
 
 import asyncio
@@ -21,7 +21,7 @@
     TargetAnswer,
     has_length,
     is_between_answers,
-    kept_seconds,
+    reuse_seconds,
     says_not_executed,
 )
 
@@ -32,10 +32,10 @@
     "TargetConnection",
 ]
 
-# The step at which a target cannot be reached: nothing was written to it.
+# The step of errors that occur before anything is written to the target.
 CONNECT_STEP = "connect to target"
 
-_PARSER_BUFFER = 256 * 1024
+_PARSER_BUFFER_BYTES = 256 * 1024
 
 
 class ConnectionState(enum.Enum):
@@ -43,29 +43,31 @@
 
     IDLE = "idle"
     BUSY = "busy"
-    # Bytes arrived that belong to no request: finish, then never reuse.
+    # Unsolicited bytes arrived: the request in progress may finish, but the connection
+    # is not reused.
     POISONED = "poisoned"
     CLOSED = "closed"
 
 
 class ConnectionLostUnused(MeshError):
-    """The connection was lost before anything was written: the request did not run."""
+    """The connection was lost before anything was written: the request was not executed."""
 
 
 class TargetConnection(BaseProtocol):
     """Owns one connection to a target."""
 
-    # Set from the start here; the base class leaves it optional.
+    # Always set here; optional in the base class.
     _parser: HttpResponseParser
 
-    def __init__(self, on_heard: Callable[[], None] = lambda: None) -> None:
+    def __init__(self, on_received: Callable[[], None] = lambda: None) -> None:
+        """`on_received` is called whenever bytes arrive from the target."""
         loop = asyncio.get_running_loop()
         super().__init__(loop)
-        self._on_heard = on_heard
+        self._on_received = on_received
         self._parser = HttpResponseParser(
             self,
             loop,
-            _PARSER_BUFFER,
+            _PARSER_BUFFER_BYTES,
             payload_exception=ConnectionError,
             auto_decompress=False,
             max_line_size=32768,
@@ -74,32 +76,33 @@
         )
         self.state = ConnectionState.IDLE
         self.usable_until = time.monotonic() + 1.0
-        # Since when it has been idle (monotonic seconds).
+        # When it last became idle (monotonic seconds).
         self.idle_since = time.monotonic()
         # For how many seconds it was idle before the current request.
         self.idle_seconds_before = 0.0
+        # Whether bytes arrived since the current request was sent.
         self.has_received_bytes = False
         # Whether it carried a request before the current one.
         self._is_reused = False
-        # Whether the current answer ends with the connection.
+        # Whether the current answer has no length and ends with the connection.
         self._is_unframed = False
         self._attempt_id: bytes | None = None
         self._waiter: asyncio.Future[TargetAnswer] | None = None
         self._payload: StreamReader | None = None
 
     def change_state(self, state: ConnectionState) -> None:
-        """The only place where the state changes; closed stays closed."""
+        """Changes the state; a closed connection stays closed."""
         if self.state is ConnectionState.CLOSED:
             return
-        # A poisoned connection stays poisoned.
+        # A poisoned connection can only be closed.
         if self.state is ConnectionState.POISONED and state is not ConnectionState.CLOSED:
             return
         self.state = state
 
     async def send_head(self, head: bytes, attempt_id: bytes | None) -> None:
-        """Sends the head of a request, perhaps with its body behind it.
+        """Sends the head of a request, and the part of the body that `head` includes.
 
-        Raises ConnectionLostUnused if not a byte of the request was written, and
+        Raises ConnectionLostUnused if no byte of the request was written, and
         ConnectionError if the connection is lost meanwhile.
         """
         if self.transport is None:
@@ -114,7 +117,10 @@
             await self._drain_helper()
 
     async def send(self, chunk: bytes) -> None:
-        """Sends more of the body; MeshError or ConnectionError if the connection is lost."""
+        """Sends a part of the body.
+
+        Raises MeshError or ConnectionError if the connection is lost.
+        """
         if self.transport is None:
             raise MeshError("target", "closed while the body was sent")
         self.transport.write(chunk)
@@ -122,37 +128,40 @@
             await self._drain_helper()
 
     async def answer(self) -> TargetAnswer:
-        """The head of the answer to the request; MeshError if there is none."""
+        """Returns the head of the answer to the request; raises MeshError if none comes."""
         waiter = self._waiter
         if waiter is None:
             raise TypeError("no request was sent on this connection")
         return await waiter
 
     def finish(self) -> bool:
-        """The answer was read whole; returns whether the connection may be kept."""
+        """Ends an exchange whose answer was read completely.
+
+        Returns whether the connection may be reused; closes it if not.
+        """
         self._waiter = None
         self._payload = None
         self._is_reused = True
         self.idle_since = time.monotonic()
-        may_be_kept = self.state is ConnectionState.BUSY and self.idle_since < self.usable_until
-        if may_be_kept and is_between_answers(self._parser):
+        is_reusable = self.state is ConnectionState.BUSY and self.idle_since < self.usable_until
+        if is_reusable and is_between_answers(self._parser):
             self.change_state(ConnectionState.IDLE)
             return True
         self.close()
         return False
 
     def close(self) -> None:
-        """Ends the connection; a target at work on a request then drops it."""
+        """Aborts the connection; a target that is executing a request then cancels it."""
         self.change_state(ConnectionState.CLOSED)
         if self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        self._on_heard()
+        self._on_received()
         self.has_received_bytes = True
         if self._waiter is None and data:
-            # No request is in progress: not even a partial answer may stay in the
-            # parser for the next one.
+            # No request is in progress: even a partial answer left in the parser would
+            # be taken for the start of the next answer.
             self._poison()
             return
         try:
@@ -161,10 +170,10 @@
             self._fail(MeshError("target", f"bytes that are no answer: {type(error).__name__}"))
             return
         for message, payload in messages:
-            self._take(message, payload)
+            self._handle_message(message, payload)
 
     def eof_received(self) -> None:
-        """The target ended the connection in order; an answer without a length is whole."""
+        """Completes an answer without a length: the target closed the connection cleanly."""
         if not self._is_unframed:
             return
         try:
@@ -177,10 +186,10 @@
         self.change_state(ConnectionState.CLOSED)
         self._fail(MeshError("target", f"closed: {exc or 'no error'}"))
 
-    def _take(self, message, payload) -> None:
+    def _handle_message(self, message, payload) -> None:
         waiter = self._waiter
         if waiter is None or waiter.done():
-            # An unsolicited answer belongs to no request.
+            # An unsolicited answer.
             self._poison()
             return
         if message.code < 200:
@@ -189,8 +198,7 @@
         is_not_executed = says_not_executed(message)
         if not self._is_answer_of_request(headers, is_not_executed):
             return
-        self.usable_until = time.monotonic() + kept_seconds(message)
-        # Without a length it ends with the connection.
+        self.usable_until = time.monotonic() + reuse_seconds(message)
         self._is_unframed = not has_length(message)
         self._payload = payload
         waiter.set_result(
@@ -198,23 +206,24 @@
         )
 
     def _is_answer_of_request(self, headers, is_not_executed: bool) -> bool:
-        """Whether the answer belongs to the current request; others are dropped."""
+        """Whether the answer belongs to the current request; other answers are ignored."""
         answered_id = find_header(headers, wire_names.ATTEMPT_ID)
         if self._attempt_id is None or answered_id == self._attempt_id:
             return True
-        # Only a refusal may come without the id, and only as the first answer
-        # on its connection: after another request it may belong to that one.
+        # Only a refusal may lack the attempt id, and only as the first answer on its
+        # connection: on a reused one it may belong to an earlier request.
         if answered_id is None and is_not_executed and not self._is_reused:
             return True
         self._poison()
         if answered_id is None:
             self._fail(MeshError("target", "an answer without an id"))
-        # Another id is an answer to another request; ours may follow it.
+        # An answer with another id belongs to another request; the answer to the
+        # current one may follow it.
         return False
 
     def _poison(self) -> None:
         self.change_state(ConnectionState.POISONED)
-        # It is idle, so nothing is lost by closing it at once.
+        # No request is in progress, so it can be closed at once.
         if self._waiter is None:
             self.close()
 
--- a/marblefold/http_connections/target_connection_pool.py
+++ b/marblefold/http_connections/target_connection_pool.py
@@ -13,143 +13,146 @@
 
 __all__ = ["CONNECT_STEP", "TargetConnectionPool"]
 
-# A target that dropped an idle connection is assumed to drop the next ones after half
-# of that idle time; this is forgotten after a while, since such faults pass.
-_LEAST_REST = 0.05
-_REST_SHARE = 0.5
-_FADE_SECONDS = 20.0
+# If a target drops an idle connection, later ones are reused for at most half of that
+# idle time.  The limit expires, since such faults are temporary.
+_MIN_IDLE_LIMIT_SECONDS = 0.05
+_IDLE_LIMIT_FACTOR = 0.5
+_IDLE_LIMIT_EXPIRY_SECONDS = 20.0
 
 
 class TargetConnectionPool:
-    """Hands out idle connections, newest first, and opens new ones as needed."""
+    """Hands out idle connections, the most recently used first, and opens new ones."""
 
-    def __init__(self, address: Address, connect_seconds: float = 0.25) -> None:
-        # When a byte last came from the target (monotonic seconds).
+    def __init__(self, address: Address, connect_timeout_seconds: float = 0.25) -> None:
+        # When the target last sent bytes or accepted a connection (monotonic seconds).
         self.last_received_at = time.monotonic()
         self._address = address
-        self._connect_seconds = connect_seconds
-        self._kept: list[TargetConnection] = []
-        self._used = 0
-        self._forgets_after = 1e9
-        self._forgot_at = 0.0
+        self._connect_timeout_seconds = connect_timeout_seconds
+        self._idle: list[TargetConnection] = []
+        self._in_use_count = 0
+        self._idle_limit_seconds = 1e9
+        self._idle_limit_set_at = 0.0
 
     @property
     def idle_count(self) -> int:
-        """How many connections are idle."""
-        return len(self._kept)
+        """The number of idle connections."""
+        return len(self._idle)
 
     @property
     def open_count(self) -> int:
-        """How many connections are open, in use or idle."""
-        return len(self._kept) + self._used
+        """The number of open connections, in use or idle."""
+        return len(self._idle) + self._in_use_count
 
     @property
     def oldest_idle_since(self) -> float:
-        """Since when the longest idle connection is idle, in monotonic seconds.
+        """When the connection that has been idle longest became idle (monotonic seconds).
 
         Raises IndexError if none is idle.
         """
-        return self._kept[0].idle_since
+        return self._idle[0].idle_since
 
     async def acquire(self, max_idle_seconds: float | None = None) -> TargetConnection:
-        """A connection ready for a request, idle for at most `max_idle_seconds` seconds.
+        """Returns a connection that has been idle for at most `max_idle_seconds`, or a new one.
 
-        Raises MeshError if none can be opened; nothing was sent then.
+        Raises MeshError if none can be opened; nothing has been sent then.
         """
         now = time.monotonic()
-        longest = self._safe_rest(now)
+        idle_limit = self._current_idle_limit(now)
         if max_idle_seconds is not None:
-            longest = min(longest, max_idle_seconds)
-        # The newest is the last: if it was idle too long, so were all.
-        if self._kept and now - self._kept[-1].idle_since <= longest:
-            connection = self._kept.pop()
+            idle_limit = min(idle_limit, max_idle_seconds)
+        # Connections are ordered by idle time: if the last has been idle too long, all have.
+        if self._idle and now - self._idle[-1].idle_since <= idle_limit:
+            connection = self._idle.pop()
             if connection.state is ConnectionState.IDLE and now < connection.usable_until:
-                self._used += 1
+                self._in_use_count += 1
                 return connection
             connection.close()
             return await self.acquire(max_idle_seconds)
-        return await self._open_used()
+        return await self._open_counted()
 
     async def is_reachable(self) -> bool:
-        """Whether the target still accepts a new connection, which is then kept."""
+        """Whether the target still accepts a connection; the new one joins the idle ones."""
         try:
             connection = await self._open()
         except MeshError:
             return False
-        self._kept.append(connection)
+        self._idle.append(connection)
         return True
 
     def release(self, connection: TargetConnection) -> None:
-        """Keeps the connection if its answer was read whole and it may be kept."""
-        self._used -= 1
+        """Returns a connection whose answer was read completely; it is reused if possible."""
+        self._in_use_count -= 1
         if connection.finish():
-            self._kept.append(connection)
+            self._idle.append(connection)
 
     def release_unused(self, connection: TargetConnection) -> None:
-        """Keeps a connection that was taken and not written to."""
-        self._used -= 1
+        """Returns a connection that was acquired and not written to."""
+        self._in_use_count -= 1
         if connection.state is ConnectionState.IDLE:
-            self._kept.append(connection)
+            self._idle.append(connection)
 
     def discard(self, connection: TargetConnection) -> None:
-        """Closes a connection that was in use."""
-        self._used -= 1
-        # Closed by the target after an idle time, without a byte: it was dropped.
+        """Closes a connection that was in use and must not be reused."""
+        self._in_use_count -= 1
+        # The target closed a connection that had been idle, without sending a byte: it
+        # drops idle connections after at most that idle time.
         if connection.state is ConnectionState.CLOSED and not connection.has_received_bytes:
-            if connection.idle_seconds_before > _LEAST_REST:
-                self._forgets_after = max(_LEAST_REST, connection.idle_seconds_before * _REST_SHARE)
-                self._forgot_at = time.monotonic()
+            if connection.idle_seconds_before > _MIN_IDLE_LIMIT_SECONDS:
+                self._idle_limit_seconds = max(
+                    _MIN_IDLE_LIMIT_SECONDS, connection.idle_seconds_before * _IDLE_LIMIT_FACTOR
+                )
+                self._idle_limit_set_at = time.monotonic()
         connection.close()
 
     def close_stale(self) -> None:
-        """Closes the idle connections that would not be used again."""
+        """Closes the idle connections that can no longer be reused."""
         now = time.monotonic()
-        kept, self._kept = self._kept, []
-        longest = self._safe_rest(now)
-        for connection in kept:
-            is_good = connection.state is ConnectionState.IDLE and now < connection.usable_until
-            if is_good and now - connection.idle_since <= longest:
-                self._kept.append(connection)
+        idle, self._idle = self._idle, []
+        idle_limit = self._current_idle_limit(now)
+        for connection in idle:
+            is_reusable = connection.state is ConnectionState.IDLE and now < connection.usable_until
+            if is_reusable and now - connection.idle_since <= idle_limit:
+                self._idle.append(connection)
             else:
                 connection.close()
 
     def close_oldest(self) -> None:
-        """Closes the longest idle connection; IndexError if there is none."""
-        self._kept.pop(0).close()
+        """Closes the connection that has been idle longest; IndexError if none is idle."""
+        self._idle.pop(0).close()
 
     def close(self) -> None:
-        """Closes the idle connections."""
-        kept, self._kept = self._kept, []
-        for connection in kept:
+        """Closes all idle connections."""
+        idle, self._idle = self._idle, []
+        for connection in idle:
             connection.close()
 
-    def _safe_rest(self, now: float) -> float:
-        if now - self._forgot_at > _FADE_SECONDS:
+    def _current_idle_limit(self, now: float) -> float:
+        if now - self._idle_limit_set_at > _IDLE_LIMIT_EXPIRY_SECONDS:
             return 1e9
-        return self._forgets_after
+        return self._idle_limit_seconds
 
-    async def _open_used(self) -> TargetConnection:
-        # Counted before it is open: a descriptor is taken from here on.
-        self._used += 1
+    async def _open_counted(self) -> TargetConnection:
+        # Counted before it is open, since its descriptor is in use from here on.
+        self._in_use_count += 1
         try:
             return await self._open()
         except BaseException:
-            self._used -= 1
+            self._in_use_count -= 1
             raise
 
     async def _open(self) -> TargetConnection:
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(self._connect_seconds):
+            async with asyncio.timeout(self._connect_timeout_seconds):
                 _transport, connection = await loop.create_connection(
-                    lambda: TargetConnection(self._note_heard),
+                    lambda: TargetConnection(self._note_received),
                     self._address.host,
                     self._address.port,
                 )
         except (OSError, TimeoutError) as error:
             raise MeshError(CONNECT_STEP, str(error) or "no answer", str(self._address)) from error
-        self._note_heard()
+        self._note_received()
         return connection
 
-    def _note_heard(self) -> None:
+    def _note_received(self) -> None:
         self.last_received_at = time.monotonic()
