--- a/tests/simulated_connections.py
+++ b/tests/simulated_connections.py
@@ -1,6 +1,6 @@
-"""Connections made of lists, on a loop that opens them and a clock that a test moves.
+"""In-memory connections, on an event loop that opens them and a simulated clock.
 
-Nothing here waits: a test moves bytes and time itself, and lets the loop turn.
+Nothing waits in real time: a test delivers bytes, advances the clock and runs the loop.
 """
 
 import asyncio
@@ -10,14 +10,15 @@
 
 
 class InMemoryTransport:
-    """Keeps what its protocol writes until the test moves it."""
+    """Buffers what its protocol writes until the test delivers it."""
 
     def __init__(self, protocol, loop, address=""):
         self.protocol, self._loop, self.address = protocol, loop, address
         self.written = bytearray()
+        # How many of the written bytes have been taken.
         self.moved = 0
         self.is_open = True
-        # Called in the moment in which something is written.
+        # Called whenever something is written.
         self.on_write = lambda: None
 
     def write(self, data):
@@ -34,13 +35,13 @@
         return not self.is_open
 
     def lose(self, error):
-        """The connection is gone; its protocol hears of it in the next turn."""
+        """Closes the connection; its protocol is notified in the loop's next iteration."""
         if self.is_open:
             self.is_open = False
             self._loop.call_soon(self.protocol.connection_lost, error)
 
     def finish(self):
-        """The other end closed in order."""
+        """Closes the connection cleanly from the other end."""
         if self.is_open:
             if hasattr(self.protocol, "eof_received"):
                 self.protocol.eof_received()
@@ -49,9 +50,13 @@
     def reset(self):
         self.lose(ConnectionResetError("reset"))
 
-    def take(self, most=None):
-        """What was written and not taken yet, or the first part of it."""
-        end = len(self.written) if most is None else min(len(self.written), self.moved + most)
+    def take(self, max_bytes=None):
+        """Returns the bytes written and not yet taken, at most `max_bytes` of them."""
+        end = (
+            len(self.written)
+            if max_bytes is None
+            else min(len(self.written), self.moved + max_bytes)
+        )
         data = bytes(self.written[self.moved : end])
         self.moved = end
         return data
@@ -66,11 +71,11 @@
 
 
 class InMemoryEventLoop(asyncio.SelectorEventLoop):
-    """Opens connections by asking the test, which makes the other end."""
+    """An event loop on which the test provides the other end of each connection."""
 
-    # Given the address and the near transport; an OSError refuses.
+    # Called with the address and the local transport; raises OSError to refuse.
     connector = staticmethod(lambda address, transport: None)
-    # Connections open only once this event is set, if there is one.
+    # If not None, connections open only once this event is set.
     gate: asyncio.Event | None = None
 
     async def create_connection(self, make_protocol, host=None, port=None, **_more):
@@ -84,18 +89,18 @@
 
 
 class Simulation:
-    """A loop and a clock for one run of a state machine."""
+    """An event loop and a simulated clock for one run of a state machine."""
 
     def __init__(self):
         self.now = 1000.0
         self._patch = mock.patch.object(time, "monotonic", lambda: self.now)
         self._patch.start()
         self.loop = InMemoryEventLoop()
-        # What was found wrong inside the programs' own tasks, which go on.
+        # Expectations that failed inside tasks, which continue regardless.
         self.faults = []
 
     def expect(self, holds, *what):
-        """As assert, from inside a task that would take an error for its own."""
+        """Records a failed expectation, for use in tasks that would handle an AssertionError."""
         if not holds:
             self.faults.append(what)
 
@@ -107,7 +112,7 @@
         self.loop.run_until_complete(turn())
 
     def call(self, function, *values):
-        """Calls the function from inside the loop, and lets it turn."""
+        """Calls the function inside the loop, and runs what it scheduled."""
 
         async def call():
             return function(*values)
--- a/tests/simulated_target.py
+++ b/tests/simulated_target.py
@@ -1,4 +1,4 @@
-"""What a target writes on a connection, and which of it belongs to an answer."""
+"""The target's end of a connection, which tracks the bytes that belong to no answer."""
 
 
 def pack(status, attempt, body, *lines, length=True):
@@ -10,34 +10,34 @@
     return b"\r\n".join(head) + b"\r\n\r\n" + body
 
 
-class SimulatedTargetConnection:
-    """One connection, as the target sees it."""
+class TargetEndpoint:
+    """The target's end of one connection."""
 
     def __init__(self, transport):
         self.transport, self.requests, self.answered = transport, [], 0
-        self.outbox, self.is_ending = b"", False
-        # How much was delivered, where the last whole answer ends, and where
-        # the first byte lies that belongs to no answer.
-        self.delivered, self.whole_until, self.foreign_from = 0, 0, None
-
-    def send(self, data, is_foreign=False):
-        if is_foreign and self.foreign_from is None:
-            self.foreign_from = self.delivered + len(self.outbox)
-        self.outbox += data
-        if not is_foreign:
-            self.whole_until = self.delivered + len(self.outbox)
-
-    def cut(self, data):
-        self.outbox += data
-        self.foreign_from, self.is_ending = 0, True
+        self.undelivered, self.is_closing = b"", False
+        # Offsets in the bytes sent: how many were delivered, where the last complete
+        # answer ends, and the first byte that belongs to no answer.
+        self.delivered, self.complete_until, self.unsolicited_from = 0, 0, None
+
+    def send(self, data, is_unsolicited=False):
+        if is_unsolicited and self.unsolicited_from is None:
+            self.unsolicited_from = self.delivered + len(self.undelivered)
+        self.undelivered += data
+        if not is_unsolicited:
+            self.complete_until = self.delivered + len(self.undelivered)
+
+    def send_last(self, data):
+        self.undelivered += data
+        self.unsolicited_from, self.is_closing = 0, True
 
     @property
     def is_clean(self):
-        """Whether exactly the whole answers to its requests came on it."""
-        if self.foreign_from is not None and self.foreign_from < self.delivered:
+        """Whether exactly the complete answers to all its requests were delivered."""
+        if self.unsolicited_from is not None and self.unsolicited_from < self.delivered:
             return False
-        return self.answered == len(self.requests) and self.delivered >= self.whole_until
+        return self.answered == len(self.requests) and self.delivered >= self.complete_until
 
     @property
     def is_open(self):
-        return self.transport.is_open and not self.is_ending
+        return self.transport.is_open and not self.is_closing
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway on loopback: the platform's list, straight hops, partners' doors."""
+"""The gateway on loopback: the platform's list, direct hops, gateways of partners."""
 
 import asyncio
 import json
@@ -23,12 +23,12 @@
 
 FRONT = f"{NETWORK}.31"
 HOSTS = (f"{NETWORK}.41", f"{NETWORK}.42")
-DOOR = f"{NETWORK}.51"
+PARTNER_HOST = f"{NETWORK}.51"
 SECRET = "secret-of-the-dealer"
 
 
-class Platform:
-    """Keeps the list, one target a page."""
+class FakePlatform:
+    """Serves the list of instances, one target per page."""
 
     def __init__(self, targets):
         self.targets, self.states, self.calls = targets, {}, 0
@@ -68,11 +68,11 @@
         first = next(FIRST_PORTS)
         self.control, self.front, self.ready = first + 1, first + 2, first + 3
         self.targets = [StandIn(host, first + 4) for host in HOSTS]
-        self.door = Door(DOOR, first + 4)
-        self.platform = Platform(self.targets)
+        self.partner_gateway = Door(PARTNER_HOST, first + 4)
+        self.platform = FakePlatform(self.targets)
         self.platform_port = first + 4
         cloud = f"cloud-api.address={CORE}:{first + 4}\ncloud-api.rate-per-s=4000\n"
-        core = make_config(CORE, first, f"data-directory={folder}/store\n{cloud}")
+        core_config = make_config(CORE, first, f"data-directory={folder}/store\n{cloud}")
         self.gateway = GatewayProgram(
             make_watch(
                 make_config(
@@ -86,8 +86,8 @@
             )
         )
         self.programs = [
-            StoreProgram(make_watch(core)),
-            RegistryProgram(make_watch(core)),
+            StoreProgram(make_watch(core_config)),
+            RegistryProgram(make_watch(core_config)),
             self.gateway,
         ]
 
@@ -97,7 +97,7 @@
                 await asyncio.sleep(0)
 
     async def start(self):
-        for target in (*self.targets, self.door):
+        for target in (*self.targets, self.partner_gateway):
             await target.start()
         await asyncio.start_server(self.platform.serve, CORE, self.platform_port)
         self.tasks = [asyncio.ensure_future(program.run()) for program in self.programs]
@@ -110,7 +110,7 @@
         await self.until(
             lambda: self.gateway.view.table and len(self.gateway.view.targets("quotes")) == 2
         )
-        # As after some seconds, which no test waits for.
+        # Set here, since it would otherwise take some seconds.
         self.gateway.view.proxies = 1
 
     async def put(self, path, document, headers=()):
@@ -137,7 +137,7 @@
 
 
 def run(test, folder):
-    async def whole():
+    async def run_mesh():
         mesh = GatewayMesh(folder)
         await mesh.start()
         try:
@@ -145,10 +145,10 @@
         finally:
             await mesh.stop()
 
-    asyncio.run(whole())
+    asyncio.run(run_mesh())
 
 
-def test_requests_go_straight_to_listed_targets_and_mutating_ones_once(tmp_path):
+def test_requests_go_directly_to_listed_targets_and_mutating_ones_once(tmp_path):
     async def test(mesh):
         assert (await ask(FRONT, mesh.ready, "GET", "/-/readiness"))[0] == 200
         status, head, body = await mesh.request("/book/x?y=1", "a1", "POST", body=b"load")
@@ -169,7 +169,7 @@
     run(test, tmp_path)
 
 
-def test_a_draining_target_is_left_and_a_vanished_one_forgotten(tmp_path):
+def test_draining_targets_get_no_requests_and_unlisted_ones_are_removed(tmp_path):
     async def test(mesh):
         mesh.platform.states[mesh.targets[0].instance] = "draining"
         await mesh.until(
@@ -184,7 +184,7 @@
     run(test, tmp_path)
 
 
-def test_a_partner_is_reached_as_its_word_allows_and_no_longer(tmp_path):
+def test_a_partner_is_reached_only_while_its_exports_allow_it(tmp_path):
     async def test(mesh):
         assert (await mesh.request("/open/x", "p0", host="dealer"))[0] == 404
         status, _body = await mesh.put(
@@ -192,42 +192,42 @@
             {
                 "number": 1,
                 "hosts": ["dealer"],
-                "address": f"{DOOR}:{mesh.door.port}",
+                "address": f"{PARTNER_HOST}:{mesh.partner_gateway.port}",
                 "credential": SECRET,
             },
         )
         assert status == 200
-        word = {
+        exports = {
             "number": 1,
             "exports": [{"host": "dealer", "prefix": "/open/", "kind": "mutating"}],
         }
-        assert (await mesh.put("/mesh/exports/dealer", word))[0] == 401
-        proof = (f"Authorization: Bearer {SECRET}",)
-        status, held = await mesh.put("/mesh/exports/dealer", word, proof)
+        assert (await mesh.put("/mesh/exports/dealer", exports))[0] == 401
+        credential = (f"Authorization: Bearer {SECRET}",)
+        status, stored = await mesh.put("/mesh/exports/dealer", exports, credential)
         assert status == 200
         view = mesh.gateway.view
-        await mesh.until(lambda: view.partners and view.partners.digest == held["digest"])
+        await mesh.until(lambda: view.partners and view.partners.digest == stored["digest"])
         await mesh.until(
             lambda: view.find_partner_route("dealer", "/open/", asyncio.get_running_loop().time())
         )
         status, _head, body = await mesh.request("/open/x", "p1", "POST", "dealer", b"batch")
         assert (status, body) == (200, b"door")
-        assert mesh.door.ran == [("p1", "POST", "/open/x", b"batch")]
+        assert mesh.partner_gateway.ran == [("p1", "POST", "/open/x", b"batch")]
         assert (await mesh.request("/private/x", "p2", host="dealer"))[0] == 404
         _status, _head, shown = await ask(CORE, mesh.control, "GET", "/mesh/partners")
         shown = json.loads(shown)
         assert set(shown["nodes"].values()) <= {"", shown["digest"]} and SECRET not in str(shown)
         assert "credential" not in shown["partners"]["dealer"]
-        # The answer to a withdrawal comes when it holds everywhere.
+        # A withdrawal is answered only once it is in effect everywhere.
         async with asyncio.TaskGroup() as group:
             withdrawal = group.create_task(
-                mesh.put("/mesh/exports/dealer", {"number": 2, "exports": []}, proof)
+                mesh.put("/mesh/exports/dealer", {"number": 2, "exports": []}, credential)
             )
             await mesh.until(lambda: not view.partners.routes)
             assert (await mesh.request("/open/x", "p3", "POST", "dealer"))[0] == 404
             withdrawal.cancel()
-        assert (await mesh.put("/mesh/exports/dealer", word, proof))[0] == 409
-        assert len(mesh.door.ran) == 1
+        assert (await mesh.put("/mesh/exports/dealer", exports, credential))[0] == 409
+        assert len(mesh.partner_gateway.ran) == 1
 
     run(test, tmp_path)
 
@@ -244,6 +244,6 @@
         ),
     ],
 )
-def test_a_page_that_cannot_be_read_is_no_page(body):
+def test_a_malformed_page_of_the_platform_list_is_refused(body):
     with pytest.raises((ValueError, TypeError, KeyError, AttributeError)):
         read_page(body)
--- a/tests/test_http_connections.py
+++ b/tests/test_http_connections.py
@@ -1,4 +1,4 @@
-"""Connections of clients and targets, over a transport made of lists."""
+"""Connections of clients and targets, over a transport that records what is written."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 
 class FakeTransport:
-    """Remembers what was written and whether it was ended."""
+    """Records what is written and whether it was closed or aborted."""
 
     def __init__(self):
         self.written = b""
@@ -40,8 +40,8 @@
     resume_reading = pause_reading
 
 
-class Keeper:
-    """A server that answers each request when the test says so."""
+class FakeServer:
+    """A server whose answers are futures that the test resolves."""
 
     is_leaving = False
     header_bytes = 1000
@@ -68,16 +68,16 @@
     asyncio.run(test())
 
 
-async def turns():
+async def run_pending_callbacks():
     for _ in range(5):
         await asyncio.sleep(0)
 
 
 def make_client():
-    keeper, transport = Keeper(), FakeTransport()
-    connection = ClientConnection(keeper)
+    server, transport = FakeServer(), FakeTransport()
+    connection = ClientConnection(server)
     connection.connection_made(transport)
-    return keeper, transport, connection
+    return server, transport, connection
 
 
 def make_target():
@@ -87,35 +87,35 @@
     return connection, transport
 
 
-def test_pipelined_reads_run_together_and_are_answered_in_order():
+def test_pipelined_reads_run_concurrently_and_are_answered_in_order():
     async def test():
-        keeper, transport, connection = make_client()
+        server, transport, connection = make_client()
         connection.data_received(
             b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n"
         )
-        await turns()
-        assert [request.path for request in keeper.requests] == ["/1", "/2"]
-        keeper.answers["/2"].set_result(Answer(200, body=b"two"))
-        await turns()
+        await run_pending_callbacks()
+        assert [request.path for request in server.requests] == ["/1", "/2"]
+        server.answers["/2"].set_result(Answer(200, body=b"two"))
+        await run_pending_callbacks()
         assert transport.written == b""
-        keeper.answers["/1"].set_result(Answer(200, body=b"one"))
-        await turns()
+        server.answers["/1"].set_result(Answer(200, body=b"one"))
+        await run_pending_callbacks()
         assert transport.written.index(b"one") < transport.written.index(b"two")
 
     run(test)
 
 
-def test_what_may_not_be_repeated_waits_for_its_turn():
+def test_requests_that_must_not_be_repeated_run_one_by_one():
     async def test():
-        keeper, transport, connection = make_client()
+        server, transport, connection = make_client()
         post = b"POST /%d HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx"
         connection.data_received(post % 1 + post % 2)
-        await turns()
-        assert [request.path for request in keeper.requests] == ["/1"]
-        assert await keeper.requests[0].read_body(10, 10) == (b"x", True)
-        keeper.answers["/1"].set_result(Answer(200))
-        await turns()
-        assert [request.path for request in keeper.requests] == ["/1", "/2"]
+        await run_pending_callbacks()
+        assert [request.path for request in server.requests] == ["/1"]
+        assert await server.requests[0].read_body(10, 10) == (b"x", True)
+        server.answers["/1"].set_result(Answer(200))
+        await run_pending_callbacks()
+        assert [request.path for request in server.requests] == ["/1", "/2"]
 
     run(test)
 
@@ -141,70 +141,70 @@
         ),
     ],
 )
-def test_heads_that_could_smuggle_are_refused_and_end_the_connection(head, status):
+def test_malformed_and_oversized_heads_are_refused_and_close_the_connection(head, status):
     async def test():
-        keeper, transport, connection = make_client()
+        server, transport, connection = make_client()
         connection.data_received(head)
-        await turns()
+        await run_pending_callbacks()
         assert transport.written.startswith(b"HTTP/1.1 " + status)
-        assert transport.closed and not keeper.requests
+        assert transport.closed and not server.requests
 
     run(test)
 
 
-def test_a_body_that_waits_for_a_word_gets_it_when_it_is_wanted():
+def test_100_continue_is_sent_once_the_body_is_read():
     async def test():
-        keeper, transport, connection = make_client()
+        server, transport, connection = make_client()
         connection.data_received(
             b"POST /1 HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\n"
             b"Transfer-Encoding: chunked\r\n\r\n"
         )
-        await turns()
+        await run_pending_callbacks()
         assert transport.written == b""
-        gathered = asyncio.ensure_future(keeper.requests[0].read_body(100, 100))
-        await turns()
+        body_task = asyncio.ensure_future(server.requests[0].read_body(100, 100))
+        await run_pending_callbacks()
         assert transport.written == b"HTTP/1.1 100 Continue\r\n\r\n"
         connection.data_received(b"3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
-        assert await gathered == (b"abcde", True)
+        assert await body_task == (b"abcde", True)
 
     run(test)
 
 
-def test_headers_of_one_connection_stay_there_and_the_others_keep_their_order():
+def test_hop_by_hop_headers_are_dropped_and_the_others_keep_their_order():
     async def test():
-        keeper, _transport, connection = make_client()
+        server, _transport, connection = make_client()
         connection.data_received(
             b"GET /1 HTTP/1.1\r\nHost: h\r\nX-A: 1\r\nConnection: close, X-Hop\r\n"
             b"X-Hop: no\r\nx-a: 2\r\nTE: trailers\r\nDeadline-Ms: 5\r\n"
             b"Caller-Service: liar\r\nAttempt-Id: i\r\n\r\n"
         )
-        await turns()
-        request = keeper.requests[0]
+        await run_pending_callbacks()
+        request = server.requests[0]
         assert request.header_block() == (b"Host: h\r\nX-A: 1\r\nx-a: 2\r\nAttempt-Id: i\r\n")
         assert request.deadline_ms == 5.0 and request.closes
 
     run(test)
 
 
-def test_a_body_over_the_limit_is_told_before_it_is_gathered():
+def test_a_body_over_the_limit_is_refused_before_it_is_read():
     async def test():
-        keeper, _transport, connection = make_client()
+        server, _transport, connection = make_client()
         connection.data_received(b"POST /1 HTTP/1.1\r\nHost: h\r\nContent-Length: 99\r\n\r\n")
-        await turns()
+        await run_pending_callbacks()
         with pytest.raises(BodyTooLarge):
-            await keeper.requests[0].read_body(1000, 50)
+            await server.requests[0].read_body(1000, 50)
 
     run(test)
 
 
-def test_a_client_that_leaves_ends_the_work_for_it():
+def test_a_client_that_disconnects_cancels_its_requests():
     async def test():
-        keeper, _transport, connection = make_client()
+        server, _transport, connection = make_client()
         connection.data_received(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\n")
-        await turns()
+        await run_pending_callbacks()
         connection.connection_lost(None)
-        await turns()
-        assert keeper.answers["/1"].cancelled()
+        await run_pending_callbacks()
+        assert server.answers["/1"].cancelled()
 
     run(test)
 
@@ -212,20 +212,20 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nContent-Length: 2\r\n\r\n%s"
 
 
-def test_a_late_surplus_answer_is_told_apart_by_its_id():
+def test_an_answer_with_another_attempt_id_is_ignored_and_prevents_reuse():
     async def test():
         connection, _transport = make_target()
         await connection.send_head(b"GET", b"mine")
         connection.data_received(ANSWER % (b"other", b"no") + ANSWER % (b"mine", b"ok"))
         answer = await connection.answer()
         assert await answer.payload.read() == b"ok"
-        # Its bytes cannot be trusted any further.
+        # After unsolicited bytes the connection must not be reused.
         assert not connection.finish() and connection.state is ConnectionState.CLOSED
 
     run(test)
 
 
-def test_surplus_bytes_on_an_idle_connection_end_it():
+def test_unsolicited_bytes_close_an_idle_connection():
     async def test():
         connection, transport = make_target()
         connection.data_received(ANSWER % (b"x", b"no"))
@@ -241,7 +241,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok",
     ],
 )
-def test_what_cannot_be_the_answer_breaks_off(data):
+def test_an_invalid_answer_fails_the_request(data):
     async def test():
         connection, _transport = make_target()
         await connection.send_head(b"GET", b"mine")
@@ -253,13 +253,13 @@
 
 
 @pytest.mark.parametrize("is_reset", [False, True])
-def test_an_answer_without_a_length_is_whole_only_if_its_connection_ends_in_order(is_reset):
+def test_an_answer_without_a_length_is_complete_only_after_a_clean_close(is_reset):
     async def test():
         connection, transport = make_target()
         await connection.send_head(b"GET", b"mine")
         connection.data_received(b"HTTP/1.1 200 OK\r\nAttempt-Id: mine\r\n\r\nto the end")
         answer = await connection.answer()
-        # Nothing ends it but the connection.
+        # Only the end of the connection completes the answer.
         assert not answer.payload.is_eof()
         if is_reset:
             connection.connection_lost(ConnectionResetError("reset"))
@@ -274,7 +274,7 @@
     run(test)
 
 
-def test_nothing_is_written_to_a_connection_that_went_before_it_was_used():
+def test_nothing_is_written_to_a_connection_lost_before_use():
     async def test():
         connection, transport = make_target()
         connection.connection_lost(None)
@@ -285,7 +285,7 @@
     run(test)
 
 
-def test_an_answer_cut_off_never_looks_whole():
+def test_a_truncated_answer_never_looks_complete():
     async def test():
         connection, _transport = make_target()
         await connection.send_head(b"GET", b"mine")
@@ -300,7 +300,7 @@
     run(test)
 
 
-def test_a_refusal_may_come_without_an_id_and_keep_alive_bounds_the_reuse():
+def test_a_refusal_may_lack_the_attempt_id_and_keep_alive_limits_reuse():
     async def test():
         connection, _transport = make_target()
         await connection.send_head(b"GET", b"mine")
