--- a/marblefold/gateway/partner_hops.py
+++ b/marblefold/gateway/partner_hops.py
@@ -22,7 +22,7 @@
 
 
 class PartnerHops:
-    """Sends hops to partners through a sender of their own, and all others by default."""
+    """Sends hops to partners through their own sender, all others through the default one."""
 
     def __init__(self, default_hops: Hops, partner_hops: TargetHops, view: MeshView) -> None:
         self._default_hops = default_hops
--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -31,10 +31,10 @@
 __all__ = ["GatewayProgram"]
 
 _OVERDUE_CHECK_INTERVAL = timedelta(seconds=10)
-# Descriptors of the platform's limit that files use; listeners, connections to
-# registries and the event loop take a few more.
-_FILE_DESCRIPTORS_FOR_FILES = 200
-_FILE_DESCRIPTORS_FOR_CONTROL = 14
+# The platform reserves some file descriptors of the limit for files; listeners,
+# connections to registries and the event loop take a few more.
+_DESCRIPTORS_FOR_FILES = 200
+_DESCRIPTORS_FOR_CONTROL = 14
 _TARGET_DESCRIPTOR_SHARE = 0.5
 
 
@@ -59,9 +59,7 @@
             self.view, config.zone, subset_of=config.node_name, has_guards=False
         )
         free_descriptors = (
-            config.limits.file_descriptors
-            - _FILE_DESCRIPTORS_FOR_FILES
-            - _FILE_DESCRIPTORS_FOR_CONTROL
+            config.limits.file_descriptors - _DESCRIPTORS_FOR_FILES - _DESCRIPTORS_FOR_CONTROL
         )
         target_descriptors = max(4, int(free_descriptors * _TARGET_DESCRIPTOR_SHARE))
         self.surroundings = Surroundings(self.view, selector, config.bounds, config.limits)
@@ -75,9 +73,9 @@
             max(4, free_descriptors - target_descriptors),
             self.executor.may_run_concurrently,
         )
-        ready = CallRouter()
-        ready.add(*wire_names.READINESS_CALL, self._readiness)
-        self._readiness_server = HttpServer(ready.handle)
+        readiness_router = CallRouter()
+        readiness_router.add(*wire_names.READINESS_CALL, self._readiness)
+        self._readiness_server = HttpServer(readiness_router.handle)
         self.view.on_configuration = self._on_configuration
         self._stop = asyncio.Event()
         self._tasks = TaskKeeper()
--- a/marblefold/gateway/target_hops.py
+++ b/marblefold/gateway/target_hops.py
@@ -86,8 +86,8 @@
         """Sends the hop and returns its result within `seconds`.
 
         `find_obstacle` is called just before the first byte is sent; a text other than
-        "" prevents it.  Raises BodyTooLarge if the body exceeds `body_bound` bytes, and
-        ConnectionError if the client is lost.
+        "" prevents it.  Raises only BodyTooLarge, if the body exceeds `body_bound` bytes,
+        and CancelledError, if the client disconnects.
         """
         caller = self._pool.caller(peer)
         if caller is None:
@@ -115,6 +115,6 @@
 
 
 def _retrieve_error(offer: asyncio.Task) -> None:
-    # The reader of the pipe sees the error; asyncio would log it as never retrieved.
+    # Marks the error as retrieved, so that asyncio does not log it: the pipe carries it.
     if not offer.cancelled():
         offer.exception()
--- a/marblefold/http_connections/client_connection.py
+++ b/marblefold/http_connections/client_connection.py
@@ -169,8 +169,8 @@
             if request is None:
                 break
             is_repeatable = request.method in _SAFE_METHODS and not request.has_body
-            # A request that must not run twice starts only once all earlier ones
-            # have been answered, and none starts before it is answered.
+            # A request that must not run twice starts only once all earlier ones have
+            # been answered, and nothing runs beside a method that is not safe.
             if running and not (is_repeatable and self._server.may_run_concurrently(request)):
                 break
             if slot.task is None and slot.answer is None:
