--- a/marblefold/gateway/partner_hops.py
+++ b/marblefold/gateway/partner_hops.py
@@ -10,7 +10,7 @@
 from marblefold.gateway.target_pool import TargetPool
 from marblefold.http_connections.client_request import ForwardedRequest
 from marblefold.partners.merging import partner_of
-from marblefold.request_path.hop_sender import Hops
+from marblefold.request_path.hop_sender import HopTransport
 from marblefold.request_path.mesh_view import MeshView
 from marblefold.request_path.outcome import HopResult
 from marblefold.task_keeper import TaskKeeper
@@ -24,7 +24,9 @@
 class PartnerHops:
     """Sends hops to partners through their own sender, all others through the default one."""
 
-    def __init__(self, default_hops: Hops, partner_hops: TargetHops, view: MeshView) -> None:
+    def __init__(
+        self, default_hops: HopTransport, partner_hops: TargetHops, view: MeshView
+    ) -> None:
         self._default_hops = default_hops
         self._partner_hops = partner_hops
         self._view = view
@@ -38,16 +40,16 @@
         peer: str,
         head,
         request: ForwardedRequest,
-        body_bound: int,
+        max_body_bytes: int,
         seconds: float,
     ) -> HopResult:
         """Sends the hop and returns its result within `seconds`.
 
-        Raises BodyTooLarge if the body exceeds `body_bound` bytes.
+        Raises BodyTooLarge if the body exceeds `max_body_bytes` bytes.
         """
         partner = partner_of(head.upstream)
         if not partner:
-            return await self._default_hops.send(peer, head, request, body_bound, seconds)
+            return await self._default_hops.send(peer, head, request, max_body_bytes, seconds)
         # Partners do not know the instances of this mesh.
         head.expected_instance = ""
 
@@ -56,7 +58,7 @@
             return "" if is_allowed else "not allowed any more"
 
         return await self._partner_hops.send(
-            peer, head, request, body_bound, seconds, find_obstacle
+            peer, head, request, max_body_bytes, seconds, find_obstacle
         )
 
     def is_still_allowed(
@@ -74,7 +76,7 @@
         return partners is not None and partners.addresses.get(partner) == peer
 
 
-def add_partner_hops(default_hops: Hops, view: MeshView, tasks: TaskKeeper) -> PartnerHops:
+def add_partner_hops(default_hops: HopTransport, view: MeshView, tasks: TaskKeeper) -> PartnerHops:
     """Adds a sender for hops to partners to the default sender of a proxy."""
     pool = TargetPool(
         _MAX_PARTNER_DESCRIPTORS,
--- a/marblefold/gateway/program.py
+++ b/marblefold/gateway/program.py
@@ -16,14 +16,14 @@
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
 from marblefold.node_config.watching import ConfigWatch
+from marblefold.proxy.graceful_shutdown import shut_down_gracefully
 from marblefold.proxy.lease_client import LeaseClient
-from marblefold.proxy.leaving import leave_in_order
 from marblefold.proxy.registry_follower import RegistryFollower
-from marblefold.proxy.traffic_teller import TrafficTeller
+from marblefold.proxy.traffic_reporter import TrafficReporter
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.mesh_view import MeshView
-from marblefold.request_path.running_work import RunningWork
-from marblefold.request_path.surroundings import Surroundings
+from marblefold.request_path.routing_state import RoutingState
+from marblefold.request_path.running_requests import RunningRequests
 from marblefold.request_path.target_selection import TargetSelector
 from marblefold.task_keeper import TaskKeeper
 from marblefold.tracing.starting import start_tracing
@@ -52,21 +52,21 @@
             config.node_name,
             self._seed_registries,
             self.view,
-            most=GATEWAY_FOLLOWS,
-            asker=LeaseClient(config.node_name, self.view),
+            max_followed=GATEWAY_FOLLOWS,
+            lease_client=LeaseClient(config.node_name, self.view),
         )
         selector = TargetSelector(
-            self.view, config.zone, subset_of=config.node_name, has_guards=False
+            self.view, config.zone, subset_key=config.node_name, has_guards=False
         )
         free_descriptors = (
             config.limits.file_descriptors - _DESCRIPTORS_FOR_FILES - _DESCRIPTORS_FOR_CONTROL
         )
         target_descriptors = max(4, int(free_descriptors * _TARGET_DESCRIPTOR_SHARE))
-        self.surroundings = Surroundings(self.view, selector, config.bounds, config.limits)
+        self.routing_state = RoutingState(self.view, selector, config.bounds, config.limits)
         self.pool = TargetPool(target_descriptors, self._addresses)
         hops = TargetHops(self.pool)
         self.executor = RequestExecutor(
-            self.surroundings, PartnerHops(hops, hops, self.view), RunningWork(), ""
+            self.routing_state, PartnerHops(hops, hops, self.view), RunningRequests(), ""
         )
         self.outbound = HttpServer(
             self.executor.serve,
@@ -79,13 +79,13 @@
         self.view.on_configuration = self._on_configuration
         self._stop = asyncio.Event()
         self._tasks = TaskKeeper()
-        # Hops end at targets, so there are no peers to propagate trace marks to.
+        # HopTransport end at targets, so there are no peers to propagate trace marks to.
         self._tracing = start_tracing(
             config, str(config.listen.get("front-http", "")), self.view, self.follower, self._tasks
         )
         if self._tracing is not None:
             self.executor.tracer = self._tracing.tracer
-        self._traffic = TrafficTeller(self.surroundings.traffic, self.follower, config)
+        self._traffic = TrafficReporter(self.routing_state.traffic, self.follower, config)
 
     async def run(self) -> None:
         """Serves until SIGTERM, then shuts down gracefully."""
@@ -110,12 +110,12 @@
         if self._tracing is not None:
             self._tasks.start(self._tracing.run())
         await self._stop.wait()
-        await leave_in_order(self)
+        await shut_down_gracefully(self)
         if self._tracing is not None:
             self._tracing.export_rest()
         self._tasks.cancel()
 
-    def tell_leaving(self) -> None:
+    def begin_shutdown(self) -> None:
         """Fails the readiness checks, so that the platform routes clients elsewhere."""
         self.is_leaving = True
 
@@ -152,4 +152,4 @@
     async def _log_overdue(self) -> None:
         while True:
             await asyncio.sleep(_OVERDUE_CHECK_INTERVAL.total_seconds())
-            self.surroundings.log_overdue(_OVERDUE_CHECK_INTERVAL)
+            self.routing_state.log_overdue(_OVERDUE_CHECK_INTERVAL)
--- a/marblefold/gateway/target_hops.py
+++ b/marblefold/gateway/target_hops.py
@@ -79,14 +79,14 @@
         peer: str,
         head,
         request: ForwardedRequest,
-        body_bound: int,
+        max_body_bytes: int,
         seconds: float,
         find_obstacle: Callable[[], str] | None = None,
     ) -> HopResult:
         """Sends the hop and returns its result within `seconds`.
 
         `find_obstacle` is called just before the first byte is sent; a text other than
-        "" prevents it.  Raises only BodyTooLarge, if the body exceeds `body_bound` bytes,
+        "" prevents it.  Raises only BodyTooLarge, if the body exceeds `max_body_bytes` bytes,
         and CancelledError, if the client disconnects.
         """
         caller = self._pool.caller(peer)
@@ -94,7 +94,7 @@
             # Nothing was sent, so the request was certainly not executed.
             return HopResult(HopOutcome.NEVER_OFFERED, step="no descriptor", retry_after=0.1)
         started = time.monotonic()
-        exchange = _TargetExchange(request, body_bound)
+        exchange = _TargetExchange(request, max_body_bytes)
         offer = asyncio.get_running_loop().create_task(
             caller.offer(exchange, head, seconds, find_obstacle)
         )
--- a/marblefold/proxy/health_probe.py
+++ b/marblefold/proxy/health_probe.py
@@ -1,4 +1,4 @@
-"""Checks the target's health where its heartbeats are not enough."""
+"""Requests the health of the target over HTTP."""
 
 import asyncio
 from datetime import timedelta
@@ -12,25 +12,25 @@
 from marblefold.http_connections.target_connection_pool import TargetConnectionPool
 from marblefold.node_config.reading import Address
 
-__all__ = ["Health", "ask_health", "read_cold"]
+__all__ = ["Health", "fetch_health", "parse_cold_remaining"]
 
-_PROBE_SECONDS = 1.0
+_PROBE_TIMEOUT_SECONDS = 1.0
 
 
 class Health(NamedTuple):
-    """What a healthy target reports; `cold` is how much longer it is cold."""
+    """The report of a healthy target; `cold` is the remaining cold time."""
 
     instance: str
     slots: int
     cold: timedelta
 
 
-async def ask_health(address: Address, path: str) -> Health | None:
-    """The target's health, or None if it is unhealthy or gives no answer in time."""
+async def fetch_health(address: Address, path: str) -> Health | None:
+    """Returns the target's health, or None if it is unhealthy or does not answer in time."""
     connections = TargetConnectionPool(address)
     connection = None
     try:
-        async with asyncio.timeout(_PROBE_SECONDS):
+        async with asyncio.timeout(_PROBE_TIMEOUT_SECONDS):
             connection = await connections.acquire()
             head = f"GET {path} HTTP/1.1\r\nHost: {address}\r\nConnection: close\r\n\r\n"
             await connection.send_head(head.encode(), None)
@@ -46,16 +46,16 @@
         return None
     load = (find_header(answer.headers, wire_names.SERVER_LOAD) or b"").split(b",")
     slots = int(load[2]) if len(load) == 3 and load[2].strip().isdigit() else 0
-    cold = read_cold(find_header(answer.headers, wire_names.COLD_MS))
+    cold = parse_cold_remaining(find_header(answer.headers, wire_names.COLD_MS))
     if cold is None:
         return None
     return Health(instance.decode("latin-1"), slots, cold)
 
 
-def read_cold(value: bytes | None) -> timedelta | None:
-    """How much longer the target is cold; None if it says so in a way that cannot be read.
+def parse_cold_remaining(value: bytes | None) -> timedelta | None:
+    """Returns the remaining cold time, or None if the value is malformed.
 
-    A target that does not mention it is warm.
+    A target that sends no value is warm.
     """
     try:
         return timedelta(milliseconds=float(value or b"0"))
--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -1,17 +1,33 @@
-"""The voting side of a store: promises and accepts, on disk before it says so.
+"""The Paxos acceptor of a store: makes promises and accepts durable before it answers.
 
-Pure but for the records it writes, so that tests can lose power anywhere.
+Its only side effect is writing records, so that tests can cut the power at any write.
 """
 
 import contextlib
 
 from marblefold.errors import DiskError
 from marblefold.inner_protocol.messages import kinds
-from marblefold.register_store.ballots import NOTHING, Ballot, Holding, pack_holding, read_holding
-from marblefold.register_store.calls import Refusal
-from marblefold.register_store.lives import NO_LIFE, first_life, is_past, life_above, may_follow
-from marblefold.register_store.reading import find_unproven, merge_holdings, merge_lives
+from marblefold.register_store.ballots import (
+    NO_ACCEPTED_STATE,
+    AcceptedState,
+    Ballot,
+    pack_accepted_state,
+    read_accepted_state,
+)
+from marblefold.register_store.generations import (
+    NO_GENERATION,
+    first_generation,
+    generation_above,
+    is_superseded,
+    may_succeed,
+)
+from marblefold.register_store.peer_call_kinds import Refusal
 from marblefold.register_store.records import Records, UncertainRecords
+from marblefold.register_store.state_recovery import (
+    find_unproven,
+    merge_accepted_states,
+    merge_generations,
+)
 from marblefold.register_store.store_records import StoreMeta, VotingStatus
 from marblefold.register_store.view import View, first_view, read_view
 
@@ -23,251 +39,280 @@
 
 
 class Acceptor:
-    """Holds the registers of one store."""
+    """The acceptor of all registers of one store."""
 
     def __init__(self, address: str, records: Records, seeds: list[str], is_first: bool) -> None:
         self.address = address
-        self.standing = VotingStatus.READING
-        self.life = NO_LIFE
-        self.lives: dict[str, str] = {}
-        self.holdings: dict[str, Holding] = {}
+        self.voting_status = VotingStatus.READING
+        self.generation = NO_GENERATION
+        self.known_generations: dict[str, str] = {}
+        self.accepted_states: dict[str, AcceptedState] = {}
         self.view: View | None = None
-        # The view before, if we waited outside it in this very life.
-        self.previous: View | None = None
-        # The view that swapped us out, while we can still be read.
-        self.left_view: View | None = None
-        # Copied while reading although a higher ballot was promised: no proof
-        # that a majority accepted the value under its ballot.
+        # The preceding view, if this store was outside it in its present generation.
+        self.previous_view: View | None = None
+        # The view that removed this store, while its state may still be read.
+        self.removing_view: View | None = None
+        # Registers copied during recovery although a higher ballot was promised:
+        # no proof that a majority accepted the value under its ballot.
         self._unproven: set[str] = set()
         self._records = UncertainRecords(records)
         loaded = records.load()
         for name, data in loaded.items():
             if name.startswith(_REGISTER_PREFIX):
                 message = kinds.Accepted.FromString(data)
-                self.holdings[message.register] = read_holding(message)
-        # What cannot be written now is written before the first answer.
+                self.accepted_states[message.register] = read_accepted_state(message)
+        # A record that cannot be written now is written before the first answer.
         with contextlib.suppress(DiskError):
-            # Empty: the disk lost a record, so this store starts as if wiped.
+            # An empty record means that the disk lost one: start as after a lost disk.
             if loaded.get(META_RECORD):
                 self._read_meta(loaded[META_RECORD])
             elif is_first and not loaded:
-                self._begin_first(seeds)
-            if self.standing is VotingStatus.READING:
+                self._initialize_first_start(seeds)
+            if self.voting_status is VotingStatus.READING:
                 self.begin_reading()
 
     @property
     def is_member(self) -> bool:
-        """Whether the newest chosen view known here counts this store in."""
+        """Whether this store is a member of the newest chosen view known here."""
         return self.view is not None and self.address in self.view.members
 
     @property
-    def has_open_view(self) -> bool:
-        """Whether a view was accepted here that may or may not be chosen."""
-        held = self.holdings.get(VIEW_REGISTER, NOTHING)
+    def has_pending_view(self) -> bool:
+        """Whether a newer view was accepted here that may or may not be chosen."""
+        current = self.accepted_states.get(VIEW_REGISTER, NO_ACCEPTED_STATE)
         known = self.view.number if self.view else 0
-        return bool(held.value) and read_view(held.value).number > known
+        return bool(current.value) and read_view(current.value).number > known
 
-    def settle_disk(self) -> None:
-        """Writes again what a failed write left in doubt; DiskError if it fails again.
+    def rewrite_uncertain_records(self) -> None:
+        """Rewrites the records whose last write failed; raises DiskError if that fails again.
 
-        To be called before each answer: none may rest on what power loss can change.
+        Must be called before each answer: no answer may depend on state that a
+        power loss can change.
         """
         for name in sorted(self._records.uncertain_names):
             register = name.removeprefix(_REGISTER_PREFIX)
             if name == META_RECORD:
                 self._write_meta()
             else:
-                self._write_register(register, self.holdings.get(register, NOTHING))
+                self._write_register(
+                    register, self.accepted_states.get(register, NO_ACCEPTED_STATE)
+                )
 
     def begin_reading(self) -> None:
-        """Starts a life that knows nothing: no vote before it has read."""
-        self.life = life_above([self.life, self.lives.get(self.address, NO_LIFE)])
-        self.previous = self.left_view = None
-        self._change_standing(VotingStatus.READING)
+        """Starts a new generation, which may not vote before it has read from other members."""
+        self.generation = generation_above(
+            [self.generation, self.known_generations.get(self.address, NO_GENERATION)]
+        )
+        self.previous_view = self.removing_view = None
+        self._set_voting_status(VotingStatus.READING)
 
-    def outlive(self, known: str) -> bool:
-        """Begins a later life if one not before ours is known; returns whether it did.
+    def supersede_generation(self, known: str) -> bool:
+        """Starts a later generation unless this one may succeed the known one.
 
-        A lost disk does not know its epoch: those that noted it say so.
+        After a disk loss a store does not know its epoch; the members that
+        recorded it report it. Returns whether a new generation started.
         """
-        if may_follow(self.life, known):
+        if may_succeed(self.generation, known):
             return False
-        self.lives[self.address] = known
+        self.known_generations[self.address] = known
         self.begin_reading()
         return True
 
     def prepare(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
-        """Promises to take no lower ballot, if none higher was promised."""
+        """Promises to accept no lower ballot, unless this or a higher one was promised."""
         refusal = self._find_refusal(call)
         if refusal:
             return self._refuse(refusal, call.register)
-        held, ballot = self.holdings.get(call.register, NOTHING), Ballot.read(call.ballot)
-        if ballot <= held.promised:
+        current, ballot = (
+            self.accepted_states.get(call.register, NO_ACCEPTED_STATE),
+            Ballot.read(call.ballot),
+        )
+        if ballot <= current.promised:
             return self._refuse(Refusal.PROMISED_HIGHER, call.register)
-        self._hold(call.register, held._replace(promised=ballot))
-        # A promise above the ballot has the proposer not count it as accepted.
-        shown = held if call.register in self._unproven else held._replace(promised=held.ballot)
-        return self._agree([pack_holding(call.register, shown)])
+        self._store_accepted(call.register, current._replace(promised=ballot))
+        # A promise above the accepted ballot tells the proposer not to count
+        # the value as accepted.
+        reported = (
+            current
+            if call.register in self._unproven
+            else current._replace(promised=current.ballot)
+        )
+        return self._agree([pack_accepted_state(call.register, reported)])
 
     def accept(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
-        """Accepts a value under a ballot that is not below the promised one."""
-        refusal = self._find_refusal(call) or self._find_past_life(call)
+        """Accepts a value if its ballot is not below the promised one."""
+        refusal = self._find_refusal(call) or self._find_past_generation(call)
         if refusal:
             return self._refuse(refusal, call.register)
         ballot = Ballot.read(call.ballot)
-        if ballot < self.holdings.get(call.register, NOTHING).promised:
+        if ballot < self.accepted_states.get(call.register, NO_ACCEPTED_STATE).promised:
             return self._refuse(Refusal.PROMISED_HIGHER, call.register)
         orders = tuple(call.orders)
-        self._hold(call.register, Holding(ballot, ballot, call.number, call.value, orders))
+        self._store_accepted(
+            call.register, AcceptedState(ballot, ballot, call.number, call.value, orders)
+        )
         self._unproven.discard(call.register)
         return self._agree([])
 
-    def take_chosen(self, register: str, holding: Holding) -> bool:
-        """Takes in what a majority holds; returns whether it was newer than the one held.
+    def learn_chosen(self, register: str, state: AcceptedState) -> bool:
+        """Stores a chosen state; returns whether it was newer than the accepted one.
 
-        Safe whatever was promised: a higher ballot's majority met this one's.
+        Safe whatever was promised: the majority of any higher ballot overlaps
+        with the majority of this one.
         """
         if register == VIEW_REGISTER:
-            self.take_view(read_view(holding.value))
-        held = self.holdings.get(register, NOTHING)
-        if holding.ballot <= held.ballot or self.standing is not VotingStatus.VOTING:
+            self.learn_view(read_view(state.value))
+        current = self.accepted_states.get(register, NO_ACCEPTED_STATE)
+        if state.ballot <= current.ballot or self.voting_status is not VotingStatus.VOTING:
             return False
-        promised = max(held.promised, holding.ballot)
-        self._hold(register, holding._replace(promised=promised))
+        promised = max(current.promised, state.ballot)
+        self._store_accepted(register, state._replace(promised=promised))
         self._unproven.discard(register)
         return True
 
-    def take_view(self, view: View) -> bool:
-        """Takes in a view that is known to be chosen, if it is newer."""
-        held = self.view
-        if held is not None and view.number <= held.number:
+    def learn_view(self, view: View) -> bool:
+        """Adopts a view that is known to be chosen; returns whether it was newer."""
+        current = self.view
+        if current is not None and view.number <= current.number:
             return False
-        before, was = self.view, self.standing
-        # Only who was a member all along knows what was held meanwhile.
-        follows = held is not None and self.is_member and view.number == held.number + 1
+        preceding, previous_status = self.view, self.voting_status
+        # Only a member of two consecutive views has missed no accepted state.
+        is_consecutive = (
+            current is not None and self.is_member and view.number == current.number + 1
+        )
         self.view = view
-        # Calls of earlier views are refused as such, whatever life they count on.
-        self.lives = {
-            member: life
-            for member, life in self.lives.items()
+        # Calls of earlier views are refused for their view, so the generations
+        # of former members need not be kept.
+        self.known_generations = {
+            member: generation
+            for member, generation in self.known_generations.items()
             if member in view.members or member == self.address
         }
-        if self.standing is VotingStatus.VOTING and not (follows and self.is_member):
+        if self.voting_status is VotingStatus.VOTING and not (is_consecutive and self.is_member):
             self.begin_reading()
         else:
             self._write_meta()
-        is_next = before is not None and view.number == before.number + 1
-        self.previous = before if is_next and was is VotingStatus.READING else None
-        self.left_view = (
-            view if follows and was is VotingStatus.VOTING and not self.is_member else None
+        is_next = preceding is not None and view.number == preceding.number + 1
+        self.previous_view = (
+            preceding if is_next and previous_status is VotingStatus.READING else None
+        )
+        self.removing_view = (
+            view
+            if is_consecutive and previous_status is VotingStatus.VOTING and not self.is_member
+            else None
         )
         return True
 
     def answer_read(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
-        """Gives all that is held, and knows the reader's new life from then on."""
-        votes = self.standing is VotingStatus.VOTING and not self.has_open_view
-        # Who was just swapped out votes no more: what it holds is final.
-        if not votes and (self.left_view is None or self.left_view != self.view):
+        """Returns all accepted states and records the reader's new generation."""
+        is_voting = self.voting_status is VotingStatus.VOTING and not self.has_pending_view
+        # A store that was just removed no longer votes: its state is final.
+        if not is_voting and (self.removing_view is None or self.removing_view != self.view):
             return self._refuse(Refusal.UNREADABLE, "")
         if call.view and read_view(call.view) != self.view:
             return self._refuse(Refusal.ANOTHER_VIEW, "")
-        known = self.lives.get(call.sender, NO_LIFE)
-        if not may_follow(call.sender_life, known):
-            return self._refuse(Refusal.READER_OF_PAST_LIFE, "", {call.sender: known})
+        known = self.known_generations.get(call.sender, NO_GENERATION)
+        if not may_succeed(call.sender_life, known):
+            return self._refuse(Refusal.READER_OF_PAST_GENERATION, "", {call.sender: known})
         if known != call.sender_life:
-            self.lives[call.sender] = call.sender_life
-            # On disk first: an accept that counts on the past life of the
-            # reader must be refused from here on, whatever happens to us.
+            self.known_generations[call.sender] = call.sender_life
+            # Durable before the answer: from here on an accept that counts on an
+            # earlier generation of the reader must be refused, even after a restart.
             self._write_meta()
-        return self._agree([pack_holding(name, holding) for name, holding in self.holdings.items()])
+        return self._agree(
+            [pack_accepted_state(name, state) for name, state in self.accepted_states.items()]
+        )
 
     def finish_reading(self, answers: list[kinds.StoreAnswer]) -> None:
-        """Takes over what enough others hold; from here on this store votes."""
-        merge_holdings(self.holdings, answers)
-        merge_lives(self.lives, answers)
-        for register, holding in self.holdings.items():
-            self._write_register(register, holding)
-        self._unproven = find_unproven(self.holdings)
-        self._change_standing(VotingStatus.VOTING)
+        """Adopts the states read from a read quorum; from here on this store votes."""
+        merge_accepted_states(self.accepted_states, answers)
+        merge_generations(self.known_generations, answers)
+        for register, state in self.accepted_states.items():
+            self._write_register(register, state)
+        self._unproven = find_unproven(self.accepted_states)
+        self._set_voting_status(VotingStatus.VOTING)
 
     def _find_refusal(self, call: kinds.StoreCall) -> Refusal:
-        if self.standing is not VotingStatus.VOTING or not self.is_member:
+        if self.voting_status is not VotingStatus.VOTING or not self.is_member:
             return Refusal.DOES_NOT_VOTE
         if read_view(call.view) != self.view:
             return Refusal.ANOTHER_VIEW
-        # A view that may be chosen already ends all else in this one.
-        if self.has_open_view and call.register != VIEW_REGISTER:
+        # A pending view may be chosen already, so this one accepts nothing else.
+        if self.has_pending_view and call.register != VIEW_REGISTER:
             return Refusal.VIEW_IS_CHANGING
         return Refusal.NONE
 
-    def _find_past_life(self, call: kinds.StoreCall) -> Refusal:
-        """Whether the accept counts on a promise that was lost with a disk.
+    def _find_past_generation(self, call: kinds.StoreCall) -> Refusal:
+        """Returns the refusal of an accept that counts on a promise lost with a disk.
 
-        A later life than the one noted here is no reason: it has read, though
-        not from us.
+        A later generation than the one recorded here is no reason to refuse: its
+        store has recovered, only without reading from this one.
         """
         if self.address not in call.lives:
             return Refusal.NO_PROMISE
-        if call.lives[self.address] != self.life:
-            return Refusal.PAST_LIFE
+        if call.lives[self.address] != self.generation:
+            return Refusal.PAST_GENERATION
         is_lost = any(
-            is_past(life, self.lives.get(member, NO_LIFE)) for member, life in call.lives.items()
+            is_superseded(generation, self.known_generations.get(member, NO_GENERATION))
+            for member, generation in call.lives.items()
         )
-        return Refusal.PAST_LIFE if is_lost else Refusal.NONE
+        return Refusal.PAST_GENERATION if is_lost else Refusal.NONE
 
-    def _hold(self, register: str, holding: Holding) -> None:
-        self._write_register(register, holding)
-        self.holdings[register] = holding
+    def _store_accepted(self, register: str, state: AcceptedState) -> None:
+        self._write_register(register, state)
+        self.accepted_states[register] = state
 
-    def _write_register(self, register: str, holding: Holding) -> None:
-        record = pack_holding(register, holding).SerializeToString()
+    def _write_register(self, register: str, state: AcceptedState) -> None:
+        record = pack_accepted_state(register, state).SerializeToString()
         self._records.write(_REGISTER_PREFIX + register, record)
 
-    def _begin_first(self, seeds: list[str]) -> None:
-        self.life, self.view = first_life(), first_view(seeds)
-        # A store that no seed names waits to be swapped in.
+    def _initialize_first_start(self, seeds: list[str]) -> None:
+        self.generation, self.view = first_generation(), first_view(seeds)
+        # A store outside the seed list waits until it is added to a view.
         if self.is_member:
-            self._change_standing(VotingStatus.VOTING)
+            self._set_voting_status(VotingStatus.VOTING)
 
-    def _change_standing(self, standing: VotingStatus) -> None:
-        """The one place where the standing changes."""
-        self.standing = standing
+    def _set_voting_status(self, voting_status: VotingStatus) -> None:
+        """Changes the voting status and writes it to disk; no other method may change it."""
+        self.voting_status = voting_status
         self._write_meta()
 
     def _write_meta(self) -> None:
         unproven = frozenset(self._unproven)
-        meta = StoreMeta(self.life, self.standing, self.lives, unproven, self.view)
+        meta = StoreMeta(
+            self.generation, self.voting_status, self.known_generations, unproven, self.view
+        )
         self._records.write(META_RECORD, meta.pack())
 
     def _read_meta(self, data: bytes) -> None:
         meta = StoreMeta.read(data)
-        self.life, self.standing, self.view = meta.life, meta.standing, meta.view
-        self.lives, self._unproven = dict(meta.lives), set(meta.unproven)
+        self.generation, self.voting_status, self.view = meta.life, meta.standing, meta.view
+        self.known_generations, self._unproven = dict(meta.lives), set(meta.unproven)
 
     def _agree(self, accepted: list[kinds.Accepted]) -> kinds.StoreAnswer:
         return kinds.StoreAnswer(
             agreed=True,
-            life=self.life,
+            life=self.generation,
             view=self.pack_view(),
             accepted=accepted,
-            lives={**self.lives, self.address: self.life},
+            lives={**self.known_generations, self.address: self.generation},
         )
 
     def _refuse(
         self,
         reason: Refusal,
         register: str,
-        lives: dict[str, str] | None = None,
+        generations: dict[str, str] | None = None,
     ) -> kinds.StoreAnswer:
-        promised = self.holdings.get(register, NOTHING).promised
+        promised = self.accepted_states.get(register, NO_ACCEPTED_STATE).promised
         return kinds.StoreAnswer(
             reason=reason,
-            life=self.life,
+            life=self.generation,
             view=self.pack_view(),
-            lives=lives,
+            lives=generations,
             promised=promised.pack(),
         )
 
     def pack_view(self) -> bytes:
-        """The newest chosen view known, or nothing."""
+        """Returns the newest chosen view known as bytes, or empty bytes."""
         return self.view.pack() if self.view else b""
--- a/marblefold/register_store/chosen_registers.py
+++ b/marblefold/register_store/chosen_registers.py
@@ -6,7 +6,7 @@
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds, pack_message
 from marblefold.inner_protocol.peer_connection import PeerConnection
-from marblefold.register_store.ballots import Ballot, Holding, pack_holding
+from marblefold.register_store.ballots import AcceptedState, Ballot, pack_accepted_state
 
 __all__ = ["ChosenRegisters"]
 
@@ -19,18 +19,18 @@
     """The newest chosen state of every register, and the connections to notify of changes."""
 
     def __init__(self) -> None:
-        self.holdings: dict[str, Holding] = {}
+        self.holdings: dict[str, AcceptedState] = {}
         self._watchers: set[PeerConnection] = set()
         self._digest = b""
 
-    def put(self, register: str, holding: Holding) -> bool:
+    def put(self, register: str, holding: AcceptedState) -> bool:
         """Stores a chosen state; returns whether it was newer than the known one."""
         known = self.holdings.get(register)
         if not holding.value or (known is not None and holding.ballot <= known.ballot):
             return False
         self.holdings[register] = holding
         self._digest = b""
-        payload = pack_message(pack_holding(register, holding))
+        payload = pack_message(pack_accepted_state(register, holding))
         for connection in self._watchers:
             connection.send(FrameKind.TELL, 0, payload)
         return True
@@ -39,7 +39,7 @@
         """Sends all chosen states to the connection, and every later change."""
         self._watchers.add(connection)
         for register, holding in self.holdings.items():
-            connection.send(FrameKind.TELL, 0, pack_message(pack_holding(register, holding)))
+            connection.send(FrameKind.TELL, 0, pack_message(pack_accepted_state(register, holding)))
 
     def remove_watcher(self, connection: PeerConnection) -> None:
         """Stops sending changes to the connection."""
@@ -67,7 +67,7 @@
         for register, holding in self.holdings.items():
             if register in peer_ballots and holding.ballot <= peer_ballots[register]:
                 continue
-            message = pack_holding(register, holding)
+            message = pack_accepted_state(register, holding)
             size += message.ByteSize()
             if newer and size > _MAX_ANSWER_BYTES:
                 break
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -16,7 +16,7 @@
 from marblefold.logs import log
 from marblefold.node_config.watching import ConfigWatch
 from marblefold.register_store.acceptor import META_RECORD, VIEW_REGISTER, Acceptor
-from marblefold.register_store.ballots import Holding, read_holding
+from marblefold.register_store.ballots import AcceptedState, read_accepted_state
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import RegisterContent
 from marblefold.register_store.chosen_registers import ChosenRegisters
@@ -25,7 +25,7 @@
 from marblefold.register_store.peer_calls import StorePeers
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.register_files import RegisterFiles
-from marblefold.register_store.upkeep import Upkeep
+from marblefold.register_store.replica import Replica
 
 __all__ = ["StoreProgram", "open_acceptor"]
 
@@ -51,10 +51,10 @@
         )
         self._peers = StorePeers(self._acceptor, PeerBook(self))
         self._proposer = Proposer(
-            self._peers, f"{self._address}/{self._acceptor.life}/{os.urandom(4).hex()}"
+            self._peers, f"{self._address}/{self._acceptor.generation}/{os.urandom(4).hex()}"
         )
         self._chosen = ChosenRegisters()
-        self._upkeep = Upkeep(
+        self._replica = Replica(
             self._acceptor, self._peers, self._proposer, self._chosen, seeds, config.machine_losses
         )
         self._stop = asyncio.Event()
@@ -71,11 +71,11 @@
             "serving",
             node=self._config.node_name,
             inner=self._address,
-            standing=self._acceptor.standing.value,
+            standing=self._acceptor.voting_status.value,
         )
-        tasks = [loop.create_task(self._watch.run()), loop.create_task(self._upkeep.run())]
+        tasks = [loop.create_task(self._watch.run()), loop.create_task(self._replica.run())]
         await self._stop.wait()
-        await self._upkeep.hand_over(_HANDOVER_TIMEOUT_SECONDS)
+        await self._replica.hand_over(_HANDOVER_TIMEOUT_SECONDS)
         # Waits for proposals in progress, so that clients learn their outcome.
         if self._tasks:
             await asyncio.wait(set(self._tasks), timeout=1.5)
@@ -86,7 +86,7 @@
         """Answers a call of a store or a registry."""
         message = unpack_message(payload)
         if isinstance(message, kinds.StoreCall):
-            answer = self._upkeep.answer(message)
+            answer = self._replica.answer(message)
             connection.send(FrameKind.REPLY, number, pack_message(answer))
         elif isinstance(message, kinds.RegisterCall):
             task = asyncio.get_running_loop().create_task(
@@ -99,7 +99,7 @@
         """Takes in a newly chosen record that another store sent."""
         message = unpack_message(payload)
         if isinstance(message, kinds.Accepted):
-            self._upkeep.take_chosen(message.register, read_holding(message))
+            self._replica.learn_chosen(message.register, read_accepted_state(message))
 
     def on_lost(self, connection: PeerConnection) -> None:
         """Removes the watch of a registry whose connection was lost."""
@@ -149,11 +149,11 @@
                 ),
             )
 
-    def _publish_chosen(self, register: str, holding: Holding) -> None:
-        self._upkeep.take_chosen(register, holding)
+    def _publish_chosen(self, register: str, holding: AcceptedState) -> None:
+        self._replica.learn_chosen(register, holding)
         view = self._acceptor.view
         for peer in view.members if view else ():
-            self._peers.tell_chosen(peer, register, holding)
+            self._peers.notify_chosen(peer, register, holding)
 
 
 def open_acceptor(
--- /dev/null
+++ b/marblefold/register_store/replica.py
@@ -0,0 +1,235 @@
+"""One replica of the store: its background work, and its answers to the other stores."""
+
+import asyncio
+import contextlib
+from collections.abc import Awaitable, Callable
+
+from marblefold.errors import MeshError
+from marblefold.inner_protocol.messages import kinds
+from marblefold.logs import log
+from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, VotingStatus
+from marblefold.register_store.anti_entropy import AntiEntropy, answer_comparison
+from marblefold.register_store.ballots import NO_ACCEPTED_STATE, AcceptedState, Ballot
+from marblefold.register_store.chosen_registers import ChosenRegisters
+from marblefold.register_store.member_changes import MemberChanges
+from marblefold.register_store.peer_call_kinds import CallKind, Refusal
+from marblefold.register_store.peer_calls import StorePeers, answer_call
+from marblefold.register_store.proposer import Proposer
+from marblefold.register_store.reconciliation import Reconciler
+from marblefold.register_store.state_recovery import is_read_quorum
+from marblefold.register_store.store_timing import REAL_TIMING, StoreTiming
+from marblefold.register_store.view import read_view
+
+__all__ = ["Replica"]
+
+_ROUND_INTERVAL_SECONDS = 0.3
+# Each attempt may learn of a newer view or generation, which invalidates its answers.
+_MAX_READ_ATTEMPTS = 4
+
+
+class Replica:
+    """Recovers, reconciles and compares the registers, and changes the members, in rounds."""
+
+    def __init__(
+        self,
+        acceptor: Acceptor,
+        peers: StorePeers,
+        proposer: Proposer,
+        chosen: ChosenRegisters,
+        seeds: list[str],
+        machine_losses: int = 1,
+        timing: StoreTiming = REAL_TIMING,
+    ) -> None:
+        self._acceptor = acceptor
+        self._peers = peers
+        self._chosen = chosen
+        self._seeds = seeds
+        self._timing = timing
+        self._anti_entropy = AntiEntropy(acceptor, chosen, self._ask_all, timing)
+        self._reconciler = Reconciler(acceptor, proposer, peers, self._anti_entropy)
+        self._members = MemberChanges(acceptor, peers, self._reconciler, machine_losses, timing)
+        self._unreconciled: set[str] | None = None
+        # Ballots accepted here but not known to be chosen, as of the previous round.
+        self._unconfirmed: dict[str, Ballot] = {}
+
+    async def run(self) -> None:
+        """Runs recovery with member changes, and anti-entropy, in two independent loops.
+
+        Neither waits for the other: a store that finds no majority in an old view
+        learns the newer one by anti-entropy, and unreachable stores, for which
+        anti-entropy waits, delay no change of members.
+        """
+        async with asyncio.TaskGroup() as group:
+            group.create_task(self._repeat(self._act))
+            group.create_task(self._repeat(self._compare))
+
+    async def _repeat(self, step: Callable[[], Awaitable[None]]) -> None:
+        """Runs the step in rounds without end; a failed round is logged and repeated."""
+        while True:
+            try:
+                await step()
+            except MeshError as error:
+                log.info(
+                    "background round failed; retrying",
+                    step=error.step,
+                    peer=error.peer,
+                    reason=error.reason,
+                )
+            await self._timing.sleep(_ROUND_INTERVAL_SECONDS * self._timing.uniform(0.8, 1.2))
+
+    async def hand_over(self, seconds: float) -> None:
+        """Replaces this store by one that waits to join, if any, before a planned stop.
+
+        seconds: the time after which no further attempt starts.
+        """
+        await self._members.hand_over(seconds)
+
+    def learn_chosen(self, register: str, state: AcceptedState) -> None:
+        """Stores a state that is known to be chosen."""
+        self._reconciler.learn_chosen(register, state)
+
+    def answer(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
+        """Returns the answer to another store's call of any kind."""
+        self._peers.record_contact(call.sender)
+        answer = answer_call(self._acceptor, call)
+        if answer is not None:
+            return answer
+        view = self._acceptor.pack_view()
+        if call.kind == CallKind.COMPARE:
+            return answer_comparison(self._chosen, call, view)
+        if call.kind == CallKind.OPINION:
+            return kinds.StoreAnswer(
+                agreed=self._members.agrees_to_change(call.register), view=view
+            )
+        if call.kind == CallKind.JOIN:
+            self._members.add_waiting_store(call.sender)
+            return kinds.StoreAnswer(view=view, reason=Refusal.WAIT)
+        return kinds.StoreAnswer(view=view, reason=Refusal.UNKNOWN_CALL)
+
+    async def _act(self) -> None:
+        acceptor = self._acceptor
+        if acceptor.voting_status is VotingStatus.READING and not self._members.is_leaving:
+            await self._read()
+        if acceptor.voting_status is VotingStatus.VOTING:
+            if acceptor.has_pending_view:
+                await self._reconciler.reconcile(VIEW_REGISTER)
+            self._note_unconfirmed()
+            await self._reconcile_after_start()
+            await self._members.start_next_change()
+
+    async def _read(self) -> None:
+        """Reads all registers from a read quorum, then starts to vote."""
+        for _ in range(_MAX_READ_ATTEMPTS):
+            acceptor = self._acceptor
+            sent_with = (acceptor.view, acceptor.generation)
+            kind = CallKind.READ if acceptor.is_member else CallKind.JOIN
+            answers = await self._ask_all(
+                self._known_stores(), kinds.StoreCall(kind=kind, view=acceptor.pack_view())
+            )
+            self._learn_from_answers(answers)
+            if (acceptor.view, acceptor.generation) != sent_with:
+                # The view or generation changed since the calls were sent: ask again.
+                continue
+            self._finish_reading(kind, answers)
+            return
+
+    def _learn_from_answers(self, answers: dict[str, kinds.StoreAnswer]) -> None:
+        """Adopts newer views, and starts a later generation if peers recorded a later one."""
+        acceptor = self._acceptor
+        for answer in answers.values():
+            if answer.view:
+                acceptor.learn_view(read_view(answer.view))
+        if acceptor.voting_status is VotingStatus.READING:
+            for answer in answers.values():
+                acceptor.supersede_generation(answer.lives.get(acceptor.address, ""))
+
+    def _finish_reading(self, kind: CallKind, answers: dict[str, kinds.StoreAnswer]) -> None:
+        acceptor = self._acceptor
+        if kind is not CallKind.READ or acceptor.voting_status is not VotingStatus.READING:
+            return
+        agreed = {peer: answer for peer, answer in answers.items() if answer.agreed}
+        view = acceptor.view
+        if view is None or not is_read_quorum(
+            view, acceptor.previous_view, acceptor.address, agreed
+        ):
+            return
+        sources = {*view.members, *(acceptor.previous_view or view).members}
+        acceptor.finish_reading([agreed[peer] for peer in agreed if peer in sources])
+        self._unreconciled = None
+        log.info(
+            "recovery finished; voting starts",
+            registers=len(acceptor.accepted_states),
+            view=view.number,
+        )
+
+    def _known_stores(self) -> list[str]:
+        """Returns the members of the present and the previous view, and the seeds.
+
+        All members of an old view may be gone, and one that just left can still be
+        read from.
+        """
+        views = [view for view in (self._acceptor.view, self._acceptor.previous_view) if view]
+        members = [peer for view in views for peer in view.members]
+        known = dict.fromkeys([*members, *self._seeds])
+        return [peer for peer in known if peer != self._acceptor.address]
+
+    async def _reconcile_after_start(self) -> None:
+        """After a start, determines which of the states accepted here are chosen."""
+        if self._unreconciled is None:
+            self._unreconciled = set(self._acceptor.accepted_states)
+        if self._unreconciled:
+            # A state that a peer knows to be chosen needs no ballot here.
+            with contextlib.suppress(MeshError):
+                await self._compare()
+        # In random order, so that the members do not all propose for the same register.
+        for register in sorted(
+            self._unreconciled, key=lambda _register: self._timing.uniform(0, 1)
+        ):
+            if not self._anti_entropy.is_known_chosen(register):
+                await self._reconciler.reconcile(register)
+            self._unreconciled.discard(register)
+
+    def _note_unconfirmed(self) -> None:
+        """Marks states accepted a round ago and still not known to be chosen for reconciling.
+
+        They may be chosen: the proposer announces that only once, and if it failed
+        just then, no other store knows.
+        """
+        unconfirmed = {
+            register: state.ballot
+            for register, state in self._acceptor.accepted_states.items()
+            if register != VIEW_REGISTER
+            and state.ballot > self._chosen.holdings.get(register, NO_ACCEPTED_STATE).ballot
+        }
+        if self._unreconciled is not None:
+            self._unreconciled |= {
+                register for register, _ in unconfirmed.items() & self._unconfirmed.items()
+            }
+        self._unconfirmed = unconfirmed
+
+    async def _compare(self) -> None:
+        """Runs a round of anti-entropy with the other stores."""
+        if self._acceptor.view is not None:
+            await self._anti_entropy.run_round(self._known_stores())
+
+    async def _ask_all(
+        self,
+        peers: list[str],
+        call: kinds.StoreCall,
+    ) -> dict[str, kinds.StoreAnswer]:
+        """Calls all peers named; returns the answers by peer, of those that answered."""
+        results = await asyncio.gather(
+            *(
+                self._peers.call(peer, kinds.StoreCall.FromString(call.SerializeToString()))
+                for peer in peers
+            ),
+            return_exceptions=True,
+        )
+        answers = {}
+        for peer, result in zip(peers, results, strict=True):
+            if isinstance(result, MeshError):
+                continue
+            if isinstance(result, BaseException):
+                raise result
+            answers[peer] = result
+        return answers
--- a/marblefold/registry/snapshot_parts.py
+++ b/marblefold/registry/snapshot_parts.py
@@ -1,4 +1,4 @@
-"""What a registry puts into a snapshot for a rehearsal."""
+"""The parts of a rehearsal snapshot that a registry contributes."""
 
 import json
 from typing import Any
@@ -6,7 +6,7 @@
 from marblefold.membership.members import Member
 from marblefold.node_config.model import NodeConfig
 from marblefold.registry.catalogue import Catalogue
-from marblefold.registry.traffic_book import TrafficBook
+from marblefold.registry.traffic_rates import TrafficRates
 from marblefold.wire_names import UPSTREAM, ZONE
 
 __all__ = ["describe_flows", "describe_parts"]
@@ -14,14 +14,14 @@
 
 def describe_parts(
     state: dict[str, Any],
-    traffic: TrafficBook,
+    traffic: TrafficRates,
     config: NodeConfig,
     catalogue: Catalogue,
-    own: str,
+    own_address: str,
     registries: list[Member],
     now: float,
 ) -> dict[str, Any]:
-    """Everything but the configuration, as plain objects; nothing is asked of anybody."""
+    """Returns all parts but the configuration as JSON objects, from local state only."""
     origins = {row["node"]: row[ZONE] for row in state["targets"] if row["node"]}
     origins.update({node: zone for node, zone in traffic.zones().items() if node not in origins})
     owners = {}
@@ -43,7 +43,10 @@
         },
         "nodes": len(origins),
         "nodes-heard": len(traffic.nodes(now)),
-        "registries": {own: config.zone, **{member.address: member.zone for member in registries}},
+        "registries": {
+            own_address: config.zone,
+            **{member.address: member.zone for member in registries},
+        },
         "owners": owners,
         "partners": catalogue.find("partners", "partners") is not None,
         "retry-budget": {
@@ -54,8 +57,8 @@
     }
 
 
-def describe_flows(traffic: TrafficBook, now: float) -> list[dict[str, Any]]:
-    """The rows of traffic, as a snapshot has them."""
+def describe_flows(traffic: TrafficRates, now: float) -> list[dict[str, Any]]:
+    """Returns the traffic by route and zone as rows of a snapshot."""
     return [
         {
             "route": flow.route,
--- a/marblefold/rehearsal/flight.py
+++ b/marblefold/rehearsal/flight.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from marblefold import wire_names
-from marblefold.circuit_breaker.work_tracker import Ticket
+from marblefold.circuit_breaker.in_flight_tracker import Permit
 from marblefold.configuration.rows import Route
 from marblefold.http_connections.answer import Answer
 from marblefold.rehearsal.guards import RehearsedGuard
@@ -12,8 +12,8 @@
 from marblefold.rehearsal.tally import Ending
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult
-from marblefold.request_path.slot_queue import Turn
-from marblefold.request_path.upstream_limits import cold_most, find_cold_limits
+from marblefold.request_path.slot_queue import QueuePriority
+from marblefold.request_path.upstream_limits import cold_rate_limit, find_cold_limits
 
 __all__ = ["Flight"]
 
@@ -25,7 +25,7 @@
     """The offer under way; a callback that holds an older one is stale."""
 
     offer: Offer
-    ticket: Ticket
+    permit: Permit
 
 
 class Flight:
@@ -55,7 +55,7 @@
             True,
             kilobytes,
             False,
-            origin.surroundings,
+            origin.routing_state,
         )
         self._deadline = deadline
         self._hop: _Hop | None = None
@@ -66,7 +66,7 @@
     def begin(self) -> None:
         """The request arrives."""
         self._play.flights[self] = None
-        self._origin.surroundings.note_request(self._upstream, self._play.now)
+        self._origin.routing_state.note_request(self._upstream, self._play.now)
         self._step()
 
     def note_loss(self) -> None:
@@ -83,18 +83,18 @@
         if isinstance(step, Conclude):
             self._conclude(step)
             return
-        surroundings = self._origin.surroundings
+        routing_state = self._origin.routing_state
         self._offers = step.attempt_number
         if step.attempt_number > 1:
-            surroundings.note_repeat(self._upstream, self._play.now)
-        ticket = surroundings.begin(step.target, self._decision.weight, "rehearsed")
-        hop = self._begin_hop(step, ticket)
+            routing_state.note_retry(self._upstream, self._play.now)
+        permit = routing_state.begin(step.target, self._decision.latency_target, "rehearsed")
+        hop = self._begin_hop(step, permit)
         delay = self._play.delay(self._origin.zone, step.target)
         self._play.after(delay, lambda: self._reach(hop))
 
-    def _begin_hop(self, offer: Offer, ticket: Ticket) -> _Hop:
+    def _begin_hop(self, offer: Offer, permit: Permit) -> _Hop:
         """Makes a hop the one under way: callbacks of earlier ones do nothing from now on."""
-        self._hop = _Hop(offer, ticket)
+        self._hop = _Hop(offer, permit)
         return self._hop
 
     def _reach(self, hop: _Hop) -> None:
@@ -110,7 +110,7 @@
             self._refuse(hop, "another owner", _REFUSED_RETRY)
             return
         end = self._arrived + self._route.target_latency.total_seconds()
-        turn = Turn(1 + max(0, self._route.priority), end)
+        turn = QueuePriority(1 + max(0, self._route.priority), end)
         number = guard.take(turn, offer.queue_seconds, lambda: self._start(hop))
         if number is None:
             self._refuse(hop, NO_SLOT, max(_REFUSED_RETRY, guard.expected_wait(turn)))
@@ -126,7 +126,7 @@
         play, target = self._play, hop.offer.target
         guard = play.guards[target.node]
         limits = find_cold_limits(play.view, target.upstream)
-        most = cold_most(limits, self._origin.surroundings.bounds)
+        most = cold_rate_limit(limits, self._origin.routing_state.bounds)
         if hop is not self._hop or not guard.cold.may_offer(play.now, most):
             # Returned after this call, as the guard is still assigning slots.
             play.after(0.0, guard.give_back)
@@ -165,8 +165,8 @@
         self._is_slot_held = False
         is_first = not self._was_dark
         self._was_dark = True
-        hop, target = self._begin_hop(lost.offer, lost.ticket), lost.offer.target
-        surroundings = self._origin.surroundings
+        hop, target = self._begin_hop(lost.offer, lost.permit), lost.offer.target
+        routing_state = self._origin.routing_state
         if play.now > play.loss_at + play.config.unheard_seconds:
             # The connection has been closed by now and a new one cannot be opened.
             self._was_dark = not is_first
@@ -174,7 +174,7 @@
             play.after(play.config.connect_seconds, lambda: self._take(hop, result))
             return
         silent = play.config.silent_seconds
-        play.after(silent, lambda: surroundings.selector.note_silent(target.peer, play.now))
+        play.after(silent, lambda: routing_state.selector.note_unresponsive(target.peer, play.now))
         wait = silent if self._is_repeatable else play.config.unheard_seconds
         left = max(0.0, self._deadline - play.now)
         step = "silent" if self._is_repeatable else "connection"
@@ -188,7 +188,7 @@
         if hop is not self._hop or self._play.is_lost(self._origin.zone):
             return
         target = hop.offer.target
-        self._origin.surroundings.end(target, hop.ticket, result, self._decision.weight)
+        self._origin.routing_state.end(target, hop.permit, result, self._decision.latency_target)
         self._decision.note(target, result)
         self._step()
 
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -17,7 +17,7 @@
 from marblefold.node_config.model import Limits
 from marblefold.planner.facts import read_configuration_rows
 from marblefold.registry.snapshot_parts import describe_flows
-from marblefold.registry.traffic_book import TrafficBook
+from marblefold.registry.traffic_rates import TrafficRates
 from marblefold.rehearsal.origins import _make_bounds
 from marblefold.rehearsal.playing import detection_seconds
 from marblefold.rehearsal.snapshot import read_snapshot
@@ -25,9 +25,9 @@
 from marblefold.request_path.executor import RequestExecutor
 from marblefold.request_path.mesh_view import KnownOwner, MeshView
 from marblefold.request_path.outcome import NO_SLOT, HopOutcome, HopResult, TargetLoad
-from marblefold.request_path.running_work import RunningWork
-from marblefold.request_path.slot_queue import SlotQueue, Turn
-from marblefold.request_path.surroundings import Surroundings
+from marblefold.request_path.routing_state import RoutingState
+from marblefold.request_path.running_requests import RunningRequests
+from marblefold.request_path.slot_queue import QueuePriority, SlotQueue
 from marblefold.request_path.target_selection import TargetSelector
 from tests.region_document import SERVICE, ZONES
 
@@ -59,7 +59,7 @@
         self.dark, self.lapsed, self.tasks, self.endings = set(), set(), set(), []
         self.rows = read_configuration_rows(json.dumps(document["configuration"]).encode())
         self.targets = {row["node"]: row for row in document["state"]["targets"]}
-        self.book = TrafficBook()
+        self.traffic_rates = TrafficRates()
         self.number = 0
 
     def start(self):
@@ -74,16 +74,16 @@
             for name, row in self.document["owners"].items():
                 view.owners[name] = KnownOwner(row["site"], row["agent"], 1)
             for row in self.targets.values():
-                view.take(self.entry(row))
-            surroundings = Surroundings(
+                view.apply(self.entry(row))
+            routing_state = RoutingState(
                 view,
                 TargetSelector(view, zone, seed=number),
                 _make_bounds(snapshot),
                 Limits(1e6, 1_000_000),
             )
-            self.nodes[node] = SimpleNamespace(zone=zone, view=view, surroundings=surroundings)
+            self.nodes[node] = SimpleNamespace(zone=zone, view=view, routing_state=routing_state)
             self.nodes[node].executor = RequestExecutor(
-                surroundings, SimulatedHops(self, self.nodes[node]), RunningWork(), "shop"
+                routing_state, SimulatedHops(self, self.nodes[node]), RunningRequests(), "shop"
             )
 
     def entry(self, row):
@@ -122,7 +122,7 @@
         self.tell()
         await asyncio.sleep(warm * 8 / 9)
         self.tell()
-        self.document["traffic"] = describe_flows(self.book, time.monotonic())
+        self.document["traffic"] = describe_flows(self.traffic_rates, time.monotonic())
         loss_at = time.monotonic()
         self.darken(lost)
         await asyncio.sleep(after)
@@ -151,9 +151,9 @@
 
     def tell(self):
         for name, node in self.nodes.items():
-            notice = node.surroundings.traffic.make_notice(name, node.zone, ZONES[node.zone], 0.0)
+            notice = node.routing_state.traffic.make_notice(name, node.zone, ZONES[node.zone], 0.0)
             if notice is not None:
-                self.book.take(notice, time.monotonic())
+                self.traffic_rates.record(notice, time.monotonic())
 
     def origins_in(self, zone):
         return [node for node in self.nodes.values() if node.zone == zone]
@@ -229,7 +229,9 @@
                 left = max(0.0, seconds - (time.monotonic() - began))
                 asyncio.get_running_loop().call_later(
                     0.45,
-                    lambda: self.node.surroundings.selector.note_silent(peer, time.monotonic()),
+                    lambda: self.node.routing_state.selector.note_unresponsive(
+                        peer, time.monotonic()
+                    ),
                 )
                 await asyncio.sleep(min(wait, left))
                 step = "deadline" if left < wait else ("silent" if is_read else "connection")
@@ -254,8 +256,8 @@
 
         if row["upstream"] in mesh.lapsed:
             return refused("another owner")
-        turn = Turn(head.priority, time.monotonic() + head.aim_left_ms / 1000)
-        if not await queue.take(turn, head.queue_left_ms / 1000):
+        turn = QueuePriority(head.priority, time.monotonic() + head.aim_left_ms / 1000)
+        if not await queue.acquire(turn, head.queue_left_ms / 1000):
             return refused(NO_SLOT)
         try:
             if not mesh.colds[row["node"]].may_offer(time.monotonic(), 4.0 * 1.5 + 5.0 - 2):
@@ -263,7 +265,7 @@
             seconds = SERVICE[row["upstream"]] * mesh.chance.uniform(0.5, 1.5)
             await asyncio.sleep(seconds)
         finally:
-            queue.give_back()
+            queue.release()
         queue.note_service(seconds)
         request.reached = row["zone"]
         return HopResult(
--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -50,11 +50,11 @@
         try:
             # Counts are told twice, with requests between: a rate is known.
             assert (await request(mesh, "/read/x", "first"))[0] == 200
-            near._traffic.tell()
+            near._traffic.send_report()
             for number in range(12):
                 kind = ("/read/x", "GET") if number % 2 else ("/book/x", "POST")
                 assert (await request(mesh, kind[0], f"w{number}", kind[1]))[0] == 200
-            near._traffic.tell()
+            near._traffic.send_report()
             registry = mesh.registry
             # All of them: a count told of itself in between would be taken for the last,
             # and the one after it for a rate over no time at all.
@@ -62,8 +62,10 @@
                 while count_told(registry) < 13:
                     await asyncio.sleep(0)
             # As if ten seconds lay between the counts, which no test waits for.
-            for node, heard in registry._traffic._before.items():
-                registry._traffic._before[node] = heard._replace(at=heard.at - 10.0)
+            for node, heard in registry._traffic_rates._previous.items():
+                registry._traffic_rates._previous[node] = heard._replace(
+                    received_at=heard.received_at - 10.0
+                )
             before = state_of(mesh)
             status, shown, errors = await rehearse(
                 mesh, "--lose_region=there", "--as_json", f"--save={tmp_path}/kept.json"
@@ -106,8 +108,8 @@
 def count_told(registry):
     return sum(
         row.requests
-        for node, heard in registry._traffic._last.items()
-        if node in registry._traffic._before
+        for node, heard in registry._traffic_rates._last.items()
+        if node in registry._traffic_rates._previous
         for row in heard.notice.routes
     )
 
@@ -119,7 +121,7 @@
         sorted(view._versions.items()),
         set(view.evacuated),
         [len(target.ran) for target in mesh.targets],
-        mesh.registry.catalogue.place,
+        mesh.registry.catalogue.revision,
     )
 
 
--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -13,8 +13,8 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.messages import kinds
 from marblefold.register_store.acceptor import Acceptor, VotingStatus
-from marblefold.register_store.calls import CallKind
 from marblefold.register_store.changes import set_configuration
+from marblefold.register_store.peer_call_kinds import CallKind
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
 from marblefold.register_store.view import View
@@ -137,7 +137,7 @@
         ]
         for member in self.bounds.troubled:
             acceptor = self.acceptors[member]
-            if acceptor.standing is VotingStatus.READING:
+            if acceptor.voting_status is VotingStatus.READING:
                 found += self._readings(member, acceptor)
                 continue
             if self.counts["wipe"] < self.bounds.wipes:
@@ -148,7 +148,7 @@
 
     def _readings(self, member: str, acceptor: Acceptor) -> list[Action]:
         sources = [peer for peer in self.bounds.members if peer != member]
-        enough = _known_view(acceptor).reading
+        enough = _known_view(acceptor).read_quorum
         # Leaving one out or none: the views here have up to five members.
         sets = (
             [tuple(sources)]
@@ -158,7 +158,7 @@
         return [
             Action("read", member, sources=chosen)
             for chosen in sets
-            if all(self.acceptors[p].standing is VotingStatus.VOTING for p in chosen)
+            if all(self.acceptors[p].voting_status is VotingStatus.VOTING for p in chosen)
         ]
 
     def act(self, action: Action) -> None:
@@ -189,18 +189,18 @@
         self.acceptors[member] = Acceptor(
             member, self.disks[member], list(self.bounds.members), False
         )
-        self.acceptors[member].take_view(view)
+        self.acceptors[member].learn_view(view)
 
     def _read(self, member: str, sources: tuple[str, ...]) -> None:
         reader = self.acceptors[member]
-        life = reader.life
+        life = reader.generation
         call = kinds.StoreCall(
             kind=CallKind.READ, view=reader.pack_view(), sender=member, sender_life=life
         )
         answers = [_answer(self.acceptors[source], call) for source in sources]
         for answer in answers:
-            reader.outlive(answer.lives.get(member, ""))
-        if reader.life == life and all(answer.agreed for answer in answers):
+            reader.supersede_generation(answer.lives.get(member, ""))
+        if reader.generation == life and all(answer.agreed for answer in answers):
             reader.finish_reading(answers)
 
     def _turn(self) -> None:
@@ -210,10 +210,10 @@
         """What distinguishes this state from others; marks of lives are left out."""
         stores = tuple(
             (
-                a.standing.value,
-                _epoch(a.life),
-                str(a.holdings.get(REGISTER)),
-                tuple(sorted((m, _epoch(life)) for m, life in a.lives.items())),
+                a.voting_status.value,
+                _epoch(a.generation),
+                str(a.accepted_states.get(REGISTER)),
+                tuple(sorted((m, _epoch(life)) for m, life in a.known_generations.items())),
                 REGISTER in a._unproven,
             )
             for a in self.acceptors.values()
@@ -230,9 +230,9 @@
         if not chosen:
             return
         number, value = max(chosen.items())
-        voters = [a for a in self.acceptors.values() if a.standing is VotingStatus.VOTING]
+        voters = [a for a in self.acceptors.values() if a.voting_status is VotingStatus.VOTING]
         for quorum in itertools.combinations(voters, len(self.bounds.members) // 2 + 1):
-            held = [a.holdings[REGISTER] for a in quorum if REGISTER in a.holdings]
+            held = [a.accepted_states[REGISTER] for a in quorum if REGISTER in a.accepted_states]
             newest = max(held, key=lambda holding: holding.ballot, default=None)
             if newest is None or newest.number < number:
                 raise BrokenInvariant(f"{value!r} was acknowledged and a quorum shows {newest}")
