--- a/marblefold/maintenance/calls.py
+++ b/marblefold/maintenance/calls.py
@@ -9,9 +9,9 @@
 from marblefold.http_connections.call_router import (
     Call,
     CallRouter,
-    faults_answer,
+    invalid_order_answer,
     json_answer,
-    not_now_answer,
+    outcome_unknown_answer,
 )
 from marblefold.maintenance.coordinator import MAINTENANCE_REGISTER
 from marblefold.maintenance.model import (
@@ -71,7 +71,7 @@
         try:
             current = await self._store_client.ask(RegisterCallKind.DESCRIBE, MAINTENANCE_REGISTER)
         except MeshError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         document = MaintenanceDocument.read(current.value)
         windows = sorted(document.windows.values(), key=lambda window: window.expected_start)
         return json_answer(
@@ -83,14 +83,14 @@
         try:
             floors = read_floors_body(call.body, self._capacity())
         except ExceptionGroup as group:
-            return faults_answer(group)
+            return invalid_order_answer(group)
         return await self._change(lambda document: document._replace(floors=floors))
 
     async def _set_window(self, call: Call) -> Answer:
         try:
             window = read_window_body(call.subject, call.body, self._zones())
         except ExceptionGroup as group:
-            return faults_answer(group)
+            return invalid_order_answer(group)
 
         def change(document: MaintenanceDocument) -> MaintenanceDocument:
             existing = document.windows.get(window.name)
@@ -141,7 +141,7 @@
         except _ChangeRefusedError as error:
             return json_answer(error.status, {wire_names.REASON: str(error)})
         except MeshError as error:
-            return not_now_answer(error)
+            return outcome_unknown_answer(error)
         return json_answer(
             503, {wire_names.REASON: "others change it all the time"}, _RETRY_AFTER_SECONDS
         )
--- a/marblefold/proxy/graceful_shutdown.py
+++ b/marblefold/proxy/graceful_shutdown.py
@@ -49,12 +49,12 @@
         if now - started_at > program.grace_period.total_seconds() * _ACCEPT_SHARE:
             # Clients arrive as long as the port is open, and a request accepted later than
             # this could not be finished.
-            program.outbound.turns_away = True
+            program.outbound.refuses_requests = True
             program.outbound.stop()
         is_noticed = now - started_at > _READINESS_DETECTION.total_seconds()
         is_quiet = (
-            program.outbound.turns_away
-            or now - program.outbound.last_arrival > _QUIET_PERIOD.total_seconds()
+            program.outbound.refuses_requests
+            or now - program.outbound.last_request_at > _QUIET_PERIOD.total_seconds()
         )
         if is_noticed and is_quiet:
             program.outbound.close_idle()
--- a/marblefold/registry/command_router.py
+++ b/marblefold/registry/command_router.py
@@ -90,13 +90,13 @@
         self._contact = contact
         self._clock = clock
 
-    def add(self, method: str, path: str, serve: Serve, most_bytes: int = 4096) -> None:
+    def add(self, method: str, path: str, serve: Serve, max_body_bytes: int = 4096) -> None:
         """Adds a route; commands, and reads from the feed, are checked."""
         if method not in _READ_METHODS:
             serve = self._check_age_and_contact(serve)
         elif path in _FEED_BACKED_PATHS:
             serve = self._require_contact(serve)
-        super().add(method, path, serve, most_bytes)
+        super().add(method, path, serve, max_body_bytes)
 
     def _check_age_and_contact(self, serve: Serve) -> Serve:
         async def checked_command(call: Call) -> Answer:
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -10,9 +10,9 @@
 from marblefold.http_connections.answer import Answer, own_answer
 from marblefold.http_connections.client_request import (
     BodyTooLarge,
+    BufferedRequest,
     ClientRequest,
-    HeldRequest,
-    SentRequest,
+    ForwardedRequest,
 )
 from marblefold.logs import log
 from marblefold.request_path.decision import Conclude, Offer, RequestDecision
@@ -147,8 +147,8 @@
         try:
             while not isinstance(step := decision.next_step(time.monotonic()), Conclude):
                 # A fully buffered body can be sent again from its beginning.
-                sent: SentRequest = (
-                    HeldRequest(request, body) if is_whole and head.body_follows else request
+                sent: ForwardedRequest = (
+                    BufferedRequest(request, body) if is_whole and head.body_follows else request
                 )
                 result = await self._hop(step, head, sent, decision, body_limit, span)
                 decision.note(step.target, result)
@@ -177,7 +177,7 @@
         self,
         offer: Offer,
         head,
-        request: SentRequest,
+        request: ForwardedRequest,
         decision: RequestDecision,
         body_limit: int,
         span,
@@ -210,7 +210,7 @@
             if tracer is not None and hop is not None:
                 tracer.finish_hop(hop, result)
 
-    def may_run_ahead(self, request: ClientRequest) -> bool:
+    def may_run_concurrently(self, request: ClientRequest) -> bool:
         """Whether a pipelined request may run before earlier ones are answered.
 
         This depends on the type of its route, as only requests of read-only routes
@@ -258,4 +258,4 @@
     if not request.has_body:
         return b"", True
     async with asyncio.timeout(max(0.0, deadline - time.monotonic())):
-        return await request.gather(_MAX_BUFFERED_BODY_BYTES, max_bytes)
+        return await request.read_body(_MAX_BUFFERED_BODY_BYTES, max_bytes)
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -9,7 +9,7 @@
 
 from marblefold import wire_names
 from marblefold.event_loop_monitor import EventLoopMonitor
-from marblefold.http_connections.target_connections import CONNECT_STEP, TargetConnections
+from marblefold.http_connections.target_connection_pool import CONNECT_STEP, TargetConnectionPool
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
@@ -61,7 +61,7 @@
         self._view = view
         self._bounds = bounds
         self._body_receiver = BodyReceiver(link_bytes_per_second)
-        self._connections: TargetConnections | None = None
+        self._connections: TargetConnectionPool | None = None
         self._caller: TargetCaller | None = None
         self._tasks: set[asyncio.Task] = set()
         self._offered_hops = OfferedHops()
@@ -87,7 +87,7 @@
         """Sets the address of the target and closes the idle connections to the previous one."""
         if self._connections is not None:
             self._connections.close()
-        self._connections = TargetConnections(address)
+        self._connections = TargetConnectionPool(address)
         self._caller = TargetCaller(self._connections, self.cold.note_written)
 
     def on_hop(self, exchange: Exchange, payload: bytes) -> None:
@@ -115,7 +115,11 @@
             # A single request may just be slow; several without any byte indicate a failure.
             waiting = self._offered_hops.count_older(now, _SILENCE_SECONDS)
             connections = self._connections
-            if connections is None or waiting < 2 or now - connections.heard_at < _SILENCE_SECONDS:
+            if (
+                connections is None
+                or waiting < 2
+                or now - connections.last_received_at < _SILENCE_SECONDS
+            ):
                 continue
             if not await connections.is_reachable():
                 self._mark_unreachable(now)
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -9,7 +9,7 @@
 from marblefold import wire_names
 from marblefold.errors import MeshError
 from marblefold.http_connections.answer import Answer
-from marblefold.http_connections.client_request import BodyTooLarge, SentRequest
+from marblefold.http_connections.client_request import BodyTooLarge, ForwardedRequest
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
@@ -39,7 +39,7 @@
         self,
         peer: str,
         head,
-        request: SentRequest,
+        request: ForwardedRequest,
         max_body_bytes: int,
         seconds: float,
     ) -> HopResult: ...
@@ -86,7 +86,7 @@
         self,
         peer: str,
         head,
-        request: SentRequest,
+        request: ForwardedRequest,
         max_body_bytes: int,
         seconds: float,
     ) -> HopResult:
@@ -151,7 +151,7 @@
     head.aim_left_ms -= milliseconds
 
 
-async def _send_body(exchange: Exchange, request: SentRequest, max_body_bytes: int) -> None:
+async def _send_body(exchange: Exchange, request: ForwardedRequest, max_body_bytes: int) -> None:
     try:
         while chunk := await request.read_chunk(max_body_bytes):
             await exchange.send_body(chunk)
--- a/marblefold/request_path/target_caller.py
+++ b/marblefold/request_path/target_caller.py
@@ -9,10 +9,14 @@
 
 from marblefold import wire_names
 from marblefold.errors import MeshError
-from marblefold.http_connections.heads import ANSWER_ONLY_HERE, find_header, make_header_block
+from marblefold.http_connections.heads import (
+    UNFORWARDED_ANSWER_HEADERS,
+    find_header,
+    make_header_block,
+)
 from marblefold.http_connections.target_answer import TargetAnswer
 from marblefold.http_connections.target_connection import ConnectionLostUnused, TargetConnection
-from marblefold.http_connections.target_connections import TargetConnections
+from marblefold.http_connections.target_connection_pool import TargetConnectionPool
 from marblefold.inner_protocol.frames import FrameKind
 from marblefold.inner_protocol.messages import kinds
 from marblefold.request_path.outcome import HopOutcome
@@ -52,7 +56,7 @@
     """Talks HTTP to the target beside this proxy."""
 
     def __init__(
-        self, connections: TargetConnections, on_write: Callable[[], None] = lambda: None
+        self, connections: TargetConnectionPool, on_write: Callable[[], None] = lambda: None
     ) -> None:
         """`on_write` is called when a request is written to the target."""
         self._connections = connections
@@ -75,18 +79,18 @@
         try:
             # Whether a request on a connection that the target closed was executed is unknown.
             max_idle = None if head.route_type == wire_names.READ_ONLY else _MAX_IDLE_SECONDS
-            connection = await self._connections.take(max_idle)
+            connection = await self._connections.acquire(max_idle)
         except MeshError as error:
             return _never_offered(error.step)
         # Checked again now that there is a connection: opening it took time, and the process
         # may have been suspended.  Nothing is awaited between these checks and the write.
         remaining = deadline - time.monotonic()
         if remaining < _MIN_OFFER_SECONDS:
-            self._connections.put_back(connection)
+            self._connections.release_unused(connection)
             return _never_offered("deadline")
         obstacle = find_obstacle() if find_obstacle is not None else ""
         if obstacle:
-            self._connections.put_back(connection)
+            self._connections.release_unused(connection)
             return _never_offered(obstacle)
         head.deadline_left_ms = min(head.deadline_left_ms, max(1, int(remaining * 1000)))
         return await self._offer_on(connection, exchange, head, remaining)
@@ -111,7 +115,7 @@
             return _unknown(f"answer: {type(error).__name__}")
         finally:
             if is_kept:
-                self._connections.give_back(connection)
+                self._connections.release(connection)
             else:
                 # Also on cancellation, so that the target stops its work.
                 self._connections.discard(connection)
@@ -121,7 +125,7 @@
     ) -> TargetAnswer:
         if connection.transport is not None:
             self._on_write()
-        await connection.begin(pack_request(head), head.attempt_id.encode("latin-1", "replace"))
+        await connection.send_head(pack_request(head), head.attempt_id.encode("latin-1", "replace"))
         if head.body_follows:
             await _send_remaining_body(connection, exchange, head)
         return await connection.answer()
@@ -145,7 +149,7 @@
             outcome=HopOutcome.ANSWERED,
             status=answer.status,
             reason=answer.reason.encode("latin-1", "replace"),
-            header_block=make_header_block(answer.headers, ANSWER_ONLY_HERE),
+            header_block=make_header_block(answer.headers, UNFORWARDED_ANSWER_HEADERS),
         )
         _read_load(answer, result)
         chunks: list[bytes] = []
--- a/tests/simulated_cold.py
+++ b/tests/simulated_cold.py
@@ -26,7 +26,7 @@
 from marblefold.request_path.running_requests import RunningRequests
 from marblefold.request_path.target_selection import TargetSelector
 from tests.mesh_on_loopback import make_config
-from tests.simulated_connections import ListTransport, Stage
+from tests.simulated_connections import InMemoryTransport, Simulation
 from tests.simulated_path import make_entry, make_rows
 
 COLD_START = timedelta(seconds=3)
@@ -45,7 +45,7 @@
     """One peer, one guard and one target on a simulated clock."""
 
     def __init__(self):
-        self.stage = Stage()
+        self.stage = Simulation()
         self.stage.loop.connector = self._connect
         self.bounds = parse_config(make_config("10.0.0.9", 7000, "")).bounds
         # When each request was written to the target.
@@ -65,7 +65,9 @@
         peers = PeerConnectionPool(SimpleNamespace(on_lost=lambda _connection: None))
         sender = HopSender(peers, lambda _peer: None)
         executor = RequestExecutor(routing_state, sender, RunningRequests(), "shop")
-        self._server = HttpServer(executor.serve, may_run_ahead=executor.may_run_ahead)
+        self._server = HttpServer(
+            executor.serve, may_run_concurrently=executor.may_run_concurrently
+        )
 
     def start_proxy(self):
         """Starts a new proxy process without a configuration or any state of the target."""
@@ -132,7 +134,7 @@
         for _request in range(count):
             self._request_count += 1
             connection = self.stage.call(ClientConnection, self._server)
-            transport = ListTransport(connection, self.stage.loop)
+            transport = InMemoryTransport(connection, self.stage.loop)
             self.stage.call(connection.connection_made, transport)
             self.stage.call(
                 connection.data_received,
@@ -162,7 +164,7 @@
             return
         owner = SimpleNamespace(on_hop=self.guard.on_hop, on_lost=lambda _connection: None)
         protocol = PeerConnection(owner)
-        far = ListTransport(protocol, self.stage.loop)
+        far = InMemoryTransport(protocol, self.stage.loop)
         protocol.connection_made(far)
         self._links.append((near, far))
 
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -110,10 +110,10 @@
     async def handle(self, request):
         return await self.router.handle(request)
 
-    def on_made(self, connection):
+    def on_connection_made(self, connection):
         """Ignored: connections are not counted."""
 
-    def on_lost(self, connection):
+    def on_connection_lost(self, connection):
         """Ignored: connections are not counted."""
 
     async def send(self, data, closes=False):
--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -158,11 +158,11 @@
     def call(self, method, path, body, on_answer):
         """Serves an operator's call, read from its socket; returns the task."""
 
-        async def gather(_bound, _limit):
+        async def read_body(_bound, _limit):
             return body, True
 
         async def serve():
-            request = SimpleNamespace(method=method, path=path, headers=(), gather=gather)
+            request = SimpleNamespace(method=method, path=path, headers=(), read_body=read_body)
             answer = await self.router.handle(request)
             self.cluster.send(self.name, OPERATOR, lambda: on_answer(answer))
 
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -46,7 +46,7 @@
     def header_block(self):
         return b""
 
-    async def gather(self, _bound, _max_bytes):
+    async def read_body(self, _bound, _max_bytes):
         return b"", True
 
 
--- a/tests/test_given_up_in_time.py
+++ b/tests/test_given_up_in_time.py
@@ -9,7 +9,7 @@
 from marblefold.http_connections.answer import own_answer
 from marblefold.http_connections.client_connection import ClientConnection
 from marblefold.http_connections.http_server import HttpServer
-from marblefold.http_connections.target_connections import TargetConnections
+from marblefold.http_connections.target_connection_pool import TargetConnectionPool
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.frames import FrameKind, FrameReader, pack_frame
 from marblefold.inner_protocol.messages import kinds
@@ -23,21 +23,21 @@
 from marblefold.request_path.outcome import HopOutcome
 from marblefold.request_path.target_caller import TargetCaller
 from tests.mesh_on_loopback import make_config
-from tests.simulated_connections import ListTransport, Stage
+from tests.simulated_connections import InMemoryTransport, Simulation
 
 GET = b"GET /1 HTTP/1.1\r\nHost: h\r\nAttempt-Id: a\r\n\r\n"
 
 
 @pytest.fixture
 def stage():
-    stage = Stage()
+    stage = Simulation()
     yield stage
     stage.close()
 
 
 def open_client(stage, server):
     connection = stage.call(ClientConnection, server)
-    transport = ListTransport(connection, stage.loop)
+    transport = InMemoryTransport(connection, stage.loop)
     stage.call(connection.connection_made, transport)
     return connection, transport
 
@@ -84,7 +84,7 @@
     guard = stage.call(Guard, LocalTarget(lambda: None), MeshView("n"), bounds)
     connection = PeerConnection(guard)
     guard.on_lost = lambda _connection: None
-    transport = ListTransport(connection, stage.loop)
+    transport = InMemoryTransport(connection, stage.loop)
     stage.call(connection.connection_made, transport)
     return guard, connection, transport
 
@@ -130,7 +130,7 @@
 def test_a_connection_whose_request_body_ended_early_is_not_reused(stage):
     lines = []
     stage.loop.connector = lambda _address, transport: lines.append(transport)
-    connections = stage.call(TargetConnections, Address("10.0.0.1", 80))
+    connections = stage.call(TargetConnectionPool, Address("10.0.0.1", 80))
     head = kinds.RequestHead(
         attempt_id="a",
         method="POST",
@@ -156,7 +156,7 @@
 
     has_body = True
 
-    async def gather(self, _bound, _most):
+    async def read_body(self, _bound, _most):
         await asyncio.Event().wait()
 
 
@@ -171,7 +171,7 @@
 
 def test_a_malformed_body_is_answered_and_closes_the_connection(stage):
     async def handle(request):
-        await request.gather(100, 100)
+        await request.read_body(100, 100)
         return own_answer(200, "never")
 
     connection, transport = open_client(stage, HttpServer(handle))
--- a/tests/test_partner_leases.py
+++ b/tests/test_partner_leases.py
@@ -146,7 +146,7 @@
 
 def test_without_the_check_before_leaving_the_simulation_forwards_withdrawn_requests(monkeypatch):
     monkeypatch.setattr(
-        "marblefold.gateway.partner_hops.PartnerHops.may_leave", lambda *_args: True
+        "marblefold.gateway.partner_hops.PartnerHops.is_still_allowed", lambda *_args: True
     )
     assert forward_after_withdrawal(False).withdrawn_forwarded == 1
     assert forward_after_withdrawal(True).withdrawn_forwarded == 1
--- a/tests/test_peer_connection_model.py
+++ b/tests/test_peer_connection_model.py
@@ -21,7 +21,7 @@
 from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.request_path.hop_sender import HopSender
 from marblefold.request_path.outcome import HopOutcome
-from tests.simulated_connections import ListTransport, Stage
+from tests.simulated_connections import InMemoryTransport
 from tests.simulated_peer import Body, SimulatedPeer
 
 CHOICE = st.integers(0, 10_000)
@@ -35,7 +35,7 @@
         super().__init__()
         self.patch = mock.patch.object(peer_connection, "MAX_EXCHANGE_NUMBER", self.last_number)
         self.patch.start()
-        self.stage = Stage()
+        self.stage = Simulation()
         self.stage.loop.connector = self.connect
         self.links, self.hops, self.requests, self.read = [], [], {}, {}
         self.resets_connections = False
@@ -77,7 +77,7 @@
         if self.is_down:
             raise ConnectionRefusedError
         protocol = PeerConnection(self.peer)
-        far = ListTransport(protocol, self.stage.loop)
+        far = InMemoryTransport(protocol, self.stage.loop)
         protocol.connection_made(far)
         self.links.append((near, far))
         if self.resets_connections:
--- a/tests/test_sent_at_most_once.py
+++ b/tests/test_sent_at_most_once.py
@@ -29,7 +29,7 @@
 from marblefold.request_path.running_requests import RunningRequests
 from marblefold.request_path.target_selection import TargetSelector
 from tests.mesh_on_loopback import make_config
-from tests.simulated_connections import ListTransport, Stage
+from tests.simulated_connections import InMemoryTransport, Simulation
 from tests.simulated_path import MAX_ATTEMPTS, TargetWrite, TrackedRequest, make_entry, make_rows
 
 CHOICE = st.integers(0, 10_000)
@@ -46,7 +46,7 @@
 
     def __init__(self):
         super().__init__()
-        self.stage = Stage()
+        self.stage = Simulation()
         self.requests, self.peer_links, self.target_links, self.paused_nodes = {}, [], [], set()
         self.connect_seconds, self.refused_addresses = 0.0, set()
         # The total seconds for which bytes to each node were delayed.
@@ -64,7 +64,7 @@
         peers = PeerConnectionPool(SimpleNamespace(on_lost=lambda _connection: None))
         sender = HopSender(peers, lambda peer: selector.note_unresponsive(peer, self.stage.now))
         executor = RequestExecutor(routing_state, sender, RunningRequests(), "shop")
-        self.server = HttpServer(executor.serve, may_run_ahead=executor.may_run_ahead)
+        self.server = HttpServer(executor.serve, may_run_concurrently=executor.may_run_concurrently)
         for run in (sender.run, self.server.run, *(guard.run for guard in self.guards.values())):
             self.stage.start(run())
 
@@ -93,7 +93,7 @@
             return
         owner = SimpleNamespace(on_hop=self.guards[number].on_hop, on_lost=lambda _connection: None)
         far_protocol = PeerConnection(owner)
-        far = ListTransport(far_protocol, self.stage.loop)
+        far = InMemoryTransport(far_protocol, self.stage.loop)
         far_protocol.connection_made(far)
         self.peer_links.append((near, far, number))
 
@@ -170,7 +170,7 @@
     def send_request(self, route, milliseconds):
         name = f"a{len(self.requests)}"
         connection = self.stage.call(ClientConnection, self.server)
-        transport = ListTransport(connection, self.stage.loop)
+        transport = InMemoryTransport(connection, self.stage.loop)
         self.stage.call(connection.connection_made, transport)
         now = self.stage.now
         deadline = now + min(2.0, milliseconds / 1000)
