--- a/tests/test_peer_connection_model.py
+++ b/tests/test_peer_connection_model.py
@@ -21,7 +21,7 @@
 from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.request_path.hop_sender import HopSender
 from marblefold.request_path.outcome import HopOutcome
-from tests.simulated_connections import InMemoryTransport
+from tests.simulated_connections import InMemoryTransport, Simulation
 from tests.simulated_peer import Body, SimulatedPeer
 
 CHOICE = st.integers(0, 10_000)
