--- a/tests/many_changes.py
+++ b/tests/many_changes.py
@@ -91,7 +91,7 @@
     def __init__(self):
         self.catalogue = Catalogue(1)
         self.notification_count = 0
-        history = SimpleNamespace(take=lambda number, body: None)
+        history = SimpleNamespace(record=lambda number, body: None)
         program = SimpleNamespace(catalogue=self.catalogue, _history=history)
         self.client = StoreClient(
             "own:1",
