--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -16,5 +16,5 @@
     outcome = asyncio.run(soak(seed=4, seconds=SECONDS, requests_per_second=REQUESTS_PER_SECOND))
     assert outcome.violations == ()
     assert outcome.served > outcome.asked / 2
-    # The run exercised changes, evacuations and enough faults for them to overlap.
+    # The run included changes, evacuations and enough faults for them to overlap.
     assert outcome.changes and outcome.evacuations and len(outcome.troubles) >= 5
--- a/tools/bench_days/outcome.py
+++ b/tools/bench_days/outcome.py
@@ -134,18 +134,18 @@
     day: Day, left_out: tuple[str, ...], played: list[tuple[str, str]]
 ) -> tuple[Entry, ...]:
     """Returns the entries not played, except kinds left out; each event matches one entry."""
-    wanted = [entry for entry in day.entries if entry.kind not in left_out]
+    pending = [entry for entry in day.entries if entry.kind not in left_out]
     # Match events with the same variant first, as reports of some kinds name no variant.
     for named in (True, False):
-        rest = []
-        for entry in wanted:
+        unmatched = []
+        for entry in pending:
             event = (entry.kind, entry.how if named else "")
             if event in played:
                 played.remove(event)
             else:
-                rest.append(entry)
-        wanted = rest
-    return tuple(wanted)
+                unmatched.append(entry)
+        pending = unmatched
+    return tuple(pending)
 
 
 def _split_variant(kind: str) -> tuple[str, str]:
--- a/tools/soak/fault_injection.py
+++ b/tools/soak/fault_injection.py
@@ -28,7 +28,7 @@
     async def run(self, seconds: float) -> None:
         """Injects faults for `seconds`, and returns once all of them have ended."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         faults = [
             self._kill_proxy,
             self._pause_proxy,
@@ -41,11 +41,13 @@
             self._replace_target,
             self._lose_power,
         ]
-        while loop.time() - began < seconds:
+        while loop.time() - started_at < seconds:
             await asyncio.sleep(self._rng.uniform(0.3, 1.0))
             if len(self._tasks) < _MAX_CONCURRENT_FAULTS:
                 fault = self._rng.choice(faults)
-                self.injected.append((round(loop.time() - began, 2), fault.__name__.strip("_")))
+                self.injected.append(
+                    (round(loop.time() - started_at, 2), fault.__name__.strip("_"))
+                )
                 task = loop.create_task(fault())
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
@@ -101,10 +103,10 @@
             return
         self._affected_nodes.add(node)
         try:
-            node.send(signal.SIGSTOP)
+            node.send_signal(signal.SIGSTOP)
             await asyncio.sleep(self._rng.uniform(0.2, 3.0))
         finally:
-            node.send(signal.SIGCONT)
+            node.send_signal(signal.SIGCONT)
             self._affected_nodes.discard(node)
 
     async def _cut_side_from_core(self) -> None:
--- a/tools/soak/fleet.py
+++ b/tools/soak/fleet.py
@@ -56,10 +56,10 @@
                 },
             )
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Sends a signal to the program if it is running."""
         if self._process is not None and self._process.returncode is None:
-            self._process.send_signal(number)
+            self._process.send_signal(signal_number)
 
     @property
     def exited_unexpectedly(self) -> bool:
--- a/tools/soak/node.py
+++ b/tools/soak/node.py
@@ -1,6 +1,7 @@
-"""python3 -m tools.soak.node HOST CUT_FILE PROGRAM: runs one program on a partitionable event loop.
+"""python3 -m tools.soak.node HOST UNREACHABLE_HOSTS_FILE PROGRAM: runs one program of the mesh.
 
-The cut file lists the unreachable addresses, one per line; it is polled for changes.
+The program runs on an event loop that simulates network partitions. The file lists the
+unreachable addresses, one per line, and is polled for changes.
 """
 
 import asyncio
@@ -18,7 +19,7 @@
 
 
 class _PartitionableLoopPolicy(asyncio.DefaultEventLoopPolicy):
-    """Creates event loops that apply each change of the cut file."""
+    """Creates event loops that apply each change of the file of unreachable addresses."""
 
     def __init__(self, host: str, path: Path) -> None:
         super().__init__()
--- a/tools/soak/partitionable_loop.py
+++ b/tools/soak/partitionable_loop.py
@@ -70,9 +70,9 @@
         )
         send = transport.sendto
 
-        def send_unless_cut(data, addr=None):
+        def send_if_reachable(data, addr=None):
             if addr is None or addr[0] not in self._unreachable_hosts:
                 send(data, addr)
 
-        transport.sendto = send_unless_cut
+        transport.sendto = send_if_reachable
         return transport
