--- a/tests/mesh_on_loopback.py
+++ b/tests/mesh_on_loopback.py
@@ -65,14 +65,14 @@
 }
 
 
-class StandIn:
+class StubTarget:
     """A target that keeps to the published protocol."""
 
     def __init__(self, host, port):
-        self.host, self.port, self.instance, self.ran = host, port, f"i-{host}", []
-        self.spoil = None
+        self.host, self.port, self.instance, self.executions = host, port, f"i-{host}", []
+        self.response_fault = None
         # Awaited in the midst of each run.
-        self.in_run = None
+        self.during_execution = None
 
     async def start(self):
         self.server = await asyncio.start_server(self.serve, self.host, self.port)
@@ -85,8 +85,8 @@
                 method, path, _version = lines[0].split(" ")
                 headers = dict(line.split(": ", 1) for line in lines[1:] if line)
                 body = await reader.readexactly(int(headers.get("Content-Length", 0)))
-                if self.in_run is not None and path != "/health":
-                    await self.in_run(headers)
+                if self.during_execution is not None and path != "/health":
+                    await self.during_execution(headers)
                 writer.write(self.answer(method, path, headers, body))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
@@ -100,12 +100,12 @@
         if headers["Expected-Instance"] != self.instance:
             return b"HTTP/1.1 421 no\r\nContent-Length: 0\r\n\r\n"
         attempt = headers["Attempt-Id"]
-        if self.spoil == "refuse":
+        if self.response_fault == "refuse":
             return b"HTTP/1.1 503 no\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
-        self.ran.append((attempt, method, path, headers.get("Caller-Service"), body))
-        if self.spoil == "garble":
+        self.executions.append((attempt, method, path, headers.get("Caller-Service"), body))
+        if self.response_fault == "garble":
             return b"this is no answer\r\n\r\n"
-        seal = b"" if self.spoil == "no seal" else b"Server-Seal: s\r\n"
+        seal = b"" if self.response_fault == "no seal" else b"Server-Seal: s\r\n"
         return (
             f"HTTP/1.1 200 OK\r\nAttempt-Id: {attempt}\r\nContent-Length: 4\r\n".encode()
             + seal
@@ -113,12 +113,12 @@
         )
 
 
-class Door(StandIn):
+class StubPartnerGateway(StubTarget):
     """A partner's door: it seals nothing and expects no instance."""
 
     def answer(self, method, path, headers, body):
         assert "Expected-Instance" not in headers
-        self.ran.append((headers["Attempt-Id"], method, path, body))
+        self.executions.append((headers["Attempt-Id"], method, path, body))
         return (
             f"HTTP/1.1 200 OK\r\nAttempt-Id: {headers['Attempt-Id']}\r\n"
             "Content-Length: 4\r\n\r\ndoor"
@@ -144,7 +144,7 @@
     )
 
 
-async def ask(host, port, method, path, headers=(), body=b"", name="shop"):
+async def send_request(host, port, method, path, headers=(), body=b"", name="shop"):
     reader, writer = await asyncio.open_connection(host, port)
     lines = [
         f"{method} {path} HTTP/1.1",
@@ -164,15 +164,15 @@
     """One core machine and two sidecars with their targets."""
 
     def __init__(self, folder, sites=("", ""), places=(("hall", "here"), ("hall", "here"))):
-        self.news = asyncio.Event()
+        self.view_updated = asyncio.Event()
         first = next(FIRST_PORTS)
         self.control, self.outbound, self.ready = first + 1, first + 2, first + 3
-        self.targets = [StandIn(host, first + 4) for host in SIDES]
+        self.targets = [StubTarget(host, first + 4) for host in SIDES]
         core = make_config(CORE, first, f"data-directory={folder}/store\n")
         self.store = StoreProgram(make_watch(core))
         # The registry is the agent of the first machine's site, if there is one.
         site = f"site-name={sites[0]}\n" if sites[0] else ""
-        self.door = Door(f"{NETWORK}.51", first + 4)
+        self.partner_gateway = StubPartnerGateway(f"{NETWORK}.51", first + 4)
         self.registry = RegistryProgram(
             make_watch(
                 make_config(
@@ -209,18 +209,18 @@
             try:
                 return apply_entry(entry)
             finally:
-                self.news.set()
+                self.view_updated.set()
 
         view.apply = note
 
     async def until(self, condition):
         async with asyncio.timeout(20):
             while not condition():
-                self.news.clear()
-                await self.news.wait()
+                self.view_updated.clear()
+                await self.view_updated.wait()
 
     async def start(self):
-        for target in (*self.targets, self.door):
+        for target in (*self.targets, self.partner_gateway):
             await target.start()
         loop = asyncio.get_running_loop()
         self.tasks = [
@@ -243,7 +243,7 @@
     async def put_configuration(self, configuration):
         while True:
             try:
-                return await ask(
+                return await send_request(
                     CORE,
                     self.control,
                     "PUT",
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -14,11 +14,11 @@
     CORE,
     FIRST_PORTS,
     NETWORK,
-    Door,
-    StandIn,
-    ask,
+    StubPartnerGateway,
+    StubTarget,
     make_config,
     make_watch,
+    send_request,
 )
 
 FRONT = f"{NETWORK}.31"
@@ -67,8 +67,8 @@
     def __init__(self, folder):
         first = next(FIRST_PORTS)
         self.control, self.front, self.ready = first + 1, first + 2, first + 3
-        self.targets = [StandIn(host, first + 4) for host in HOSTS]
-        self.partner_gateway = Door(PARTNER_HOST, first + 4)
+        self.targets = [StubTarget(host, first + 4) for host in HOSTS]
+        self.partner_gateway = StubPartnerGateway(PARTNER_HOST, first + 4)
         self.platform = FakePlatform(self.targets)
         self.platform_port = first + 4
         cloud = f"cloud-api.address={CORE}:{first + 4}\ncloud-api.rate-per-s=4000\n"
@@ -114,13 +114,13 @@
         self.gateway.view.proxies = 1
 
     async def put(self, path, document, headers=()):
-        status, _head, body = await ask(
+        status, _head, body = await send_request(
             CORE, self.control, "PUT", path, headers, json.dumps(document).encode()
         )
         return status, json.loads(body)
 
     async def request(self, path, attempt, method="GET", host="shop", body=b""):
-        return await ask(
+        return await send_request(
             FRONT,
             self.front,
             method,
@@ -150,19 +150,19 @@
 
 def test_requests_go_directly_to_listed_targets_and_mutating_ones_once(tmp_path):
     async def test(mesh):
-        assert (await ask(FRONT, mesh.ready, "GET", "/-/readiness"))[0] == 200
+        assert (await send_request(FRONT, mesh.ready, "GET", "/-/readiness"))[0] == 200
         status, head, body = await mesh.request("/book/x?y=1", "a1", "POST", body=b"load")
         assert (status, body) == (200, b"done") and b"Server-Seal: s" in head
-        ran = mesh.targets[0].ran + mesh.targets[1].ran
+        ran = mesh.targets[0].executions + mesh.targets[1].executions
         assert ran == [("a1", "POST", "/book/x?y=1", None, b"load")]
         for target in mesh.targets:
-            target.spoil = "garble"
+            target.response_fault = "garble"
         assert (await mesh.request("/book/x", "a2", "POST"))[0] == 502
-        assert len(mesh.targets[0].ran + mesh.targets[1].ran) == 2
+        assert len(mesh.targets[0].executions + mesh.targets[1].executions) == 2
         await mesh.request("/read/x", "a3")
-        assert len(mesh.targets[0].ran + mesh.targets[1].ran) == 4
+        assert len(mesh.targets[0].executions + mesh.targets[1].executions) == 4
         for target in mesh.targets:
-            target.spoil = "refuse"
+            target.response_fault = "refuse"
         status, head, _body = await mesh.request("/book/x", "a4", "POST")
         assert status == 503 and b"Retry-After" in head
 
@@ -177,7 +177,7 @@
         )
         for number in range(5):
             assert (await mesh.request("/read/x", f"d{number}"))[0] == 200
-        assert mesh.targets[0].ran == []
+        assert mesh.targets[0].executions == []
         del mesh.platform.targets[0]
         await mesh.until(lambda: len(mesh.gateway.view.targets("quotes")) == 1)
 
@@ -212,9 +212,9 @@
         )
         status, _head, body = await mesh.request("/open/x", "p1", "POST", "dealer", b"batch")
         assert (status, body) == (200, b"door")
-        assert mesh.partner_gateway.ran == [("p1", "POST", "/open/x", b"batch")]
+        assert mesh.partner_gateway.executions == [("p1", "POST", "/open/x", b"batch")]
         assert (await mesh.request("/private/x", "p2", host="dealer"))[0] == 404
-        _status, _head, shown = await ask(CORE, mesh.control, "GET", "/mesh/partners")
+        _status, _head, shown = await send_request(CORE, mesh.control, "GET", "/mesh/partners")
         shown = json.loads(shown)
         assert set(shown["nodes"].values()) <= {"", shown["digest"]} and SECRET not in str(shown)
         assert "credential" not in shown["partners"]["dealer"]
@@ -227,7 +227,7 @@
             assert (await mesh.request("/open/x", "p3", "POST", "dealer"))[0] == 404
             withdrawal.cancel()
         assert (await mesh.put("/mesh/exports/dealer", exports, credential))[0] == 409
-        assert len(mesh.partner_gateway.ran) == 1
+        assert len(mesh.partner_gateway.executions) == 1
 
     run(test, tmp_path)
 
--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -5,13 +5,13 @@
 import os
 import sys
 
-from tests.mesh_on_loopback import CORE, SIDES, Mesh, ask
+from tests.mesh_on_loopback import CORE, SIDES, Mesh, send_request
 
 PLACES = (("hall", "here"), ("yard", "there"))
 
 
 def request(mesh, path, attempt, method="GET"):
-    return ask(
+    return send_request(
         SIDES[0], mesh.outbound, method, path, (f"Attempt-Id: {attempt}", "Deadline-Ms: 3000")
     )
 
@@ -94,7 +94,7 @@
             for number in range(12):
                 kind = ("/read/x", "GET") if number % 2 else ("/book/x", "POST")
                 assert (await request(mesh, kind[0], f"a{number}", kind[1]))[0] == 200
-            ran = [attempt for attempt, *_rest in mesh.targets[0].ran]
+            ran = [attempt for attempt, *_rest in mesh.targets[0].executions]
             assert {f"a{number}" for number in range(12)} <= set(ran)
             assert len([attempt for attempt in ran if attempt.startswith("order")]) == 0
         finally:
@@ -120,7 +120,7 @@
         view.table.number,
         sorted(view._versions.items()),
         set(view.evacuated),
-        [len(target.ran) for target in mesh.targets],
+        [len(target.executions) for target in mesh.targets],
         mesh.registry.catalogue.revision,
     )
 
@@ -134,7 +134,7 @@
         reached.append(headers["Attempt-Id"])
         await asyncio.Event().wait()
 
-    far_target.in_run = stay
+    far_target.during_execution = stay
     # Only the far one is selected while the near one says that it is draining.
     view = mesh.proxies[0].view
     node = f"n-{SIDES[0]}"
--- a/tests/test_tracing_on_loopback.py
+++ b/tests/test_tracing_on_loopback.py
@@ -6,7 +6,7 @@
 
 import marblefold.tracing.startup
 from marblefold.program_flags import TraceOptions
-from tests.mesh_on_loopback import CONFIGURATION, CORE, SIDES, Mesh, ask
+from tests.mesh_on_loopback import CONFIGURATION, CORE, SIDES, Mesh, send_request
 
 
 def run(test, folder, monkeypatch):
@@ -25,7 +25,7 @@
 
 
 def request(mesh, path, attempt, method="POST", body=b"", side=0, headers=()):
-    return ask(
+    return send_request(
         SIDES[side],
         mesh.outbound,
         method,
@@ -84,7 +84,7 @@
                         side=next(
                             n
                             for n, target in enumerate(mesh.targets)
-                            if target.in_run and target.host == executing_hosts[0]
+                            if target.during_execution and target.host == executing_hosts[0]
                         ),
                     )
                 )
@@ -97,7 +97,7 @@
                     executing_hosts.append(target.host)
                 await send_nested_call(headers)
 
-            target.in_run = in_run
+            target.during_execution = in_run
         assert (await request(mesh, "/book/x", "order-1", body=b"oak"))[0] == 200
         assert answers[0][0] == 200
         await collect(mesh)
@@ -128,11 +128,11 @@
 def test_a_duplicate_order_shows_the_complete_traces_of_both(tmp_path, monkeypatch):
     async def test(mesh):
         for target in mesh.targets:
-            target.spoil = "garble"
+            target.response_fault = "garble"
         # The target executes it, but its answer is lost, so the client orders again.
         assert (await request(mesh, "/book/x", "try-1", body=b"oak"))[0] == 502
         for target in mesh.targets:
-            target.spoil = None
+            target.response_fault = None
         assert (await request(mesh, "/book/x", "try-2", body=b"oak", side=1))[0] == 200
         assert (await request(mesh, "/book/x", "other", body=b"elm"))[0] == 200
         await collect(mesh)
@@ -140,8 +140,10 @@
         assert status == 0, shown
         assert "came as try-1, try-2" in shown and "other" not in shown
         assert shown.count(": whole") == 2 and shown.count("served by") == 2
-        assert (await ask(CORE, mesh.control, "GET", "/mesh/traces?limit=9999"))[0] == 400
-        assert (await ask(CORE, mesh.control, "GET", "/mesh/traces/" + "x" * 300))[0] == 400
+        assert (await send_request(CORE, mesh.control, "GET", "/mesh/traces?limit=9999"))[0] == 400
+        assert (await send_request(CORE, mesh.control, "GET", "/mesh/traces/" + "x" * 300))[
+            0
+        ] == 400
 
     run(test, tmp_path, monkeypatch)
 
@@ -187,7 +189,7 @@
         try:
             assert (await request(mesh, "/book/x", "a", body=b"oak"))[0] == 200
             assert all(proxy.executor.tracer is None for proxy in mesh.proxies)
-            assert (await ask(CORE, mesh.control, "GET", "/mesh/traces/a"))[0] == 404
+            assert (await send_request(CORE, mesh.control, "GET", "/mesh/traces/a"))[0] == 404
         finally:
             await mesh.stop()
 
--- a/tests/test_whole_mesh.py
+++ b/tests/test_whole_mesh.py
@@ -7,7 +7,7 @@
 
 from marblefold.maintenance.planning import LiveSlots
 from marblefold.request_path.mesh_view import KnownOwner
-from tests.mesh_on_loopback import CONFIGURATION, CORE, SIDES, Mesh, ask
+from tests.mesh_on_loopback import CONFIGURATION, CORE, SIDES, Mesh, send_request
 
 
 def run(test, folder, sites=("", "")):
@@ -23,7 +23,7 @@
 
 
 def request(mesh, path, attempt, method="GET", headers=(), body=b"", side=0):
-    return ask(
+    return send_request(
         SIDES[side],
         mesh.outbound,
         method,
@@ -39,15 +39,15 @@
             mesh, "/book/a%20b?x=1&x=2", "id1", "POST", ("Caller-Service: liar",), b"payload"
         )
         assert (status, body) == (200, b"done") and b"Server-Seal: s" in head
-        ran = mesh.targets[0].ran + mesh.targets[1].ran
+        ran = mesh.targets[0].executions + mesh.targets[1].executions
         assert ran == [("id1", "POST", "/book/a%20b?x=1&x=2", "quotes", b"payload")]
         assert (await request(mesh, "/nowhere/", "id2"))[0] == 404
-        assert (await ask(SIDES[0], mesh.ready, "GET", "/-/readiness"))[0] == 200
-        assert (await ask(CORE, mesh.control, "GET", "/mesh/configuration"))[2] == json.dumps(
-            CONFIGURATION
-        ).encode()
-        assert (await ask(CORE, mesh.control, "POST", "/mesh/configuration"))[0] == 405
-        assert (await ask(CORE, mesh.control, "GET", "/else"))[0] == 404
+        assert (await send_request(SIDES[0], mesh.ready, "GET", "/-/readiness"))[0] == 200
+        assert (await send_request(CORE, mesh.control, "GET", "/mesh/configuration"))[
+            2
+        ] == json.dumps(CONFIGURATION).encode()
+        assert (await send_request(CORE, mesh.control, "POST", "/mesh/configuration"))[0] == 405
+        assert (await send_request(CORE, mesh.control, "GET", "/else"))[0] == 404
 
     run(test, tmp_path)
 
@@ -56,13 +56,13 @@
     async def test(mesh):
         for number, spoil in enumerate(("garble", "no seal")):
             for target in mesh.targets:
-                target.ran.clear()
-                target.spoil = spoil
+                target.executions.clear()
+                target.response_fault = spoil
             status, head, _body = await request(mesh, "/book/x", f"b{number}", "POST")
             assert status == 502 and b"Retry-After" not in head
-            assert len(mesh.targets[0].ran + mesh.targets[1].ran) == 1
+            assert len(mesh.targets[0].executions + mesh.targets[1].executions) == 1
             await request(mesh, "/read/x", f"r{number}")
-            assert len(mesh.targets[0].ran + mesh.targets[1].ran) == 3
+            assert len(mesh.targets[0].executions + mesh.targets[1].executions) == 3
 
     run(test, tmp_path)
 
@@ -70,10 +70,10 @@
 def test_what_no_target_ran_is_promised_with_a_time_to_come_back(tmp_path):
     async def test(mesh):
         for target in mesh.targets:
-            target.spoil = "refuse"
+            target.response_fault = "refuse"
         status, head, _body = await request(mesh, "/book/x", "b", "POST")
         assert status == 503 and b"Retry-After" in head
-        assert mesh.targets[0].ran + mesh.targets[1].ran == []
+        assert mesh.targets[0].executions + mesh.targets[1].executions == []
 
     run(test, tmp_path)
 
@@ -90,18 +90,22 @@
             "call-sequence": 9,
         }
         path = f"/mesh/targets/{mesh.targets[0].instance}"
-        status, _head, _body = await ask(
+        status, _head, _body = await send_request(
             SIDES[0], mesh.control, "PUT", path, body=json.dumps(beat).encode()
         )
         assert status == 200
         for number in range(6):
             assert (await request(mesh, "/read/x", f"d{number}", side=number % 2))[0] == 200
-        assert mesh.targets[0].ran == [] and len(mesh.targets[1].ran) == 6
-        assert (await ask(CORE, mesh.control, "PUT", "/mesh/evacuations/nowhere"))[0] == 404
-        assert (await ask(CORE, mesh.control, "PUT", "/mesh/evacuations/hall"))[0] == 200
+        assert mesh.targets[0].executions == [] and len(mesh.targets[1].executions) == 6
+        assert (await send_request(CORE, mesh.control, "PUT", "/mesh/evacuations/nowhere"))[
+            0
+        ] == 404
+        assert (await send_request(CORE, mesh.control, "PUT", "/mesh/evacuations/hall"))[0] == 200
         await mesh.until(lambda: all("hall" in proxy.view.evacuated for proxy in mesh.proxies))
         assert (await request(mesh, "/read/x", "e"))[0] == 503
-        assert (await ask(CORE, mesh.control, "DELETE", "/mesh/evacuations/hall"))[0] == 200
+        assert (await send_request(CORE, mesh.control, "DELETE", "/mesh/evacuations/hall"))[
+            0
+        ] == 200
         await mesh.until(lambda: not any(proxy.view.evacuated for proxy in mesh.proxies))
         assert (await request(mesh, "/read/x", "f"))[0] == 200
 
@@ -181,7 +185,7 @@
     async def test(mesh):
         word = {"number": 1, "services": {"quotes": ["north"]}}
         body = json.dumps(word).encode()
-        assert (await ask(CORE, mesh.control, "PUT", "/mesh/owners", body=body))[0] == 200
+        assert (await send_request(CORE, mesh.control, "PUT", "/mesh/owners", body=body))[0] == 200
         real, stray = mesh.proxies
         clock = asyncio.get_running_loop().time
         await mesh.until(
@@ -198,8 +202,8 @@
             )
             assert status == 200
         # Also those that came in beside the stray went to the owner, once each.
-        assert sorted(ran[0] for ran in mesh.targets[0].ran) == [f"o{n}" for n in range(6)]
-        assert mesh.targets[1].ran == []
+        assert sorted(ran[0] for ran in mesh.targets[0].executions) == [f"o{n}" for n in range(6)]
+        assert mesh.targets[1].executions == []
         # A node whose view is wrong sends one to the stray: its guard refuses.
         stray.view.owners["quotes"] = KnownOwner("stray", "127.0.0.99:1", 1)
         for target in list(stray.view._targets["quotes"].values()):
@@ -208,12 +212,12 @@
             )
         del stray.view._targets["quotes"][f"n-{SIDES[0]}"]
         status, head, _body = await request(mesh, "/book/x", "late", "POST", side=1)
-        assert status == 503 and b"Retry-After" in head and mesh.targets[1].ran == []
-        shown = json.loads((await ask(CORE, mesh.control, "GET", "/mesh/owners"))[2])
+        assert status == 503 and b"Retry-After" in head and mesh.targets[1].executions == []
+        shown = json.loads((await send_request(CORE, mesh.control, "GET", "/mesh/owners"))[2])
         owned = shown["services"]["quotes"]
         assert owned["owner"] == "north" and owned["clash-with"][0].startswith("stray@")
         assert (
-            await ask(
+            await send_request(
                 CORE,
                 mesh.control,
                 "PUT",
@@ -221,9 +225,9 @@
                 body=json.dumps({"number": 1, "services": {"quotes": ["stray"]}}).encode(),
             )
         )[0] == 409
-        assert (await ask(CORE, mesh.control, "PUT", "/mesh/owners", body=b'{"number": 2}'))[
-            0
-        ] == 400
+        assert (
+            await send_request(CORE, mesh.control, "PUT", "/mesh/owners", body=b'{"number": 2}')
+        )[0] == 400
 
     run(test, tmp_path, ("north", "stray"))
 
@@ -231,7 +235,7 @@
 def test_a_proxy_carries_what_a_partner_exports_and_nothing_private(tmp_path):
     async def test(mesh):
         async def put(path, document, *headers):
-            return await ask(
+            return await send_request(
                 CORE, mesh.control, "PUT", path, headers, json.dumps(document).encode()
             )
 
@@ -241,7 +245,7 @@
                 {
                     "number": 1,
                     "hosts": ["yard"],
-                    "address": f"{mesh.door.host}:{mesh.door.port}",
+                    "address": f"{mesh.partner_gateway.host}:{mesh.partner_gateway.port}",
                     "credential": "secret-of-the-yard",
                 },
             )
@@ -262,14 +266,16 @@
         photos = b"photo" * 50_000
         for side in (0, 1):
             head = (f"Attempt-Id: y{side}", "Deadline-Ms: 3000")
-            status, _head, body = await ask(
+            status, _head, body = await send_request(
                 SIDES[side], mesh.outbound, "POST", "/open/batch", head, photos, "yard"
             )
             assert (status, body) == (200, b"door")
-            status, _head, _body = await ask(
+            status, _head, _body = await send_request(
                 SIDES[side], mesh.outbound, "GET", "/private/", head, name="yard"
             )
             assert status == 404
-        assert mesh.door.ran == [(f"y{side}", "POST", "/open/batch", photos) for side in (0, 1)]
+        assert mesh.partner_gateway.executions == [
+            (f"y{side}", "POST", "/open/batch", photos) for side in (0, 1)
+        ]
 
     run(test, tmp_path)
