--- a/tests/mesh_on_loopback.py
+++ b/tests/mesh_on_loopback.py
@@ -14,7 +14,7 @@
 # Loopback addresses of this test process alone, so that several can run at once.
 NETWORK = f"127.{64 + os.getpid() // 250 % 128}.{1 + os.getpid() % 250}"
 CORE = f"{NETWORK}.11"
-SIDES = (f"{NETWORK}.21", f"{NETWORK}.22")
+SIDECAR_HOSTS = (f"{NETWORK}.21", f"{NETWORK}.22")
 # Each mesh has ports of its own: the programs end with their process, so their
 # sockets stay while the tests run.
 FIRST_PORTS = itertools.count(27300, 20)
@@ -167,7 +167,7 @@
         self.view_updated = asyncio.Event()
         first = next(FIRST_PORTS)
         self.control, self.outbound, self.ready = first + 1, first + 2, first + 3
-        self.targets = [StubTarget(host, first + 4) for host in SIDES]
+        self.targets = [StubTarget(host, first + 4) for host in SIDECAR_HOSTS]
         core = make_config(CORE, first, f"data-directory={folder}/store\n")
         self.store = StoreProgram(make_watch(core))
         # The registry is the agent of the first machine's site, if there is one.
@@ -196,7 +196,7 @@
                 ),
                 place,
             )
-            for host, site, agent, place in zip(SIDES, sites, agents, places, strict=True)
+            for host, site, agent, place in zip(SIDECAR_HOSTS, sites, agents, places, strict=True)
         ]
         self.proxies = [ProxyProgram(make_watch(config)) for config in self.configs]
         for proxy in self.proxies:
--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -5,14 +5,18 @@
 import os
 import sys
 
-from tests.mesh_on_loopback import CORE, SIDES, Mesh, send_request
+from tests.mesh_on_loopback import CORE, SIDECAR_HOSTS, Mesh, send_request
 
 PLACES = (("hall", "here"), ("yard", "there"))
 
 
 def request(mesh, path, attempt, method="GET"):
     return send_request(
-        SIDES[0], mesh.outbound, method, path, (f"Attempt-Id: {attempt}", "Deadline-Ms: 3000")
+        SIDECAR_HOSTS[0],
+        mesh.outbound,
+        method,
+        path,
+        (f"Attempt-Id: {attempt}", "Deadline-Ms: 3000"),
     )
 
 
@@ -137,7 +141,7 @@
     far_target.during_execution = stay
     # Only the far one is selected while the near one says that it is draining.
     view = mesh.proxies[0].view
-    node = f"n-{SIDES[0]}"
+    node = f"n-{SIDECAR_HOSTS[0]}"
     kept = view._targets["quotes"][node]
     view._targets["quotes"][node] = kept._replace(is_draining=True)
     tasks = [
--- a/tests/test_tracing_on_loopback.py
+++ b/tests/test_tracing_on_loopback.py
@@ -6,7 +6,7 @@
 
 import marblefold.tracing.startup
 from marblefold.program_flags import TraceOptions
-from tests.mesh_on_loopback import CONFIGURATION, CORE, SIDES, Mesh, send_request
+from tests.mesh_on_loopback import CONFIGURATION, CORE, SIDECAR_HOSTS, Mesh, send_request
 
 
 def run(test, folder, monkeypatch):
@@ -26,7 +26,7 @@
 
 def request(mesh, path, attempt, method="POST", body=b"", side=0, headers=()):
     return send_request(
-        SIDES[side],
+        SIDECAR_HOSTS[side],
         mesh.outbound,
         method,
         path,
@@ -158,7 +158,7 @@
             }
         )
         await mesh.until(lambda: all(proxy.view.table.number == 4 for proxy in mesh.proxies))
-        reader, writer = await asyncio.open_connection(SIDES[0], mesh.outbound)
+        reader, writer = await asyncio.open_connection(SIDECAR_HOSTS[0], mesh.outbound)
         size = 800_000
         writer.write(
             (
--- a/tests/test_whole_mesh.py
+++ b/tests/test_whole_mesh.py
@@ -7,7 +7,7 @@
 
 from marblefold.maintenance.planning import LiveSlots
 from marblefold.request_path.mesh_view import KnownOwner
-from tests.mesh_on_loopback import CONFIGURATION, CORE, SIDES, Mesh, send_request
+from tests.mesh_on_loopback import CONFIGURATION, CORE, SIDECAR_HOSTS, Mesh, send_request
 
 
 def run(test, folder, sites=("", "")):
@@ -24,7 +24,7 @@
 
 def request(mesh, path, attempt, method="GET", headers=(), body=b"", side=0):
     return send_request(
-        SIDES[side],
+        SIDECAR_HOSTS[side],
         mesh.outbound,
         method,
         path,
@@ -42,7 +42,7 @@
         ran = mesh.targets[0].executions + mesh.targets[1].executions
         assert ran == [("id1", "POST", "/book/a%20b?x=1&x=2", "quotes", b"payload")]
         assert (await request(mesh, "/nowhere/", "id2"))[0] == 404
-        assert (await send_request(SIDES[0], mesh.ready, "GET", "/-/readiness"))[0] == 200
+        assert (await send_request(SIDECAR_HOSTS[0], mesh.ready, "GET", "/-/readiness"))[0] == 200
         assert (await send_request(CORE, mesh.control, "GET", "/mesh/configuration"))[
             2
         ] == json.dumps(CONFIGURATION).encode()
@@ -82,7 +82,7 @@
     async def test(mesh):
         beat = {
             "upstream": "quotes",
-            "address": f"{SIDES[0]}:1",
+            "address": f"{SIDECAR_HOSTS[0]}:1",
             "zone": "hall",
             "capacity-slots": 4,
             "state": "draining",
@@ -91,7 +91,7 @@
         }
         path = f"/mesh/targets/{mesh.targets[0].instance}"
         status, _head, _body = await send_request(
-            SIDES[0], mesh.control, "PUT", path, body=json.dumps(beat).encode()
+            SIDECAR_HOSTS[0], mesh.control, "PUT", path, body=json.dumps(beat).encode()
         )
         assert status == 200
         for number in range(6):
@@ -210,7 +210,7 @@
             stray.view._targets["quotes"][target.node] = target._replace(
                 site="stray", site_agent="127.0.0.99:1"
             )
-        del stray.view._targets["quotes"][f"n-{SIDES[0]}"]
+        del stray.view._targets["quotes"][f"n-{SIDECAR_HOSTS[0]}"]
         status, head, _body = await request(mesh, "/book/x", "late", "POST", side=1)
         assert status == 503 and b"Retry-After" in head and mesh.targets[1].executions == []
         shown = json.loads((await send_request(CORE, mesh.control, "GET", "/mesh/owners"))[2])
@@ -267,11 +267,11 @@
         for side in (0, 1):
             head = (f"Attempt-Id: y{side}", "Deadline-Ms: 3000")
             status, _head, body = await send_request(
-                SIDES[side], mesh.outbound, "POST", "/open/batch", head, photos, "yard"
+                SIDECAR_HOSTS[side], mesh.outbound, "POST", "/open/batch", head, photos, "yard"
             )
             assert (status, body) == (200, b"door")
             status, _head, _body = await send_request(
-                SIDES[side], mesh.outbound, "GET", "/private/", head, name="yard"
+                SIDECAR_HOSTS[side], mesh.outbound, "GET", "/private/", head, name="yard"
             )
             assert status == 404
         assert mesh.partner_gateway.executions == [
--- a/tools/scale/phases.py
+++ b/tools/scale/phases.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from tools.scale.observing import LOOK_EVERY, Observer, describe_usage
+from tools.scale.observer import LOOK_EVERY, Observer, describe_usage
 from tools.scale.processes import Fleet
 from tools.scale.settings import make_configuration
 
