--- a/tools/scale/__main__.py
+++ b/tools/scale/__main__.py
@@ -1,6 +1,6 @@
 """python3 -m tools.scale: how the cost of control grows with the number of nodes.
 
-Runs real programs and, in few processes, many hollow nodes (hollow.py).
+Runs real programs and, in a few processes, many hollow nodes (hollow.py).
 """
 
 import asyncio
@@ -21,53 +21,61 @@
 
 FLAGS = flags.FLAGS
 flags.DEFINE_integer("nodes", 50, "Nodes beside targets.", lower_bound=8, upper_bound=600)
-flags.DEFINE_integer("core", 5, "Machines set aside for control.", lower_bound=1, upper_bound=9)
+flags.DEFINE_integer(
+    "core", 5, "Machines reserved for the control plane.", lower_bound=1, upper_bound=9
+)
 flags.DEFINE_integer("real", 3, "Nodes that are real proxies.", lower_bound=0, upper_bound=20)
 flags.DEFINE_integer("services", 22, "Services.", lower_bound=1, upper_bound=100)
 flags.DEFINE_integer("routes", 300, "Routes of the configuration.", lower_bound=1, upper_bound=5000)
-flags.DEFINE_integer("each", 60, "Hollow nodes to a process.", lower_bound=1, upper_bound=200)
-flags.DEFINE_integer("runs", 1, "How often all of it is done.", lower_bound=1, upper_bound=10)
-flags.DEFINE_float("seconds", 10.0, "How long rest is measured.", lower_bound=1, upper_bound=120)
+flags.DEFINE_integer("each", 60, "Hollow nodes in each process.", lower_bound=1, upper_bound=200)
+flags.DEFINE_integer(
+    "runs", 1, "How often the whole run is repeated.", lower_bound=1, upper_bound=10
+)
+flags.DEFINE_float(
+    "seconds", 10.0, "Seconds for which the idle phase is measured.", lower_bound=1, upper_bound=120
+)
 flags.DEFINE_float(
     "settle",
     15.0,
-    "Seconds for updates of the start to spread before rest is measured.",
+    "Seconds for the updates of the start to propagate before the idle phase.",
     lower_bound=0,
     upper_bound=120,
 )
-flags.DEFINE_float("longest", 60.0, "How long one phase may take.", lower_bound=5, upper_bound=300)
+flags.DEFINE_float(
+    "longest", 60.0, "Time limit of a phase, in seconds.", lower_bound=5, upper_bound=300
+)
 flags.DEFINE_integer("first_port", 24000, "The first port.", lower_bound=1024, upper_bound=60000)
 flags.DEFINE_multi_enum(
     "phase",
     ["rest", "change", "churn", "registry", "cut"],
     ["rest", "change", "churn", "registry", "cut"],
-    "What is measured after the start.",
+    "Phases to run after the start.",
 )
 flags.DEFINE_string("out", "", "File for the results; standard output without it.")
 
-_WHOLE, _PARTIAL, _USAGE = 0, 1, 2
-# A day's restarts, failures and changes of the target, one after the other.
-_RESTARTS, _CHANGES = 45, 5
+_EXIT_COMPLETE, _EXIT_PARTIAL, _EXIT_USAGE = 0, 1, 2
+# Restarts (including failures) and configuration changes of one day at the target scale.
+_RESTARTS_PER_DAY, _CHANGES_PER_DAY = 45, 5
 
 
 def main(arguments: list[str]) -> int:
-    """Runs as the flags say; the exit status: 0 whole, 1 partial, 2 wrong usage."""
+    """Runs with the given flags; returns the exit status: 0 complete, 1 partial, 2 wrong usage."""
     try:
-        rest = FLAGS(arguments)
+        positional = FLAGS(arguments)
     except flags.Error as error:
         print(error, file=sys.stderr)
-        return _USAGE
-    if rest[1:] or FLAGS.real >= FLAGS.nodes:
+        return _EXIT_USAGE
+    if positional[1:] or FLAGS.real >= FLAGS.nodes:
         print(
             "usage: python3 -m tools.scale --nodes=N [--real=K] [--runs=R] [--out=FILE]; "
             "fewer real nodes than nodes",
             file=sys.stderr,
         )
-        return _USAGE
+        return _EXIT_USAGE
     document = {
         "command": arguments[1:],
-        "commit": _ask_git("rev-parse", "HEAD"),
-        "dirty": bool(_ask_git("status", "--porcelain", "marblefold", "tools")),
+        "commit": _run_git("rev-parse", "HEAD"),
+        "dirty": bool(_run_git("status", "--porcelain", "marblefold", "tools")),
         "at": datetime.now(UTC).isoformat(),
         "nodes": FLAGS.nodes,
         "runs": [],
@@ -80,36 +88,36 @@
         Path(FLAGS.out).write_text(text)
     else:
         print(text, end="")
-    return _PARTIAL if document["partial"] else _WHOLE
+    return _EXIT_PARTIAL if document["partial"] else _EXIT_COMPLETE
 
 
 async def _run(first_port: int) -> dict:
     layout = Layout(FLAGS.nodes, FLAGS.core, FLAGS.services, first_port)
-    found: dict = {}
+    results: dict = {}
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
         async with Fleet(layout, Path(folder), FLAGS.each) as fleet:
             phases = Phases(fleet, FLAGS.routes, FLAGS.seconds, FLAGS.settle, FLAGS.longest)
-            acts = {
-                "rest": phases.rest,
-                "change": phases.change,
-                "churn": lambda: phases.churn(_RESTARTS, _CHANGES),
+            phase_methods = {
+                "rest": phases.measure_idle,
+                "change": phases.change_configuration,
+                "churn": lambda: phases.churn(_RESTARTS_PER_DAY, _CHANGES_PER_DAY),
                 "registry": phases.lose_registry,
-                "cut": phases.cut,
+                "cut": phases.partition,
             }
             name = "start"
             try:
-                found["start"] = await phases.start(FLAGS.real)
+                results["start"] = await phases.start(FLAGS.real)
                 for name in FLAGS.phase:
-                    found[name] = await acts[name]()
+                    results[name] = await phase_methods[name]()
             except (TimeoutError, RuntimeError, OSError) as error:
-                # What was measured so far is kept; later phases were not reached.
-                found["partial"] = f"{name}: {error or 'not done in time'}"
-    return found
+                # Keeps the results of the completed phases; later phases did not run.
+                results["partial"] = f"{name}: {error or 'not done in time'}"
+    return results
 
 
-def _ask_git(*words: str) -> str:
-    done = subprocess.run(["git", *words], capture_output=True, text=True, check=False)
-    return done.stdout.strip()
+def _run_git(*arguments: str) -> str:
+    completed = subprocess.run(["git", *arguments], capture_output=True, text=True, check=False)
+    return completed.stdout.strip()
 
 
 if __name__ == "__main__":
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -1,8 +1,8 @@
-"""Hollow nodes: the control part of a proxy, many in one process.
+"""Hollow nodes: the control plane client of a proxy, many in one process.
 
-Each runs the real follower, membership and notices over the real inner
-protocol, without a target or traffic.  Commands are read as JSON lines from
-standard input, answers are written to standard output.
+Each runs the real registry follower, membership and target reports over the
+real inner protocol, without a target or traffic.  Commands are read as JSON
+lines from standard input, responses are written to standard output.
 """
 
 import asyncio
@@ -27,8 +27,11 @@
 __all__ = ["main"]
 
 
-class Counts:
-    """Messages and bytes of this process, on connections and as datagrams."""
+class TrafficCounts:
+    """Messages and bytes of this process, on connections and as datagrams.
+
+    The attribute names are keys of the results.
+    """
 
     def __init__(self) -> None:
         self.connection_messages = self.connection_bytes = 0
@@ -36,63 +39,66 @@
 
     def instrument(self) -> None:
         """Wraps the methods of the real classes that send and receive, in this process only."""
-        take, send = PeerConnection.data_received, PeerConnection.send
-        receive, send_all = MembershipSocket.datagram_received, MembershipSocket._send
+        receive_data, send = PeerConnection.data_received, PeerConnection.send
+        receive_datagram, send_datagrams = (
+            MembershipSocket.datagram_received,
+            MembershipSocket._send,
+        )
 
-        def count_taken(connection, data):
+        def count_data_received(connection, data):
             self.connection_messages += 1
             self.connection_bytes += len(data)
-            take(connection, data)
+            receive_data(connection, data)
 
-        def count_sent(connection, kind, number, payload=b""):
+        def count_message_sent(connection, kind, number, payload=b""):
             self.connection_messages += 1
             self.connection_bytes += len(payload) + 9
             send(connection, kind, number, payload)
 
-        def count_received(membership, data, address):
+        def count_datagram_received(membership, data, address):
             self.datagrams += 1
             self.datagram_bytes += len(data)
-            if not _is_cut(membership, address[0]):
-                receive(membership, data, address)
+            if not _is_unreachable(membership, address[0]):
+                receive_datagram(membership, data, address)
 
-        def count_out(membership, messages):
-            kept = [
+        def count_datagrams_sent(membership, messages):
+            deliverable = [
                 message
                 for message in messages
-                if not _is_cut(membership, message.peer.rpartition(":")[0])
+                if not _is_unreachable(membership, message.peer.rpartition(":")[0])
             ]
-            self.datagrams += len(kept)
-            send_all(membership, kept)
+            self.datagrams += len(deliverable)
+            send_datagrams(membership, deliverable)
 
-        PeerConnection.data_received = count_taken  # type: ignore[method-assign]
-        PeerConnection.send = count_sent  # type: ignore[method-assign]
-        MembershipSocket.datagram_received = count_received  # type: ignore[method-assign]
-        MembershipSocket._send = count_out  # type: ignore[method-assign]
+        PeerConnection.data_received = count_data_received  # type: ignore[method-assign]
+        PeerConnection.send = count_message_sent  # type: ignore[method-assign]
+        MembershipSocket.datagram_received = count_datagram_received  # type: ignore[method-assign]
+        MembershipSocket._send = count_datagrams_sent  # type: ignore[method-assign]
 
 
-# Hosts that a node cannot reach at the moment, by the node's own host.
-_cuts: dict[str, set[str]] = {}
+# Hosts that a node cannot reach during a partition, by the node's own host.
+_unreachable_hosts: dict[str, set[str]] = {}
 
 
-def _is_cut(membership: MembershipSocket, host: str) -> bool:
-    own = membership._prober.table.own.address.rpartition(":")[0]
-    return host in _cuts.get(own, ())
+def _is_unreachable(membership: MembershipSocket, host: str) -> bool:
+    own_host = membership._prober.table.own.address.rpartition(":")[0]
+    return host in _unreachable_hosts.get(own_host, ())
 
 
-class _FixedConfig(NamedTuple):
-    """Stands for a ConfigWatch whose file never changes."""
+class _StaticConfigWatch(NamedTuple):
+    """Stub of a ConfigWatch whose file never changes."""
 
     config: NodeConfig
 
 
 class HollowNode:
-    """The control side of one proxy."""
+    """The control plane client of one proxy."""
 
     def __init__(self, layout: Layout, number: int) -> None:
         self.number = number
         host = layout.node_host(number)
         config = parse_config(make_config(layout, host, f"node-{number}", number))
-        watch = _FixedConfig(config)
+        watch = _StaticConfigWatch(config)
         self.host = host
         self.view = MeshView(config.node_name)
         self.target = LocalTarget(lambda: None)
@@ -116,7 +122,7 @@
             self.view,
             TargetReportBuilder(config, self.target).build,
         )
-        self.view.on_own_target_entry = lambda life: None
+        self.view.on_own_target_entry = lambda generation: None
         self.suspected_at: dict[str, float] = {}
         self.membership = NodeMembership(watch, "proxy", PROXY, self._on_member)
         self.tasks: list[asyncio.Task] = []
@@ -124,7 +130,10 @@
     async def start(self) -> None:
         await self.membership.start()
         loop = asyncio.get_running_loop()
-        self.tasks = [loop.create_task(run) for run in (self.membership.run(), self.follower.run())]
+        self.tasks = [
+            loop.create_task(coroutine)
+            for coroutine in (self.membership.run(), self.follower.run())
+        ]
 
     async def stop(self) -> None:
         for task in self.tasks:
@@ -141,12 +150,12 @@
             self.suspected_at.setdefault(member.address, time.time())
 
     def describe(self) -> dict:
-        """What the node knows, for the measurement."""
+        """What the node knows of the mesh, as the observer reads it."""
         members = list(self.membership._prober.table)
         return {
             "number": self.number,
             "configuration": self.view.table.number if self.view.table else 0,
-            "targets": sum(len(of) for of in self.view._targets.values()),
+            "targets": sum(len(targets) for targets in self.view._targets.values()),
             "alive": sum(1 for member in members if member.liveness is Liveness.ALIVE),
             "in-touch": self.follower.is_in_touch,
             "suspected": len(self.suspected_at),
@@ -154,13 +163,13 @@
 
 
 class HollowHost:
-    """The nodes of this process, and the commands for them."""
+    """Runs the nodes of this process and executes the commands for them."""
 
     def __init__(self, layout: Layout, numbers: range) -> None:
         self._layout = layout
         self.nodes = {number: HollowNode(layout, number) for number in numbers}
-        self.counts = Counts()
-        # By node: number of the configuration and when it was seen.
+        self.counts = TrafficCounts()
+        # By node: number of the last configuration and the Unix time when the node applied it.
         self._configuration_seen: dict[int, tuple[int, float]] = {}
 
     async def run(self) -> None:
@@ -168,22 +177,22 @@
         for node in self.nodes.values():
             await node.start()
             self._watch(node)
-            # Machines do not all start at the same moment.
+            # Staggers the starts: machines do not all start at the same moment.
             await asyncio.sleep(0.02)
         reader = asyncio.StreamReader()
         loop = asyncio.get_running_loop()
         await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
-        # The process ends with its input, that is when the tool ends.
+        # The input closes when the tool ends, and this process then ends too.
         while line := await reader.readline():
-            answer = await self._obey(json.loads(line))
-            print(json.dumps(answer), flush=True)
+            response = await self._execute_command(json.loads(line))
+            print(json.dumps(response), flush=True)
 
     def _watch(self, node: HollowNode) -> None:
         node.view.on_configuration = lambda table: self._configuration_seen.__setitem__(
             node.number, (table.number, time.time())
         )
 
-    async def _obey(self, command: dict) -> dict:
+    async def _execute_command(self, command: dict) -> dict:
         if command["do"] == "restart":
             number = command["node"]
             await self.nodes[number].stop()
@@ -194,7 +203,7 @@
         elif command["do"] == "cut":
             hosts = set(command["hosts"])
             for node in self.nodes.values():
-                _cuts[node.host] = hosts if command["on"] else set()
+                _unreachable_hosts[node.host] = hosts if command["on"] else set()
                 for peer in list(node.follower._peers._connections):
                     if command["on"] and peer.rpartition(":")[0] in hosts:
                         node.follower._peers.close_connection(peer)
@@ -214,8 +223,10 @@
 
 
 def main(arguments: list[str]) -> None:
-    """hollow NODES CORE SERVICES FIRST_PORT FROM TO."""
-    nodes, core, services, port, first, last = (int(word) for word in arguments)
+    """Arguments: NODES CORE SERVICES FIRST_PORT FIRST_NUMBER END_NUMBER (exclusive)."""
+    nodes, core, services, port, first_number, end_number = (
+        int(argument) for argument in arguments
+    )
     layout = Layout(nodes, core, services, port)
     import logging
 
@@ -225,7 +236,7 @@
 
     start_logs("hollow")
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.ERROR))
-    asyncio.run(HollowHost(layout, range(first, last)).run())
+    asyncio.run(HollowHost(layout, range(first_number, end_number)).run())
 
 
 if __name__ == "__main__":
--- a/tools/scale/phases.py
+++ b/tools/scale/phases.py
@@ -1,5 +1,5 @@
-"""The phases of a scale run: start, rest, one change of the configuration, churn, loss of a
-registry, and a cut between two halves."""
+"""The phases of a scale run: start, idle, one configuration change, churn, loss of a
+registry, and a network partition into two halves."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from tools.scale.observer import LOOK_EVERY, Observer, describe_usage
+from tools.scale.observer import POLL_INTERVAL_SECONDS, Observer, describe_usage
 from tools.scale.processes import Fleet
 from tools.scale.settings import make_configuration
 
@@ -15,189 +15,199 @@
 
 
 class Phases:
-    """Each method runs one phase and returns its figures; times in seconds.
+    """Each method runs one phase and returns its metrics; times in seconds.
 
-    All raise TimeoutError when a phase takes longer than `longest`.
+    All raise TimeoutError when a phase takes longer than `phase_timeout_seconds`.
     """
 
     def __init__(
         self,
         fleet: Fleet,
         routes: int,
-        seconds: float,
-        settle: float,
-        longest: float,
+        idle_seconds: float,
+        settle_seconds: float,
+        phase_timeout_seconds: float,
     ) -> None:
-        self._settle = settle
+        self._settle_seconds = settle_seconds
         self._fleet = fleet
         self._routes = routes
-        self._seconds = seconds
-        self._longest = longest
-        self._observer = Observer(fleet, longest)
+        self._idle_seconds = idle_seconds
+        self._phase_timeout_seconds = phase_timeout_seconds
+        self._observer = Observer(fleet, phase_timeout_seconds)
         self._configuration = 0
-        self._reals = 0
+        self._real_proxy_count = 0
 
-    async def start(self, reals: int) -> dict:
-        """Starts everything, until every node knows every target and the configuration."""
+    async def start(self, real_proxy_count: int) -> dict:
+        """Starts all processes; ends when every node knows all targets and the configuration."""
         fleet = self._fleet
-        self._reals = reals
-        began = time.time()
+        self._real_proxy_count = real_proxy_count
+        started_at = time.time()
         await fleet.start_core()
-        acknowledged = await self._put_configuration()
-        for number in range(reals):
-            await fleet.start_real("proxy", number, True)
-        nodes_began = time.time()
-        await fleet.start_hollows(reals)
-        hollow = fleet.layout.nodes - reals
+        acknowledged_seconds = await self.put_configuration()
+        for number in range(real_proxy_count):
+            await fleet.start_real_process("proxy", number, True)
+        nodes_started_at = time.time()
+        await fleet.start_hollow_processes(real_proxy_count)
+        hollow_count = fleet.layout.nodes - real_proxy_count
         # Real proxies have no target here; each hollow node announces one.
-        await self._observer.until(
+        await self._observer.wait_until(
             lambda nodes: (
-                len(nodes) == hollow
+                len(nodes) == hollow_count
                 and all(
-                    node["targets"] >= hollow and node["configuration"] == self._configuration
+                    node["targets"] >= hollow_count and node["configuration"] == self._configuration
                     for node in nodes
                 )
             )
         )
-        known = time.time() - nodes_began
-        await self._observer.until(
+        targets_known_seconds = time.time() - nodes_started_at
+        await self._observer.wait_until(
             lambda nodes: all(node["alive"] >= fleet.layout.nodes - 1 for node in nodes)
         )
         return {
-            "configuration-acknowledged-s": acknowledged,
-            "targets-known-s": known,
-            "members-known-s": time.time() - nodes_began,
-            "whole-s": time.time() - began,
+            "configuration-acknowledged-s": acknowledged_seconds,
+            "targets-known-s": targets_known_seconds,
+            "members-known-s": time.time() - nodes_started_at,
+            "whole-s": time.time() - started_at,
             **describe_usage(fleet.usage(), None, 1.0),
         }
 
-    async def rest(self) -> dict:
-        """No events: the cost of control at rest."""
-        # Updates of the start spread for a while.
-        await asyncio.sleep(self._settle)
-        return await self._observer.measure(asyncio.sleep(self._seconds))
+    async def measure_idle(self) -> dict:
+        """The cost of control without any events."""
+        # The updates that the start caused are still propagating.
+        await asyncio.sleep(self._settle_seconds)
+        return await self._observer.measure(asyncio.sleep(self._idle_seconds))
 
-    async def change(self) -> dict:
-        """One configuration, until it is in force everywhere."""
-        found: dict[str, float] = {}
+    async def change_configuration(self) -> dict:
+        """Puts one configuration; ends when every node applies it."""
+        results: dict[str, float] = {}
 
-        async def act() -> None:
-            began = time.time()
-            found["acknowledged-s"] = await self._put_configuration()
-            await self._observer.until(
+        async def action() -> None:
+            started_at = time.time()
+            results["acknowledged-s"] = await self.put_configuration()
+            await self._observer.wait_until(
                 lambda nodes: all(node["configuration"] == self._configuration for node in nodes)
             )
             seen = [
                 at
-                for answer in await self._fleet.ask_all(do="look")
+                for answer in await self._fleet.send_command_to_all(do="look")
                 for number, at in answer["configuration-seen"].values()
                 if number == self._configuration
             ]
-            found["everywhere-s"] = max(seen) - began
-            found["median-s"] = sorted(seen)[len(seen) // 2] - began
+            results["everywhere-s"] = max(seen) - started_at
+            results["median-s"] = sorted(seen)[len(seen) // 2] - started_at
 
-        return {**await self._observer.measure(act()), **found}
+        return {**await self._observer.measure(action()), **results}
 
     async def churn(self, restarts: int, changes: int) -> dict:
-        """The restarts and changes of a day, one after the other."""
+        """Performs a day's node restarts and configuration changes, one after the other."""
         fleet = self._fleet
-        hollows = [(host, number) for host in fleet.hollows for number in host.numbers]
+        hollow_nodes = [
+            (process, number) for process in fleet.hollow_processes for number in process.numbers
+        ]
 
-        async def act() -> None:
+        async def action() -> None:
             for index in range(restarts):
-                host, number = hollows[index * 37 % len(hollows)]
-                await host.ask(do="restart", node=number, down=0.2)
+                process, number = hollow_nodes[index * 37 % len(hollow_nodes)]
+                await process.send_command(do="restart", node=number, down=0.2)
                 if changes and index % max(1, restarts // changes) == 0:
-                    await self._put_configuration()
-            await self._observer.until(
+                    await self.put_configuration()
+            await self._observer.wait_until(
                 lambda nodes: all(
-                    node["targets"] >= len(hollows) and node["configuration"] == self._configuration
+                    node["targets"] >= len(hollow_nodes)
+                    and node["configuration"] == self._configuration
                     for node in nodes
                 )
             )
 
-        return {"restarts": restarts, "changes": changes, **await self._observer.measure(act())}
+        return {"restarts": restarts, "changes": changes, **await self._observer.measure(action())}
 
     async def lose_registry(self) -> dict:
-        """A registry is killed and started again with empty memory."""
+        """Kills a registry and starts it again, with its state in memory lost."""
         fleet = self._fleet
         number = fleet.layout.core - 1
-        process = fleet.reals[f"registry-{number}"].process
-        found: dict[str, float] = {}
+        process = fleet.real_processes[f"registry-{number}"].process
+        results: dict[str, float] = {}
 
-        async def act() -> None:
+        async def action() -> None:
             process.kill()
             await process.wait()
             await asyncio.sleep(3.0)
-            nodes = [node for answer in await fleet.ask_all(do="look") for node in answer["nodes"]]
-            found["in-touch-without"] = sum(1 for node in nodes if node["in-touch"])
-            found["nodes"] = len(nodes)
-            began = time.time()
-            await fleet.start_real("registry", number, False)
-            await self._observer.until_state(
+            nodes = [
+                node
+                for answer in await fleet.send_command_to_all(do="look")
+                for node in answer["nodes"]
+            ]
+            results["in-touch-without"] = sum(1 for node in nodes if node["in-touch"])
+            results["nodes"] = len(nodes)
+            started_at = time.time()
+            await fleet.start_real_process("registry", number, False)
+            await self._observer.wait_until_state(
                 number, lambda state: len(state["targets"]) >= len(nodes)
             )
-            found["knows-all-again-s"] = time.time() - began
+            results["knows-all-again-s"] = time.time() - started_at
 
-        return {**await self._observer.measure(act()), **found}
+        return {**await self._observer.measure(action()), **results}
 
-    async def cut(self) -> dict:
-        """A partition into two halves, then its end."""
+    async def partition(self) -> dict:
+        """Partitions the network into two halves, then heals it."""
         fleet, layout = self._fleet, self._fleet.layout
-        half = len(fleet.hollows) // 2
-        sides = fleet.hollows[:half], fleet.hollows[half:]
+        half = len(fleet.hollow_processes) // 2
+        sides = fleet.hollow_processes[:half], fleet.hollow_processes[half:]
         core = [layout.core_host(number) for number in range(layout.core)]
         hosts = [
-            [layout.node_host(number) for hollows in side for number in hollows.numbers]
+            [layout.node_host(number) for process in side for number in process.numbers]
             for side in sides
         ]
-        # The larger part of the core stays with the first half.
-        keep = layout.core // 2 + 1
-        hosts[0] += core[:keep]
-        hosts[1] += core[keep:]
-        # The real proxies are on the second side: they must not relay between both.
-        hosts[1] += [layout.node_host(number) for number in range(self._reals)]
-        found: dict[str, float] = {}
-
-        async def act() -> None:
-            began = time.time()
-            await self._set_cut(sides, hosts, True)
-            lost = min(len(hosts[0]), len(hosts[1])) // 2
-            await self._observer.until(
-                lambda nodes: all(node["suspected"] >= lost for node in nodes)
+        # The majority of the core machines stays with the first half.
+        majority = layout.core // 2 + 1
+        hosts[0] += core[:majority]
+        hosts[1] += core[majority:]
+        # The real proxies belong to the second half: they must not relay between the two.
+        hosts[1] += [layout.node_host(number) for number in range(self._real_proxy_count)]
+        results: dict[str, float] = {}
+
+        async def action() -> None:
+            started_at = time.time()
+            await self._set_partition(sides, hosts, True)
+            half_of_other_side = min(len(hosts[0]), len(hosts[1])) // 2
+            await self._observer.wait_until(
+                lambda nodes: all(node["suspected"] >= half_of_other_side for node in nodes)
             )
-            found["half-suspected-s"] = time.time() - began
-            began = time.time()
-            await self._set_cut(sides, hosts, False)
-            await self._observer.until(
+            results["half-suspected-s"] = time.time() - started_at
+            started_at = time.time()
+            await self._set_partition(sides, hosts, False)
+            await self._observer.wait_until(
                 lambda nodes: all(node["suspected"] == 0 and node["in-touch"] for node in nodes)
             )
-            found["healed-s"] = time.time() - began
+            results["healed-s"] = time.time() - started_at
 
-        return {**await self._observer.measure(act()), **found}
+        return {**await self._observer.measure(action()), **results}
 
-    async def _set_cut(self, sides, hosts, is_on: bool) -> None:
+    async def _set_partition(self, sides, hosts, is_on: bool) -> None:
         await asyncio.gather(
             *(
-                hollows.ask(do="cut", hosts=hosts[1 - index], on=is_on)
+                process.send_command(do="cut", hosts=hosts[1 - index], on=is_on)
                 for index, side in enumerate(sides)
-                for hollows in side
+                for process in side
             )
         )
 
-    async def _put_configuration(self) -> float:
-        """Seconds until the next configuration was acknowledged."""
+    async def put_configuration(self) -> float:
+        """Puts the next configuration, retrying; returns the seconds until it was acknowledged.
+
+        Raises TimeoutError after the time limit of a phase.
+        """
         self._configuration += 1
         layout = self._fleet.layout
         body = json.dumps(make_configuration(layout, self._configuration, self._routes)).encode()
-        began = time.time()
-        async with asyncio.timeout(self._longest), aiohttp.ClientSession() as session:
+        started_at = time.time()
+        async with asyncio.timeout(self._phase_timeout_seconds), aiohttp.ClientSession() as session:
             while True:
                 try:
                     url = f"http://{layout.core_host(0)}:{layout.first_port}/mesh/configuration"
                     async with session.put(url, data=body) as answer:
                         if answer.status == 200:
-                            return time.time() - began
+                            return time.time() - started_at
                 except aiohttp.ClientError:
                     pass
-                await asyncio.sleep(LOOK_EVERY)
+                await asyncio.sleep(POLL_INTERVAL_SECONDS)
--- a/tools/scale/settings.py
+++ b/tools/scale/settings.py
@@ -1,11 +1,11 @@
-"""Config files and the configuration of a scale run."""
+"""Node config files and the mesh configuration of a scale run."""
 
 from typing import NamedTuple
 
 __all__ = ["Layout", "make_config", "make_configuration"]
 
 ZONES = ("r1-a", "r1-b", "r1-c", "r2-a", "r2-b")
-_BOUNDS = """
+_CONFIG_LIMITS = """
 bounds.contact-window-ms=4000
 bounds.ack-timeout-ms=4000
 bounds.catch-up-s=6
@@ -27,7 +27,7 @@
 
 
 class Layout(NamedTuple):
-    """The loopback addresses and services of one run."""
+    """The number of nodes and services of one run, and its loopback addresses."""
 
     nodes: int
     core: int
@@ -35,7 +35,7 @@
     first_port: int
 
     def core_host(self, number: int) -> str:
-        """The address of a core machine."""
+        """The address of a core machine, which runs a store and a registry."""
         return f"127.2.0.{number + 1}"
 
     def node_host(self, number: int) -> str:
@@ -43,7 +43,7 @@
         return f"127.3.{number // 250}.{number % 250 + 1}"
 
     def service(self, number: int) -> str:
-        """The service of a node's target."""
+        """The service that a node's target belongs to."""
         return f"service-{number % self.services}"
 
 
@@ -55,7 +55,10 @@
     folder: str = "",
     is_first: bool = True,
 ) -> str:
-    """The config file of one process."""
+    """The text of the config file of one process.
+
+    A process with a data `folder` is a store or registry, one without is a proxy.
+    """
     seeds = ",".join(
         f"{layout.core_host(core)}:{layout.first_port}" for core in range(min(3, layout.core))
     )
@@ -77,12 +80,12 @@
     else:
         lines.append(f"upstream={layout.service(number)}")
         lines.append(f"app-address={host}:{layout.first_port + 12}")
-    losses = max(1, (layout.core - 1) // 2)
-    return "\n".join(lines) + _BOUNDS.format(losses=losses)
+    machine_losses = max(1, (layout.core - 1) // 2)
+    return "\n".join(lines) + _CONFIG_LIMITS.format(losses=machine_losses)
 
 
 def make_configuration(layout: Layout, number: int, routes: int) -> dict:
-    """A configuration with so many routes, divided evenly over the services."""
+    """A configuration with `routes` routes, spread evenly over the services."""
     return {
         "config-version": number,
         "route-list": [
