--- a/tests/mesh_on_loopback.py
+++ b/tests/mesh_on_loopback.py
@@ -1,4 +1,4 @@
-"""Three programs on loopback and stand-in targets, for tests of the whole."""
+"""Store, registry and proxies on loopback with stub targets, for end-to-end tests."""
 
 import asyncio
 import itertools
@@ -11,14 +11,14 @@
 from marblefold.register_store.program import StoreProgram
 from marblefold.registry.program import RegistryProgram
 
-# Loopback addresses of this test process alone, so that several can run at once.
+# Loopback addresses that only this test process uses, so that several can run at once.
 NETWORK = f"127.{64 + os.getpid() // 250 % 128}.{1 + os.getpid() % 250}"
 CORE = f"{NETWORK}.11"
 SIDECAR_HOSTS = (f"{NETWORK}.21", f"{NETWORK}.22")
-# Each mesh has ports of its own: the programs end with their process, so their
-# sockets stay while the tests run.
+# Each mesh has its own ports: a program keeps its sockets open until the test
+# process ends.
 FIRST_PORTS = itertools.count(27300, 20)
-BOUNDS = """
+CONFIG_LIMITS = """
 bounds.contact-window-ms=3000
 bounds.ack-timeout-ms=4000
 bounds.drain-timeout-ms=2000
@@ -66,12 +66,12 @@
 
 
 class StubTarget:
-    """A target that keeps to the published protocol."""
+    """A target that implements the documented protocol."""
 
     def __init__(self, host, port):
         self.host, self.port, self.instance, self.executions = host, port, f"i-{host}", []
         self.response_fault = None
-        # Awaited in the midst of each run.
+        # Awaited during each execution.
         self.during_execution = None
 
     async def start(self):
@@ -87,11 +87,11 @@
                 body = await reader.readexactly(int(headers.get("Content-Length", 0)))
                 if self.during_execution is not None and path != "/health":
                     await self.during_execution(headers)
-                writer.write(self.answer(method, path, headers, body))
+                writer.write(self.make_response(method, path, headers, body))
         except (asyncio.IncompleteReadError, ConnectionError):
             writer.close()
 
-    def answer(self, method, path, headers, body):
+    def make_response(self, method, path, headers, body):
         if path == "/health":
             return (
                 f"HTTP/1.1 200 OK\r\nInstance-Id: {self.instance}\r\nServer-Load: 0,0,4\r\n"
@@ -105,18 +105,18 @@
         self.executions.append((attempt, method, path, headers.get("Caller-Service"), body))
         if self.response_fault == "garble":
             return b"this is no answer\r\n\r\n"
-        seal = b"" if self.response_fault == "no seal" else b"Server-Seal: s\r\n"
+        seal_header = b"" if self.response_fault == "no seal" else b"Server-Seal: s\r\n"
         return (
             f"HTTP/1.1 200 OK\r\nAttempt-Id: {attempt}\r\nContent-Length: 4\r\n".encode()
-            + seal
+            + seal_header
             + b"\r\ndone"
         )
 
 
 class StubPartnerGateway(StubTarget):
-    """A partner's door: it seals nothing and expects no instance."""
+    """The gateway of a partner: it sends no seal and expects no instance."""
 
-    def answer(self, method, path, headers, body):
+    def make_response(self, method, path, headers, body):
         assert "Expected-Instance" not in headers
         self.executions.append((headers["Attempt-Id"], method, path, body))
         return (
@@ -134,13 +134,14 @@
     return types.SimpleNamespace(config=config, add_listener=lambda _l: None, reload=None, run=run)
 
 
-def make_config(host, first, extra, place=("hall", "here")):
-    zone, region = place
+def make_config(host, first_port, extra, zone_and_region=("hall", "here")):
+    zone, region = zone_and_region
     return (
         f"node-name=n-{host}\nzone={zone}\nregion={region}\nzones.hall=here\n"
         f"zones.{zone}={region}\nip-address={host}\n"
-        f"internal-port-range={first + 5},{first + 12}\nseed-nodes={CORE}:{first + 1}\n"
-        f"listen-addresses.control-plane={host}:{first + 1}\n{BOUNDS}{extra}"
+        f"internal-port-range={first_port + 5},{first_port + 12}\n"
+        f"seed-nodes={CORE}:{first_port + 1}\n"
+        f"listen-addresses.control-plane={host}:{first_port + 1}\n{CONFIG_LIMITS}{extra}"
     )
 
 
@@ -156,62 +157,64 @@
     writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
     data = await reader.read()
     writer.close()
-    head, _sign, rest = data.partition(b"\r\n\r\n")
-    return int(head.split(b" ")[1]), head, rest
+    head, _separator, response_body = data.partition(b"\r\n\r\n")
+    return int(head.split(b" ")[1]), head, response_body
 
 
 class Mesh:
-    """One core machine and two sidecars with their targets."""
+    """One core machine and two sidecar proxies with their targets."""
 
     def __init__(self, folder, sites=("", ""), places=(("hall", "here"), ("hall", "here"))):
         self.view_updated = asyncio.Event()
-        first = next(FIRST_PORTS)
-        self.control, self.outbound, self.ready = first + 1, first + 2, first + 3
-        self.targets = [StubTarget(host, first + 4) for host in SIDECAR_HOSTS]
-        core = make_config(CORE, first, f"data-directory={folder}/store\n")
+        first_port = next(FIRST_PORTS)
+        self.control, self.outbound, self.ready = first_port + 1, first_port + 2, first_port + 3
+        self.targets = [StubTarget(host, first_port + 4) for host in SIDECAR_HOSTS]
+        core = make_config(CORE, first_port, f"data-directory={folder}/store\n")
         self.store = StoreProgram(make_watch(core))
-        # The registry is the agent of the first machine's site, if there is one.
+        # The registry is the agent of the first sidecar's site, if sites are set.
         site = f"site-name={sites[0]}\n" if sites[0] else ""
-        self.partner_gateway = StubPartnerGateway(f"{NETWORK}.51", first + 4)
+        self.partner_gateway = StubPartnerGateway(f"{NETWORK}.51", first_port + 4)
         self.registry = RegistryProgram(
             make_watch(
                 make_config(
                     CORE,
-                    first,
+                    first_port,
                     f"data-directory={folder}/registry\n{site}"
                     + "".join(f"zones.{zone}={region}\n" for zone, region in places),
                 )
             )
         )
-        agents = (f"{CORE}:{first + 6}", f"{NETWORK}.99:{first + 6}")
+        agents = (f"{CORE}:{first_port + 6}", f"{NETWORK}.99:{first_port + 6}")
         self.configs = [
             make_config(
                 host,
-                first,
+                first_port,
                 (
-                    f"listen-addresses.outbound={host}:{first + 2}\n"
-                    f"listen-addresses.readiness={host}:{first + 3}\n"
-                    f"app-address={host}:{first + 4}\nupstream=quotes\n"
+                    f"listen-addresses.outbound={host}:{first_port + 2}\n"
+                    f"listen-addresses.readiness={host}:{first_port + 3}\n"
+                    f"app-address={host}:{first_port + 4}\nupstream=quotes\n"
                     + (f"site-name={site}\nsite-agent={agent}\n" if site else "")
                 ),
-                place,
+                zone_and_region,
+            )
+            for host, site, agent, zone_and_region in zip(
+                SIDECAR_HOSTS, sites, agents, places, strict=True
             )
-            for host, site, agent, place in zip(SIDECAR_HOSTS, sites, agents, places, strict=True)
         ]
         self.proxies = [ProxyProgram(make_watch(config)) for config in self.configs]
         for proxy in self.proxies:
-            self.watch(proxy.view)
+            self.signal_updates(proxy.view)
 
-    def watch(self, view):
+    def signal_updates(self, view):
         apply_entry = view.apply
 
-        def note(entry):
+        def apply_and_signal(entry):
             try:
                 return apply_entry(entry)
             finally:
                 self.view_updated.set()
 
-        view.apply = note
+        view.apply = apply_and_signal
 
     async def until(self, condition):
         async with asyncio.timeout(20):
@@ -227,7 +230,7 @@
             loop.create_task(program.run())
             for program in (self.store, self.registry, *self.proxies)
         ]
-        # A program that listens shows it by taking a connection.
+        # Retries until the control API accepts connections.
         status, _head, _body = await self.put_configuration(CONFIGURATION)
         assert status == 200
         await self.until(
@@ -236,7 +239,7 @@
                 for proxy in self.proxies
             )
         )
-        # As after some seconds, which no test waits for.
+        # Proxies learn their number some seconds later; the tests do not wait for that.
         for proxy in self.proxies:
             proxy.view.proxies = len(self.proxies)
 
--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -1,4 +1,4 @@
-"""A region rehearsed and then really lost: the real programs, one of them killed."""
+"""The loss of a region matches its rehearsal: real programs, one of which is killed."""
 
 import asyncio
 import json
@@ -7,7 +7,7 @@
 
 from tests.mesh_on_loopback import CORE, SIDECAR_HOSTS, Mesh, send_request
 
-PLACES = (("hall", "here"), ("yard", "there"))
+ZONES_AND_REGIONS = (("hall", "here"), ("yard", "there"))
 
 
 def request(mesh, path, attempt, method="GET"):
@@ -20,14 +20,14 @@
     )
 
 
-async def rehearse(mesh, *words):
+async def rehearse(mesh, *arguments):
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "marblefold",
         "rehearse",
         f"--registry={CORE}:{mesh.control}",
-        *words,
+        *arguments,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
@@ -35,13 +35,13 @@
     return process.returncode, output.decode(), errors.decode()
 
 
-def test_a_region_is_lost_as_it_was_rehearsed(tmp_path):
+def test_the_loss_of_a_region_matches_its_rehearsal(tmp_path):
     async def test():
-        mesh = Mesh(tmp_path, places=PLACES)
-        # The proxy of the other region is a process of its own, to be killed.
+        mesh = Mesh(tmp_path, places=ZONES_AND_REGIONS)
+        # The proxy of the other region runs as a separate process that the test kills.
         mesh.proxies.pop()
         (tmp_path / "boot.conf").write_text(mesh.configs[1])
-        far = await asyncio.create_subprocess_exec(
+        remote_process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             "marblefold",
@@ -50,75 +50,80 @@
             env={**os.environ, "MARBLEFOLD_NODE_FILE": str(tmp_path / "boot.conf")},
         )
         await mesh.start()
-        near = mesh.proxies[0]
+        local_proxy = mesh.proxies[0]
         try:
-            # Counts are told twice, with requests between: a rate is known.
+            # A rate needs two reports of the counts, with requests in between.
             assert (await request(mesh, "/read/x", "first"))[0] == 200
-            near._traffic.send_report()
+            local_proxy._traffic.send_report()
             for number in range(12):
-                kind = ("/read/x", "GET") if number % 2 else ("/book/x", "POST")
-                assert (await request(mesh, kind[0], f"w{number}", kind[1]))[0] == 200
-            near._traffic.send_report()
+                path_and_method = ("/read/x", "GET") if number % 2 else ("/book/x", "POST")
+                assert (await request(mesh, path_and_method[0], f"w{number}", path_and_method[1]))[
+                    0
+                ] == 200
+            local_proxy._traffic.send_report()
             registry = mesh.registry
-            # All of them: a count told of itself in between would be taken for the last,
-            # and the one after it for a rate over no time at all.
+            # Waits for all 13 requests: an automatic report in between would become the last
+            # one, and the report after it would give a rate over almost no time.
             async with asyncio.timeout(10):
-                while count_told(registry) < 13:
+                while count_reported_requests(registry) < 13:
                     await asyncio.sleep(0)
-            # As if ten seconds lay between the counts, which no test waits for.
-            for node, heard in registry._traffic_rates._previous.items():
-                registry._traffic_rates._previous[node] = heard._replace(
-                    received_at=heard.received_at - 10.0
+            # Shifts the earlier report back by 10 seconds instead of waiting for them.
+            for node, report in registry._traffic_rates._previous.items():
+                registry._traffic_rates._previous[node] = report._replace(
+                    received_at=report.received_at - 10.0
                 )
-            before = state_of(mesh)
+            before = capture_state(mesh)
             status, shown, errors = await rehearse(
                 mesh, "--lose_region=there", "--as_json", f"--save={tmp_path}/kept.json"
             )
             assert status in (0, 1), errors
             forecast = json.loads(shown)
-            # Nothing was touched: no run, no configuration, no entry changed by it.
-            assert state_of(mesh) == before
-            kinds = {row["route"]: row for row in forecast["services"]}
-            assert set(kinds) == {"read", "book"}
-            for row in kinds.values():
+            # The rehearsal changed nothing: no execution, configuration or entry.
+            assert capture_state(mesh) == before
+            rows_by_route = {row["route"]: row for row in forecast["services"]}
+            assert set(rows_by_route) == {"read", "book"}
+            for row in rows_by_route.values():
                 assert set(row["zones-after"]) == {"hall"} and row["stalls-after"] == 0
             assert [row for row in forecast["capacity"] if row["upstream"] == "quotes"][0][
                 "slots-after"
             ] == 4 and forecast["control"]["has-majority"]
             status, again, _errors = await rehearse(mesh, "--lose_region=nowhere")
             assert status == 2 and "nowhere" in _errors
-            # An order and a lookup are held at the far target when it goes dark.
-            held = await hold_at_far(mesh)
-            far.kill()
-            await far.wait()
-            ends = await asyncio.gather(*held)
-            outcomes = sorted(status for status, _head, _body in ends)
-            # As forecast: the order may go through twice, the lookup is carried.
+            # An order and a lookup are executing at the remote target when its proxy is killed.
+            pending = await start_pending_requests(mesh)
+            remote_process.kill()
+            await remote_process.wait()
+            responses = await asyncio.gather(*pending)
+            outcomes = sorted(status for status, _head, _body in responses)
+            # As forecast: the lookup is retried; the order fails, since a retry might execute it
+            # twice.
             assert outcomes == [200, 502]
             for number in range(12):
-                kind = ("/read/x", "GET") if number % 2 else ("/book/x", "POST")
-                assert (await request(mesh, kind[0], f"a{number}", kind[1]))[0] == 200
-            ran = [attempt for attempt, *_rest in mesh.targets[0].executions]
-            assert {f"a{number}" for number in range(12)} <= set(ran)
-            assert len([attempt for attempt in ran if attempt.startswith("order")]) == 0
+                path_and_method = ("/read/x", "GET") if number % 2 else ("/book/x", "POST")
+                assert (await request(mesh, path_and_method[0], f"a{number}", path_and_method[1]))[
+                    0
+                ] == 200
+            executed = [attempt for attempt, *_rest in mesh.targets[0].executions]
+            assert {f"a{number}" for number in range(12)} <= set(executed)
+            assert len([attempt for attempt in executed if attempt.startswith("order")]) == 0
         finally:
-            if far.returncode is None:
-                far.kill()
+            if remote_process.returncode is None:
+                remote_process.kill()
             await mesh.stop()
 
     asyncio.run(test())
 
 
-def count_told(registry):
+def count_reported_requests(registry):
     return sum(
         row.requests
-        for node, heard in registry._traffic_rates._last.items()
+        for node, report in registry._traffic_rates._last.items()
         if node in registry._traffic_rates._previous
-        for row in heard.notice.routes
+        for row in report.notice.routes
     )
 
 
-def state_of(mesh):
+def capture_state(mesh):
     view = mesh.proxies[0].view
     return (
         view.table.number,
@@ -129,21 +134,21 @@
     )
 
 
-async def hold_at_far(mesh):
-    """An order and a lookup under way at the far target; the tasks that wait for them."""
-    near_target, far_target = mesh.targets
+async def start_pending_requests(mesh):
+    """Starts an order and a lookup that block at the remote target; returns their tasks."""
+    local_target, remote_target = mesh.targets
     reached = []
 
-    async def stay(headers):
+    async def block(headers):
         reached.append(headers["Attempt-Id"])
         await asyncio.Event().wait()
 
-    far_target.during_execution = stay
-    # Only the far one is selected while the near one says that it is draining.
+    remote_target.during_execution = block
+    # Only the remote target is selected while the local one is marked as draining.
     view = mesh.proxies[0].view
     node = f"n-{SIDECAR_HOSTS[0]}"
-    kept = view._targets["quotes"][node]
-    view._targets["quotes"][node] = kept._replace(is_draining=True)
+    original = view._targets["quotes"][node]
+    view._targets["quotes"][node] = original._replace(is_draining=True)
     tasks = [
         asyncio.create_task(request(mesh, "/book/x", "order", "POST")),
         asyncio.create_task(request(mesh, "/read/x", "lookup")),
@@ -151,5 +156,5 @@
     async with asyncio.timeout(10):
         while len(reached) < 2:
             await asyncio.sleep(0)
-    view._targets["quotes"][node] = kept
+    view._targets["quotes"][node] = original
     return tasks
--- a/tests/test_whole_mesh.py
+++ b/tests/test_whole_mesh.py
@@ -1,4 +1,4 @@
-"""The three programs together on loopback, against stand-in targets."""
+"""Store, registry and proxies together on loopback, against stub targets."""
 
 import asyncio
 import json
@@ -10,8 +10,8 @@
 from tests.mesh_on_loopback import CONFIGURATION, CORE, SIDECAR_HOSTS, Mesh, send_request
 
 
-def run(test, folder, sites=("", "")):
-    async def whole():
+def run_with_mesh(test, folder, sites=("", "")):
+    async def start_and_test():
         mesh = Mesh(folder, sites)
         await mesh.start()
         try:
@@ -19,7 +19,7 @@
         finally:
             await mesh.stop()
 
-    asyncio.run(whole())
+    asyncio.run(start_and_test())
 
 
 def request(mesh, path, attempt, method="GET", headers=(), body=b"", side=0):
@@ -33,14 +33,14 @@
     )
 
 
-def test_a_request_runs_once_unchanged_and_comes_back_whole(tmp_path):
+def test_a_request_is_executed_once_unchanged_and_the_response_is_complete(tmp_path):
     async def test(mesh):
         status, head, body = await request(
             mesh, "/book/a%20b?x=1&x=2", "id1", "POST", ("Caller-Service: liar",), b"payload"
         )
         assert (status, body) == (200, b"done") and b"Server-Seal: s" in head
-        ran = mesh.targets[0].executions + mesh.targets[1].executions
-        assert ran == [("id1", "POST", "/book/a%20b?x=1&x=2", "quotes", b"payload")]
+        executions = mesh.targets[0].executions + mesh.targets[1].executions
+        assert executions == [("id1", "POST", "/book/a%20b?x=1&x=2", "quotes", b"payload")]
         assert (await request(mesh, "/nowhere/", "id2"))[0] == 404
         assert (await send_request(SIDECAR_HOSTS[0], mesh.ready, "GET", "/-/readiness"))[0] == 200
         assert (await send_request(CORE, mesh.control, "GET", "/mesh/configuration"))[
@@ -49,25 +49,25 @@
         assert (await send_request(CORE, mesh.control, "POST", "/mesh/configuration"))[0] == 405
         assert (await send_request(CORE, mesh.control, "GET", "/else"))[0] == 404
 
-    run(test, tmp_path)
+    run_with_mesh(test, tmp_path)
 
 
-def test_a_spoilt_answer_is_repeated_for_reads_only(tmp_path):
+def test_an_invalid_response_is_retried_for_reads_only(tmp_path):
     async def test(mesh):
-        for number, spoil in enumerate(("garble", "no seal")):
+        for number, response_fault in enumerate(("garble", "no seal")):
             for target in mesh.targets:
                 target.executions.clear()
-                target.response_fault = spoil
+                target.response_fault = response_fault
             status, head, _body = await request(mesh, "/book/x", f"b{number}", "POST")
             assert status == 502 and b"Retry-After" not in head
             assert len(mesh.targets[0].executions + mesh.targets[1].executions) == 1
             await request(mesh, "/read/x", f"r{number}")
             assert len(mesh.targets[0].executions + mesh.targets[1].executions) == 3
 
-    run(test, tmp_path)
+    run_with_mesh(test, tmp_path)
 
 
-def test_what_no_target_ran_is_promised_with_a_time_to_come_back(tmp_path):
+def test_a_request_that_no_target_executed_gets_503_with_retry_after(tmp_path):
     async def test(mesh):
         for target in mesh.targets:
             target.response_fault = "refuse"
@@ -75,12 +75,12 @@
         assert status == 503 and b"Retry-After" in head
         assert mesh.targets[0].executions + mesh.targets[1].executions == []
 
-    run(test, tmp_path)
+    run_with_mesh(test, tmp_path)
 
 
-def test_a_drain_is_obeyed_before_it_is_acknowledged_and_evacuations_reach_all(tmp_path):
+def test_a_drain_takes_effect_before_its_acknowledgement_and_evacuations_reach_all(tmp_path):
     async def test(mesh):
-        beat = {
+        heartbeat = {
             "upstream": "quotes",
             "address": f"{SIDECAR_HOSTS[0]}:1",
             "zone": "hall",
@@ -91,7 +91,7 @@
         }
         path = f"/mesh/targets/{mesh.targets[0].instance}"
         status, _head, _body = await send_request(
-            SIDECAR_HOSTS[0], mesh.control, "PUT", path, body=json.dumps(beat).encode()
+            SIDECAR_HOSTS[0], mesh.control, "PUT", path, body=json.dumps(heartbeat).encode()
         )
         assert status == 200
         for number in range(6):
@@ -109,7 +109,7 @@
         await mesh.until(lambda: not any(proxy.view.evacuated for proxy in mesh.proxies))
         assert (await request(mesh, "/read/x", "f"))[0] == 200
 
-    run(test, tmp_path)
+    run_with_mesh(test, tmp_path)
 
 
 def test_the_planner_reads_a_running_system(tmp_path):
@@ -130,17 +130,17 @@
             {"upstream": "quotes", "before": 8, "after": 4, "floor": 0}
         ]
 
-    run(test, tmp_path)
+    run_with_mesh(test, tmp_path)
 
 
-async def windows(mesh, *words):
+async def run_windows_command(mesh, *arguments):
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "marblefold",
         "windows",
         f"--system={CORE}:{mesh.control}",
-        *words,
+        *arguments,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
@@ -148,45 +148,47 @@
     return process.returncode, output.decode(), errors.decode()
 
 
-def test_a_window_set_on_the_command_line_empties_its_zone_and_gives_it_back(tmp_path):
+def test_a_window_set_on_the_command_line_evacuates_its_zone_and_restores_it(tmp_path):
     async def test(mesh):
         start = datetime.now(UTC)
-        wish = [
+        window_arguments = [
             "--zone=hall",
             f"--start={start.isoformat()}",
             "--length_s=3600",
             f"--latest_end={(start + timedelta(hours=2)).isoformat()}",
         ]
-        assert (await windows(mesh, "set", "w", *wish))[0] == 0
-        # The duty settles after a start; here its round is made at once.
-        duty = mesh.registry.maintenance
-        duty._mesh_state.is_maintenance_leader = lambda: False
-        await mesh.until(lambda: duty.document.windows)
-        duty._mesh_state.live_slots = lambda: LiveSlots({})
-        await duty.step()
+        assert (await run_windows_command(mesh, "set", "w", *window_arguments))[0] == 0
+        # The leader waits for a settling time after a start; the test runs its step at once.
+        maintenance = mesh.registry.maintenance
+        maintenance._mesh_state.is_maintenance_leader = lambda: False
+        await mesh.until(lambda: maintenance.document.windows)
+        maintenance._mesh_state.live_slots = lambda: LiveSlots({})
+        await maintenance.step()
         await mesh.until(lambda: all("hall" in proxy.view.evacuated for proxy in mesh.proxies))
-        status, shown, _errors = await windows(mesh, "list")
+        status, shown, _errors = await run_windows_command(mesh, "list")
         assert status == 0 and "window w: running in hall" in shown
-        assert (await windows(mesh, "set", "w", *wish))[0] == 1
-        assert (await windows(mesh, "floors", "--floor=quotes=9"))[0] == 1
-        assert (await windows(mesh, "floors", "--floor=quotes=8"))[0] == 0
-        assert (await windows(mesh, "withdraw", "w"))[0] == 0
-        await duty.step()
+        assert (await run_windows_command(mesh, "set", "w", *window_arguments))[0] == 1
+        assert (await run_windows_command(mesh, "floors", "--floor=quotes=9"))[0] == 1
+        assert (await run_windows_command(mesh, "floors", "--floor=quotes=8"))[0] == 0
+        assert (await run_windows_command(mesh, "withdraw", "w"))[0] == 0
+        await maintenance.step()
         await mesh.until(lambda: not any(proxy.view.evacuated for proxy in mesh.proxies))
-        assert (await windows(mesh, "withdraw", "none"))[0] == 1
-        assert (await windows(mesh, "dance"))[0] == 2
-        status, _shown, errors = await windows(mesh, "set", "x", "--zone=nowhere", *wish[1:])
+        assert (await run_windows_command(mesh, "withdraw", "none"))[0] == 1
+        assert (await run_windows_command(mesh, "unknown"))[0] == 2
+        status, _shown, errors = await run_windows_command(
+            mesh, "set", "x", "--zone=nowhere", *window_arguments[1:]
+        )
         assert status == 1 and "zone" in errors
 
-    run(test, tmp_path)
+    run_with_mesh(test, tmp_path)
 
 
-def test_a_stray_site_is_refused_as_owner_and_each_order_is_placed_once(tmp_path):
+def test_a_site_that_is_not_the_owner_is_refused_and_each_order_is_executed_once(tmp_path):
     async def test(mesh):
-        word = {"number": 1, "services": {"quotes": ["north"]}}
-        body = json.dumps(word).encode()
+        owners = {"number": 1, "services": {"quotes": ["north"]}}
+        body = json.dumps(owners).encode()
         assert (await send_request(CORE, mesh.control, "PUT", "/mesh/owners", body=body))[0] == 200
-        real, stray = mesh.proxies
+        owner_proxy, other_proxy = mesh.proxies
         clock = asyncio.get_running_loop().time
         await mesh.until(
             lambda: all(
@@ -194,23 +196,25 @@
             )
         )
         async with asyncio.timeout(20):
-            while not real.view.leases.epoch("quotes", clock()):
+            while not owner_proxy.view.leases.epoch("quotes", clock()):
                 await asyncio.sleep(0)
         for number in range(6):
             status, _head, _body = await request(
                 mesh, "/book/x", f"o{number}", "POST", body=b"order", side=number % 2
             )
             assert status == 200
-        # Also those that came in beside the stray went to the owner, once each.
-        assert sorted(ran[0] for ran in mesh.targets[0].executions) == [f"o{n}" for n in range(6)]
+        # Requests that arrive at the site that is not the owner also reach the owner, once each.
+        assert sorted(execution[0] for execution in mesh.targets[0].executions) == [
+            f"o{n}" for n in range(6)
+        ]
         assert mesh.targets[1].executions == []
-        # A node whose view is wrong sends one to the stray: its guard refuses.
-        stray.view.owners["quotes"] = KnownOwner("stray", "127.0.0.99:1", 1)
-        for target in list(stray.view._targets["quotes"].values()):
-            stray.view._targets["quotes"][target.node] = target._replace(
+        # A node with a wrong view sends a request to the other site, whose owner check refuses it.
+        other_proxy.view.owners["quotes"] = KnownOwner("stray", "127.0.0.99:1", 1)
+        for target in list(other_proxy.view._targets["quotes"].values()):
+            other_proxy.view._targets["quotes"][target.node] = target._replace(
                 site="stray", site_agent="127.0.0.99:1"
             )
-        del stray.view._targets["quotes"][f"n-{SIDECAR_HOSTS[0]}"]
+        del other_proxy.view._targets["quotes"][f"n-{SIDECAR_HOSTS[0]}"]
         status, head, _body = await request(mesh, "/book/x", "late", "POST", side=1)
         assert status == 503 and b"Retry-After" in head and mesh.targets[1].executions == []
         shown = json.loads((await send_request(CORE, mesh.control, "GET", "/mesh/owners"))[2])
@@ -229,10 +233,10 @@
             await send_request(CORE, mesh.control, "PUT", "/mesh/owners", body=b'{"number": 2}')
         )[0] == 400
 
-    run(test, tmp_path, ("north", "stray"))
+    run_with_mesh(test, tmp_path, ("north", "stray"))
 
 
-def test_a_proxy_carries_what_a_partner_exports_and_nothing_private(tmp_path):
+def test_a_proxy_forwards_exported_paths_of_a_partner_and_no_private_ones(tmp_path):
     async def test(mesh):
         async def put(path, document, *headers):
             return await send_request(
@@ -278,4 +282,4 @@
             (f"y{side}", "POST", "/open/batch", photos) for side in (0, 1)
         ]
 
-    run(test, tmp_path)
+    run_with_mesh(test, tmp_path)
--- a/tools/scale/phases.py
+++ b/tools/scale/phases.py
@@ -89,8 +89,8 @@
             )
             seen = [
                 at
-                for answer in await self._fleet.send_command_to_all(do="look")
-                for number, at in answer["configuration-seen"].values()
+                for response in await self._fleet.send_command_to_all(do="look")
+                for number, at in response["configuration-seen"].values()
                 if number == self._configuration
             ]
             results["everywhere-s"] = max(seen) - started_at
@@ -134,8 +134,8 @@
             await asyncio.sleep(3.0)
             nodes = [
                 node
-                for answer in await fleet.send_command_to_all(do="look")
-                for node in answer["nodes"]
+                for response in await fleet.send_command_to_all(do="look")
+                for node in response["nodes"]
             ]
             results["in-touch-without"] = sum(1 for node in nodes if node["in-touch"])
             results["nodes"] = len(nodes)
@@ -205,8 +205,8 @@
             while True:
                 try:
                     url = f"http://{layout.core_host(0)}:{layout.first_port}/mesh/configuration"
-                    async with session.put(url, data=body) as answer:
-                        if answer.status == 200:
+                    async with session.put(url, data=body) as response:
+                        if response.status == 200:
                             return time.time() - started_at
                 except aiohttp.ClientError:
                     pass
