--- a/tests/mesh_on_loopback.py
+++ b/tests/mesh_on_loopback.py
@@ -164,10 +164,16 @@
 class Mesh:
     """One core machine and two sidecar proxies with their targets."""
 
-    def __init__(self, folder, sites=("", ""), places=(("hall", "here"), ("hall", "here"))):
+    def __init__(
+        self, folder, sites=("", ""), zones_and_regions=(("hall", "here"), ("hall", "here"))
+    ):
         self.view_updated = asyncio.Event()
         first_port = next(FIRST_PORTS)
-        self.control, self.outbound, self.ready = first_port + 1, first_port + 2, first_port + 3
+        self.control_port, self.outbound_port, self.readiness_port = (
+            first_port + 1,
+            first_port + 2,
+            first_port + 3,
+        )
         self.targets = [StubTarget(host, first_port + 4) for host in SIDECAR_HOSTS]
         core = make_config(CORE, first_port, f"data-directory={folder}/store\n")
         self.store = StoreProgram(make_watch(core))
@@ -180,7 +186,7 @@
                     CORE,
                     first_port,
                     f"data-directory={folder}/registry\n{site}"
-                    + "".join(f"zones.{zone}={region}\n" for zone, region in places),
+                    + "".join(f"zones.{zone}={region}\n" for zone, region in zones_and_regions),
                 )
             )
         )
@@ -198,7 +204,7 @@
                 zone_and_region,
             )
             for host, site, agent, zone_and_region in zip(
-                SIDECAR_HOSTS, sites, agents, places, strict=True
+                SIDECAR_HOSTS, sites, agents, zones_and_regions, strict=True
             )
         ]
         self.proxies = [ProxyProgram(make_watch(config)) for config in self.configs]
@@ -239,7 +245,7 @@
                 for proxy in self.proxies
             )
         )
-        # Proxies learn their number some seconds later; the tests do not wait for that.
+        # The proxies learn how many proxies there are only some seconds later; tests do not wait.
         for proxy in self.proxies:
             proxy.view.proxies = len(self.proxies)
 
@@ -248,7 +254,7 @@
             try:
                 return await send_request(
                     CORE,
-                    self.control,
+                    self.control_port,
                     "PUT",
                     "/mesh/configuration",
                     body=json.dumps(configuration).encode(),
--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -13,7 +13,7 @@
 def request(mesh, path, attempt, method="GET"):
     return send_request(
         SIDECAR_HOSTS[0],
-        mesh.outbound,
+        mesh.outbound_port,
         method,
         path,
         (f"Attempt-Id: {attempt}", "Deadline-Ms: 3000"),
@@ -26,7 +26,7 @@
         "-m",
         "marblefold",
         "rehearse",
-        f"--registry={CORE}:{mesh.control}",
+        f"--registry={CORE}:{mesh.control_port}",
         *arguments,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
@@ -37,7 +37,7 @@
 
 def test_the_loss_of_a_region_matches_its_rehearsal(tmp_path):
     async def test():
-        mesh = Mesh(tmp_path, places=ZONES_AND_REGIONS)
+        mesh = Mesh(tmp_path, zones_and_regions=ZONES_AND_REGIONS)
         # The proxy of the other region runs as a separate process that the test kills.
         mesh.proxies.pop()
         (tmp_path / "boot.conf").write_text(mesh.configs[1])
--- a/tests/test_scale_tool.py
+++ b/tests/test_scale_tool.py
@@ -19,8 +19,8 @@
     for arguments in (
         ("--nodes=3",),
         ("--nodes=9000",),
-        ("--phase=dance",),
-        ("dance",),
+        ("--phase=unknown",),
+        ("unknown",),
         ("--nodes=9", "--real=9"),
         ("--seconds=x",),
     ):
--- a/tests/test_tracing_on_loopback.py
+++ b/tests/test_tracing_on_loopback.py
@@ -27,7 +27,7 @@
 def request(mesh, path, attempt, method="POST", body=b"", side=0, headers=()):
     return send_request(
         SIDECAR_HOSTS[side],
-        mesh.outbound,
+        mesh.outbound_port,
         method,
         path,
         (f"Attempt-Id: {attempt}", "Deadline-Ms: 3000", *headers),
@@ -60,7 +60,7 @@
         "-m",
         "marblefold",
         "trace",
-        f"--registry={CORE}:{mesh.control}",
+        f"--registry={CORE}:{mesh.control_port}",
         *arguments,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
@@ -140,8 +140,10 @@
         assert status == 0, shown
         assert "came as try-1, try-2" in shown and "other" not in shown
         assert shown.count(": whole") == 2 and shown.count("served by") == 2
-        assert (await send_request(CORE, mesh.control, "GET", "/mesh/traces?limit=9999"))[0] == 400
-        assert (await send_request(CORE, mesh.control, "GET", "/mesh/traces/" + "x" * 300))[
+        assert (await send_request(CORE, mesh.control_port, "GET", "/mesh/traces?limit=9999"))[
+            0
+        ] == 400
+        assert (await send_request(CORE, mesh.control_port, "GET", "/mesh/traces/" + "x" * 300))[
             0
         ] == 400
 
@@ -158,7 +160,7 @@
             }
         )
         await mesh.until(lambda: all(proxy.view.table.number == 4 for proxy in mesh.proxies))
-        reader, writer = await asyncio.open_connection(SIDECAR_HOSTS[0], mesh.outbound)
+        reader, writer = await asyncio.open_connection(SIDECAR_HOSTS[0], mesh.outbound_port)
         size = 800_000
         writer.write(
             (
@@ -189,7 +191,7 @@
         try:
             assert (await request(mesh, "/book/x", "a", body=b"oak"))[0] == 200
             assert all(proxy.executor.tracer is None for proxy in mesh.proxies)
-            assert (await send_request(CORE, mesh.control, "GET", "/mesh/traces/a"))[0] == 404
+            assert (await send_request(CORE, mesh.control_port, "GET", "/mesh/traces/a"))[0] == 404
         finally:
             await mesh.stop()
 
--- a/tests/test_whole_mesh.py
+++ b/tests/test_whole_mesh.py
@@ -25,7 +25,7 @@
 def request(mesh, path, attempt, method="GET", headers=(), body=b"", side=0):
     return send_request(
         SIDECAR_HOSTS[side],
-        mesh.outbound,
+        mesh.outbound_port,
         method,
         path,
         (f"Attempt-Id: {attempt}", "Deadline-Ms: 3000", *headers),
@@ -42,12 +42,16 @@
         executions = mesh.targets[0].executions + mesh.targets[1].executions
         assert executions == [("id1", "POST", "/book/a%20b?x=1&x=2", "quotes", b"payload")]
         assert (await request(mesh, "/nowhere/", "id2"))[0] == 404
-        assert (await send_request(SIDECAR_HOSTS[0], mesh.ready, "GET", "/-/readiness"))[0] == 200
-        assert (await send_request(CORE, mesh.control, "GET", "/mesh/configuration"))[
+        assert (await send_request(SIDECAR_HOSTS[0], mesh.readiness_port, "GET", "/-/readiness"))[
+            0
+        ] == 200
+        assert (await send_request(CORE, mesh.control_port, "GET", "/mesh/configuration"))[
             2
         ] == json.dumps(CONFIGURATION).encode()
-        assert (await send_request(CORE, mesh.control, "POST", "/mesh/configuration"))[0] == 405
-        assert (await send_request(CORE, mesh.control, "GET", "/else"))[0] == 404
+        assert (await send_request(CORE, mesh.control_port, "POST", "/mesh/configuration"))[
+            0
+        ] == 405
+        assert (await send_request(CORE, mesh.control_port, "GET", "/else"))[0] == 404
 
     run_with_mesh(test, tmp_path)
 
@@ -91,19 +95,21 @@
         }
         path = f"/mesh/targets/{mesh.targets[0].instance}"
         status, _head, _body = await send_request(
-            SIDECAR_HOSTS[0], mesh.control, "PUT", path, body=json.dumps(heartbeat).encode()
+            SIDECAR_HOSTS[0], mesh.control_port, "PUT", path, body=json.dumps(heartbeat).encode()
         )
         assert status == 200
         for number in range(6):
             assert (await request(mesh, "/read/x", f"d{number}", side=number % 2))[0] == 200
         assert mesh.targets[0].executions == [] and len(mesh.targets[1].executions) == 6
-        assert (await send_request(CORE, mesh.control, "PUT", "/mesh/evacuations/nowhere"))[
+        assert (await send_request(CORE, mesh.control_port, "PUT", "/mesh/evacuations/nowhere"))[
             0
         ] == 404
-        assert (await send_request(CORE, mesh.control, "PUT", "/mesh/evacuations/hall"))[0] == 200
+        assert (await send_request(CORE, mesh.control_port, "PUT", "/mesh/evacuations/hall"))[
+            0
+        ] == 200
         await mesh.until(lambda: all("hall" in proxy.view.evacuated for proxy in mesh.proxies))
         assert (await request(mesh, "/read/x", "e"))[0] == 503
-        assert (await send_request(CORE, mesh.control, "DELETE", "/mesh/evacuations/hall"))[
+        assert (await send_request(CORE, mesh.control_port, "DELETE", "/mesh/evacuations/hall"))[
             0
         ] == 200
         await mesh.until(lambda: not any(proxy.view.evacuated for proxy in mesh.proxies))
@@ -119,7 +125,7 @@
             "-m",
             "marblefold",
             "plan",
-            f"--from_system={CORE}:{mesh.control}",
+            f"--from_system={CORE}:{mesh.control_port}",
             f"--drain={mesh.targets[0].instance}",
             "--json",
             stdout=asyncio.subprocess.PIPE,
@@ -139,7 +145,7 @@
         "-m",
         "marblefold",
         "windows",
-        f"--system={CORE}:{mesh.control}",
+        f"--system={CORE}:{mesh.control_port}",
         *arguments,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
@@ -187,7 +193,9 @@
     async def test(mesh):
         owners = {"number": 1, "services": {"quotes": ["north"]}}
         body = json.dumps(owners).encode()
-        assert (await send_request(CORE, mesh.control, "PUT", "/mesh/owners", body=body))[0] == 200
+        assert (await send_request(CORE, mesh.control_port, "PUT", "/mesh/owners", body=body))[
+            0
+        ] == 200
         owner_proxy, other_proxy = mesh.proxies
         clock = asyncio.get_running_loop().time
         await mesh.until(
@@ -217,20 +225,22 @@
         del other_proxy.view._targets["quotes"][f"n-{SIDECAR_HOSTS[0]}"]
         status, head, _body = await request(mesh, "/book/x", "late", "POST", side=1)
         assert status == 503 and b"Retry-After" in head and mesh.targets[1].executions == []
-        shown = json.loads((await send_request(CORE, mesh.control, "GET", "/mesh/owners"))[2])
+        shown = json.loads((await send_request(CORE, mesh.control_port, "GET", "/mesh/owners"))[2])
         owned = shown["services"]["quotes"]
         assert owned["owner"] == "north" and owned["clash-with"][0].startswith("stray@")
         assert (
             await send_request(
                 CORE,
-                mesh.control,
+                mesh.control_port,
                 "PUT",
                 "/mesh/owners",
                 body=json.dumps({"number": 1, "services": {"quotes": ["stray"]}}).encode(),
             )
         )[0] == 409
         assert (
-            await send_request(CORE, mesh.control, "PUT", "/mesh/owners", body=b'{"number": 2}')
+            await send_request(
+                CORE, mesh.control_port, "PUT", "/mesh/owners", body=b'{"number": 2}'
+            )
         )[0] == 400
 
     run_with_mesh(test, tmp_path, ("north", "stray"))
@@ -240,7 +250,7 @@
     async def test(mesh):
         async def put(path, document, *headers):
             return await send_request(
-                CORE, mesh.control, "PUT", path, headers, json.dumps(document).encode()
+                CORE, mesh.control_port, "PUT", path, headers, json.dumps(document).encode()
             )
 
         assert (
@@ -271,11 +281,11 @@
         for side in (0, 1):
             head = (f"Attempt-Id: y{side}", "Deadline-Ms: 3000")
             status, _head, body = await send_request(
-                SIDECAR_HOSTS[side], mesh.outbound, "POST", "/open/batch", head, photos, "yard"
+                SIDECAR_HOSTS[side], mesh.outbound_port, "POST", "/open/batch", head, photos, "yard"
             )
             assert (status, body) == (200, b"door")
             status, _head, _body = await send_request(
-                SIDECAR_HOSTS[side], mesh.outbound, "GET", "/private/", head, name="yard"
+                SIDECAR_HOSTS[side], mesh.outbound_port, "GET", "/private/", head, name="yard"
             )
             assert status == 404
         assert mesh.partner_gateway.executions == [
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -52,6 +52,7 @@
 
         def count_message_sent(connection, kind, number, payload=b""):
             self.connection_messages += 1
+            # The header of a frame has 9 bytes.
             self.connection_bytes += len(payload) + 9
             send(connection, kind, number, payload)
 
@@ -207,6 +208,7 @@
                 for peer in list(node.follower._peers._connections):
                     if command["on"] and peer.rpartition(":")[0] in hosts:
                         node.follower._peers.close_connection(peer)
+                # One hour, longer than any phase: no reconnect during the partition.
                 node.follower._peers._reconnect_not_before = {
                     peer: time.monotonic() + 3600
                     for peer in node.view.registries
--- a/tools/scale/observer.py
+++ b/tools/scale/observer.py
@@ -23,20 +23,24 @@
 
     async def measure(self, action: Awaitable[None]) -> dict[str, float]:
         """Awaits the action; returns its cost for each second and node."""
-        before, counts_before, started_at = (
+        usage_before, counts_before, started_at = (
             self._fleet.usage(),
             await self._collect_counts(),
             time.time(),
         )
         await action
         seconds = time.time() - started_at
-        after, counts_after = self._fleet.usage(), await self._collect_counts()
+        usage_after, counts_after = self._fleet.usage(), await self._collect_counts()
         nodes = sum(len(hollow.numbers) for hollow in self._fleet.hollow_processes)
         per_node = {
             f"{name}-a-node-second": (counts_after[name] - counts_before[name]) / nodes / seconds
             for name in counts_before
         }
-        return {"seconds": seconds, **per_node, **describe_usage(after, before, seconds)}
+        return {
+            "seconds": seconds,
+            **per_node,
+            **describe_usage(usage_after, usage_before, seconds),
+        }
 
     async def _collect_counts(self) -> dict:
         responses = await self._fleet.send_command_to_all(do="look")
