--- a/marblefold/configuration/row_encoding.py
+++ b/marblefold/configuration/row_encoding.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from marblefold.configuration.model import Configuration
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 __all__ = ["encode_rows"]
 
@@ -16,10 +16,10 @@
     limits = configuration.limits
     # Hundreds of routes are similar and compress well, and links may have little bandwidth.
     return zlib.compress(
-        kinds.ConfigurationRows(
+        messages_pb2.ConfigurationRows(
             number=configuration.config_version,
             routes=[
-                kinds.RouteRow(
+                messages_pb2.RouteRow(
                     name=route.name,
                     host=route.host_name.lower(),
                     prefix=route.path_prefix,
@@ -35,7 +35,7 @@
                 for route in configuration.route_list
             ],
             upstreams=[
-                kinds.UpstreamRow(
+                messages_pb2.UpstreamRow(
                     name=upstream.name,
                     health_check_path=upstream.health_check_path,
                     max_connections=upstream.max_connections,
--- a/marblefold/configuration/rows.py
+++ b/marblefold/configuration/rows.py
@@ -8,7 +8,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 __all__ = ["Limits", "Route", "ConfigurationRows", "Upstream", "decode_rows"]
 
@@ -59,7 +59,7 @@
 
 def decode_rows(data: bytes) -> ConfigurationRows:
     """Decodes the bytes that `row_encoding.encode_rows` returns."""
-    message = kinds.ConfigurationRows.FromString(zlib.decompress(data))
+    message = messages_pb2.ConfigurationRows.FromString(zlib.decompress(data))
     return ConfigurationRows(
         message.number,
         tuple(_read_route(row) for row in message.routes),
--- a/marblefold/gateway/target_hops.py
+++ b/marblefold/gateway/target_hops.py
@@ -13,7 +13,7 @@
 from marblefold.http_connections.client_request import ForwardedRequest
 from marblefold.inner_protocol.body_pipe import INITIAL_CREDIT_BYTES, BodyPipe
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.request_path.hop_sender import make_result
 from marblefold.request_path.outcome import HopOutcome, HopResult
 
@@ -106,7 +106,7 @@
             offer.cancel()
             raise
         if exchange.answer.done():
-            answer_head = kinds.AnswerHead.FromString(exchange.answer.result())
+            answer_head = messages_pb2.AnswerHead.FromString(exchange.answer.result())
             offer.add_done_callback(_retrieve_error)
         else:
             answer_head = offer.result()
--- a/marblefold/inner_protocol/messages.py
+++ b/marblefold/inner_protocol/messages.py
@@ -1,26 +1,26 @@
 """Encodes protobuf messages with a leading byte that identifies the message type."""
 
-from marblefold.inner_protocol import messages_pb2 as kinds
+from marblefold.inner_protocol import messages_pb2
 
-__all__ = ["kinds", "pack_message", "unpack_message"]
+__all__ = ["messages_pb2", "pack_message", "unpack_message"]
 
 _MESSAGE_TYPES = (
-    kinds.TargetNotice,
-    kinds.Follow,
-    kinds.Feed,
-    kinds.StoreCall,
-    kinds.StoreAnswer,
-    kinds.RegisterCall,
-    kinds.RegisterAnswer,
-    kinds.Accepted,
-    kinds.Probe,
-    kinds.RenewLease,
-    kinds.LeaseGrant,
-    kinds.Want,
-    kinds.Entry,
-    kinds.TrafficNotice,
-    kinds.SpanBatch,
-    kinds.TraceMark,
+    messages_pb2.TargetNotice,
+    messages_pb2.Follow,
+    messages_pb2.Feed,
+    messages_pb2.StoreCall,
+    messages_pb2.StoreAnswer,
+    messages_pb2.RegisterCall,
+    messages_pb2.RegisterAnswer,
+    messages_pb2.Accepted,
+    messages_pb2.Probe,
+    messages_pb2.RenewLease,
+    messages_pb2.LeaseGrant,
+    messages_pb2.Want,
+    messages_pb2.Entry,
+    messages_pb2.TrafficNotice,
+    messages_pb2.SpanBatch,
+    messages_pb2.TraceMark,
 )
 _TYPE_CODES = {message_type: code for code, message_type in enumerate(_MESSAGE_TYPES)}
 
--- a/marblefold/membership/datagrams.py
+++ b/marblefold/membership/datagrams.py
@@ -4,7 +4,7 @@
 import time
 from typing import Any, cast
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.logs import log
 from marblefold.membership.members import Liveness, Member
 from marblefold.membership.prober import Message, Prober
@@ -16,12 +16,12 @@
 
 
 def _pack(message: Message) -> bytes:
-    return kinds.Probe(
+    return messages_pb2.Probe(
         kind=message.kind,
         number=message.number,
         subject=message.subject,
         members=[
-            kinds.Member(
+            messages_pb2.Member(
                 address=member.address,
                 node=member.node,
                 role=member.role,
@@ -36,7 +36,7 @@
 
 
 def _unpack(data: bytes, peer: str) -> Message:
-    probe = kinds.Probe.FromString(data)
+    probe = messages_pb2.Probe.FromString(data)
     return Message(
         peer,
         probe.kind,
--- a/marblefold/proxy/deferred_entry_fetcher.py
+++ b/marblefold/proxy/deferred_entry_fetcher.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 __all__ = ["DeferredEntryFetcher"]
 
@@ -28,7 +28,7 @@
     def __init__(
         self,
         is_newer: Callable[[object], bool],
-        send: Callable[[str, kinds.Want], bool],
+        send: Callable[[str, messages_pb2.Want], bool],
     ) -> None:
         self._is_newer = is_newer
         self._send = send
@@ -58,7 +58,7 @@
     def _request(self, pending: _PendingEntry, now: float) -> None:
         if now - pending.requested_at < _RETRY_SECONDS:
             return
-        want = kinds.Want(kind=pending.entry.kind, key=pending.entry.key)
+        want = messages_pb2.Want(kind=pending.entry.kind, key=pending.entry.key)
         # Each registry that is tried moves to the end of the list.
         for _ in range(len(pending.peers)):
             peer = pending.peers.pop(0)
--- a/marblefold/proxy/lease_client.py
+++ b/marblefold/proxy/lease_client.py
@@ -1,6 +1,6 @@
 """Requests the leases that this node needs and applies the grants."""
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.leases.held_leases import Grant, OwnedLease
 from marblefold.request_path.mesh_view import MeshView
 
@@ -27,10 +27,10 @@
         self._next_request_at = now + _REQUEST_INTERVAL_SECONDS
         return True
 
-    def make_request(self, peer: str, now: float) -> kinds.RenewLease:
+    def make_request(self, peer: str, now: float) -> messages_pb2.RenewLease:
         """Returns the request to send to the registry."""
         partners = self._view.partners
-        return kinds.RenewLease(
+        return messages_pb2.RenewLease(
             node=self._node,
             number=self._view.leases.begin_request(now),
             digest=partners.digest if partners is not None else "",
@@ -38,7 +38,7 @@
             site=self._site if peer == self._agent else "",
         )
 
-    def apply_grant(self, message: kinds.LeaseGrant) -> None:
+    def apply_grant(self, message: messages_pb2.LeaseGrant) -> None:
         """Applies the leases that a registry granted."""
         partners = self._view.partners
         self._view.leases.apply_grant(
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -9,7 +9,7 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
+from marblefold.inner_protocol.messages import messages_pb2, pack_message, unpack_message
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.logs import log
@@ -51,7 +51,7 @@
         node: str,
         seeds: Callable[[], list[str]],
         view: FeedConsumer,
-        make_report: Callable[[], kinds.TargetNotice] | None = None,
+        make_report: Callable[[], messages_pb2.TargetNotice] | None = None,
         max_followed: int | None = None,
         lease_client: LeaseClient | None = None,
     ) -> None:
@@ -156,7 +156,9 @@
         connection.send(
             FrameKind.NOTIFICATION,
             0,
-            pack_message(kinds.Follow(node=self._node, registry_life=generation, place=place)),
+            pack_message(
+                messages_pb2.Follow(node=self._node, registry_life=generation, place=place)
+            ),
         )
 
     def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
@@ -165,24 +167,26 @@
         Raises ValueError, zlib.error or DecodeError if it is malformed.
         """
         feed = unpack_message(payload)
-        if isinstance(feed, kinds.LeaseGrant) and self._lease_client is not None:
+        if isinstance(feed, messages_pb2.LeaseGrant) and self._lease_client is not None:
             self._lease_client.apply_grant(feed)
-        if isinstance(feed, kinds.Entry):
+        if isinstance(feed, messages_pb2.Entry):
             self._view.apply(feed)
-        if not isinstance(feed, kinds.Feed):
+        if not isinstance(feed, messages_pb2.Feed):
             return
         self._heard_at[connection.peer] = time.monotonic()
         generation, place = self._places.get(connection.peer, (0, 0))
         entries = feed.entries
         if feed.compressed_entries:
-            entries = kinds.Feed.FromString(zlib.decompress(feed.compressed_entries)).entries
+            entries = messages_pb2.Feed.FromString(zlib.decompress(feed.compressed_entries)).entries
         # Changes that do not follow the last known place leave a gap: requests a snapshot.
         is_contiguous = feed.snapshot or (
             feed.registry_life == generation and feed.place - len(entries) <= place
         )
         if not is_contiguous:
             self._places.pop(connection.peer, None)
-            connection.send(FrameKind.NOTIFICATION, 0, pack_message(kinds.Follow(node=self._node)))
+            connection.send(
+                FrameKind.NOTIFICATION, 0, pack_message(messages_pb2.Follow(node=self._node))
+            )
             return
         self._places[connection.peer] = (feed.registry_life, feed.place)
         if feed.in_touch:
--- a/marblefold/proxy/startup_entry_hold.py
+++ b/marblefold/proxy/startup_entry_hold.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterable
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 __all__ = ["HOLD_TIMEOUT_SECONDS", "StartupEntryHold"]
 
@@ -16,7 +16,7 @@
 HOLD_TIMEOUT_SECONDS = 3.0
 _OPERATOR_RECORD_KINDS = ("configuration", "evacuation", "partners", "owner")
 
-ReceivedEntry = tuple[str, kinds.Entry]
+ReceivedEntry = tuple[str, messages_pb2.Entry]
 
 
 class StartupEntryHold:
@@ -28,7 +28,7 @@
         self._held_since: float | None = None
 
     def admit(
-        self, peer: str, entries: Iterable[kinds.Entry], is_in_touch: bool, now: float
+        self, peer: str, entries: Iterable[messages_pb2.Entry], is_in_touch: bool, now: float
     ) -> list[ReceivedEntry]:
         """Returns the entries to apply now, each with its registry; `now`: monotonic seconds."""
         received = [(peer, entry) for entry in entries]
--- a/marblefold/proxy/target_report.py
+++ b/marblefold/proxy/target_report.py
@@ -2,7 +2,7 @@
 
 import time
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.inner_protocol.ports import PROXY, inner_address
 from marblefold.node_config.reading import NodeConfig
 from marblefold.request_path.local_target import LocalTarget
@@ -21,11 +21,11 @@
         self._generation = int(time.time() * 1000)
         self._number = 0
 
-    def build(self) -> kinds.TargetNotice:
+    def build(self) -> messages_pb2.TargetNotice:
         """Returns a report of the current state."""
         self._number += 1
         target, config = self._target, self._config
-        return kinds.TargetNotice(
+        return messages_pb2.TargetNotice(
             node=config.node_name,
             node_life=self._generation,
             notice_number=self._number,
--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -6,7 +6,7 @@
 import contextlib
 
 from marblefold.errors import DiskError
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.register_store.ballots import (
     NO_ACCEPTED_STATE,
     AcceptedState,
@@ -59,7 +59,7 @@
         loaded = records.load()
         for name, data in loaded.items():
             if name.startswith(_REGISTER_PREFIX):
-                message = kinds.Accepted.FromString(data)
+                message = messages_pb2.Accepted.FromString(data)
                 self.accepted_states[message.register] = read_accepted_state(message)
         # A record that cannot be written now is written before the first answer.
         with contextlib.suppress(DiskError):
@@ -118,7 +118,7 @@
         self.begin_reading()
         return True
 
-    def prepare(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
+    def prepare(self, call: messages_pb2.StoreCall) -> messages_pb2.StoreAnswer:
         """Promises to accept no lower ballot, unless this or a higher one was promised."""
         refusal = self._find_refusal(call)
         if refusal:
@@ -139,7 +139,7 @@
         )
         return self._agree([pack_accepted_state(call.register, reported)])
 
-    def accept(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
+    def accept(self, call: messages_pb2.StoreCall) -> messages_pb2.StoreAnswer:
         """Accepts a value if its ballot is not below the promised one."""
         refusal = self._find_refusal(call) or self._find_past_generation(call)
         if refusal:
@@ -203,7 +203,7 @@
         )
         return True
 
-    def answer_read(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
+    def answer_read(self, call: messages_pb2.StoreCall) -> messages_pb2.StoreAnswer:
         """Returns all accepted states and records the reader's new generation."""
         is_voting = self.voting_status is VotingStatus.VOTING and not self.has_pending_view
         # A store that was just removed no longer votes: its state is final.
@@ -223,7 +223,7 @@
             [pack_accepted_state(name, state) for name, state in self.accepted_states.items()]
         )
 
-    def finish_reading(self, answers: list[kinds.StoreAnswer]) -> None:
+    def finish_reading(self, answers: list[messages_pb2.StoreAnswer]) -> None:
         """Adopts the states read from a read quorum; from here on this store votes."""
         merge_accepted_states(self.accepted_states, answers)
         merge_generations(self.known_generations, answers)
@@ -232,7 +232,7 @@
         self._unproven = find_unproven(self.accepted_states)
         self._set_voting_status(VotingStatus.VOTING)
 
-    def _find_refusal(self, call: kinds.StoreCall) -> Refusal:
+    def _find_refusal(self, call: messages_pb2.StoreCall) -> Refusal:
         if self.voting_status is not VotingStatus.VOTING or not self.is_member:
             return Refusal.DOES_NOT_VOTE
         if read_view(call.view) != self.view:
@@ -242,7 +242,7 @@
             return Refusal.VIEW_IS_CHANGING
         return Refusal.NONE
 
-    def _find_past_generation(self, call: kinds.StoreCall) -> Refusal:
+    def _find_past_generation(self, call: messages_pb2.StoreCall) -> Refusal:
         """Returns the refusal of an accept that counts on a promise lost with a disk.
 
         A later generation than the one recorded here is no reason to refuse: its
@@ -289,8 +289,8 @@
         self.generation, self.voting_status, self.view = meta.life, meta.standing, meta.view
         self.known_generations, self._unproven = dict(meta.lives), set(meta.unproven)
 
-    def _agree(self, accepted: list[kinds.Accepted]) -> kinds.StoreAnswer:
-        return kinds.StoreAnswer(
+    def _agree(self, accepted: list[messages_pb2.Accepted]) -> messages_pb2.StoreAnswer:
+        return messages_pb2.StoreAnswer(
             agreed=True,
             life=self.generation,
             view=self.pack_view(),
@@ -303,9 +303,9 @@
         reason: Refusal,
         register: str,
         generations: dict[str, str] | None = None,
-    ) -> kinds.StoreAnswer:
+    ) -> messages_pb2.StoreAnswer:
         promised = self.accepted_states.get(register, NO_ACCEPTED_STATE).promised
-        return kinds.StoreAnswer(
+        return messages_pb2.StoreAnswer(
             reason=reason,
             life=self.generation,
             view=self.pack_view(),
--- a/marblefold/register_store/anti_entropy.py
+++ b/marblefold/register_store/anti_entropy.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 
 from marblefold.errors import DiskError, MeshError
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.logs import log
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.ballots import AcceptedState, read_accepted_state
@@ -21,7 +21,9 @@
 __all__ = ["AntiEntropy", "answer_comparison"]
 
 # Calls all peers named; returns the answers by peer, of those that answered.
-AskAll = Callable[[list[str], kinds.StoreCall], Awaitable[dict[str, kinds.StoreAnswer]]]
+AskAll = Callable[
+    [list[str], messages_pb2.StoreCall], Awaitable[dict[str, messages_pb2.StoreAnswer]]
+]
 
 
 class AntiEntropy:
@@ -41,7 +43,7 @@
 
     async def run_round(self, others: list[str]) -> None:
         """Compares digests with the stores named, and catches up with one that differs."""
-        call = kinds.StoreCall(
+        call = messages_pb2.StoreCall(
             kind=CallKind.COMPARE,
             view=self._acceptor.pack_view(),
             value=self._chosen.digest(),
@@ -78,7 +80,7 @@
         """Fetches newer states until none is left; raises MeshError if an answer is missing."""
         is_behind = True
         while is_behind:
-            call = kinds.StoreCall(
+            call = messages_pb2.StoreCall(
                 kind=CallKind.COMPARE,
                 view=self._acceptor.pack_view(),
                 chosen=self._chosen.ballots(),
@@ -89,7 +91,7 @@
                 raise MeshError("compare", "no answer", peer)
             is_behind = await self._learn_all(answer)
 
-    async def _learn_all(self, answer: kinds.StoreAnswer) -> bool:
+    async def _learn_all(self, answer: messages_pb2.StoreAnswer) -> bool:
         was_new = False
         for message in answer.accepted:
             was_new |= self.learn_chosen(message.register, read_accepted_state(message))
@@ -113,8 +115,8 @@
 
 
 def answer_comparison(
-    chosen: ChosenRegisters, call: kinds.StoreCall, view: bytes
-) -> kinds.StoreAnswer:
+    chosen: ChosenRegisters, call: messages_pb2.StoreCall, view: bytes
+) -> messages_pb2.StoreAnswer:
     """Answers a digest with whether it matches, and ballots with the newer states.
 
     The answer includes the view if the caller sent another one.
@@ -122,6 +124,6 @@
     if call.view == view:
         view = b""
     if call.value:
-        return kinds.StoreAnswer(agreed=call.value == chosen.digest(), view=view)
+        return messages_pb2.StoreAnswer(agreed=call.value == chosen.digest(), view=view)
     accepted = chosen.newer_than(list(call.chosen))
-    return kinds.StoreAnswer(agreed=True, view=view, accepted=accepted)
+    return messages_pb2.StoreAnswer(agreed=True, view=view, accepted=accepted)
--- a/marblefold/register_store/ballots.py
+++ b/marblefold/register_store/ballots.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 __all__ = [
     "AcceptedState",
@@ -20,12 +20,12 @@
     counter: int
     proposer: str
 
-    def pack(self) -> kinds.Ballot:
+    def pack(self) -> messages_pb2.Ballot:
         """Returns the ballot as a message."""
-        return kinds.Ballot(counter=self.counter, proposer=self.proposer)
+        return messages_pb2.Ballot(counter=self.counter, proposer=self.proposer)
 
     @classmethod
-    def read(cls, message: kinds.Ballot) -> "Ballot":
+    def read(cls, message: messages_pb2.Ballot) -> "Ballot":
         """Returns the ballot in a message."""
         return cls(message.counter, message.proposer)
 
@@ -47,9 +47,9 @@
 NO_ACCEPTED_STATE = AcceptedState(NO_BALLOT, NO_BALLOT, 0, b"")
 
 
-def pack_accepted_state(register: str, state: AcceptedState) -> kinds.Accepted:
+def pack_accepted_state(register: str, state: AcceptedState) -> messages_pb2.Accepted:
     """Returns the state of a register as a message."""
-    return kinds.Accepted(
+    return messages_pb2.Accepted(
         register=register,
         ballot=state.ballot.pack(),
         number=state.number,
@@ -59,7 +59,7 @@
     )
 
 
-def read_accepted_state(message: kinds.Accepted) -> AcceptedState:
+def read_accepted_state(message: messages_pb2.Accepted) -> AcceptedState:
     """Returns the accepted state in a message."""
     return AcceptedState(
         Ballot.read(message.promised),
--- a/marblefold/register_store/chosen_registers.py
+++ b/marblefold/register_store/chosen_registers.py
@@ -4,7 +4,7 @@
 from _blake2 import blake2b
 
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds, pack_message
+from marblefold.inner_protocol.messages import messages_pb2, pack_message
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.register_store.ballots import AcceptedState, Ballot, pack_accepted_state
 
@@ -54,17 +54,17 @@
             self._digest = blake2b(repr(versions).encode(), digest_size=16).digest()
         return self._digest
 
-    def ballots(self) -> list[kinds.Accepted]:
+    def ballots(self) -> list[messages_pb2.Accepted]:
         """The ballot of every chosen state, for peers to compare with theirs."""
         return [
-            kinds.Accepted(register=register, ballot=holding.ballot.pack())
+            messages_pb2.Accepted(register=register, ballot=holding.ballot.pack())
             for register, holding in self.holdings.items()
         ]
 
-    def newer_than(self, ballots: list[kinds.Accepted]) -> list[kinds.Accepted]:
+    def newer_than(self, ballots: list[messages_pb2.Accepted]) -> list[messages_pb2.Accepted]:
         """States that are newer here than at a peer, up to the size limit of one answer."""
         peer_ballots = {message.register: Ballot.read(message.ballot) for message in ballots}
-        newer: list[kinds.Accepted] = []
+        newer: list[messages_pb2.Accepted] = []
         size = 0
         for register, holding in self.holdings.items():
             if register in peer_ballots and holding.ballot <= peer_ballots[register]:
--- a/marblefold/register_store/member_changes.py
+++ b/marblefold/register_store/member_changes.py
@@ -10,7 +10,7 @@
 import zlib
 
 from marblefold.errors import MeshError
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.logs import log
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, VotingStatus
 from marblefold.register_store.changes import change_view
@@ -159,7 +159,7 @@
         results = await asyncio.gather(
             *(
                 self._peers.call(
-                    peer, kinds.StoreCall(kind=CallKind.OPINION, view=view, register=removed)
+                    peer, messages_pb2.StoreCall(kind=CallKind.OPINION, view=view, register=removed)
                 )
                 for peer in peers
             ),
--- a/marblefold/register_store/orders.py
+++ b/marblefold/register_store/orders.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import (
     Change,
@@ -27,7 +27,7 @@
     outcome_of: Callable[[RegisterContent], Outcome]
 
 
-def read_order(call: kinds.RegisterCall) -> Order | None:
+def read_order(call: messages_pb2.RegisterCall) -> Order | None:
     """Returns the order that a call contains, or None for a call of another kind."""
     try:
         kind = RegisterCallKind(call.kind)
@@ -59,7 +59,7 @@
     return Order(set_configuration(number, body), outcome_of)
 
 
-def _order_replacement(call: kinds.RegisterCall) -> Order:
+def _order_replacement(call: messages_pb2.RegisterCall) -> Order:
     """Replaces a document, provided that it still has the number at which the writer read it."""
 
     def outcome_of(content: RegisterContent) -> Outcome:
@@ -72,7 +72,7 @@
     )
 
 
-def _order_evacuation(call: kinds.RegisterCall) -> Order:
+def _order_evacuation(call: messages_pb2.RegisterCall) -> Order:
     """Sets an evacuation; as with a window, the outcome depends on the current state."""
 
     def outcome_of(content: RegisterContent) -> Outcome:
@@ -82,7 +82,7 @@
     return Order(fence(call.number, call.order, set_evacuation(call.value)), outcome_of)
 
 
-def _order_state(call: kinds.RegisterCall, change: Change) -> Order:
+def _order_state(call: messages_pb2.RegisterCall, change: Change) -> Order:
     """Changes an evacuation; the outcome depends on the current state.
 
     An order that took effect and was then reverted by another one is no longer
--- a/marblefold/register_store/peer_calls.py
+++ b/marblefold/register_store/peer_calls.py
@@ -5,7 +5,7 @@
 
 from marblefold.errors import DiskError, MeshError
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
+from marblefold.inner_protocol.messages import messages_pb2, pack_message, unpack_message
 from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.ballots import AcceptedState, pack_accepted_state
@@ -19,7 +19,9 @@
 _DURABLE_CALL_KINDS = (CallKind.PREPARE, CallKind.ACCEPT, CallKind.READ)
 
 
-def answer_call(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
+def answer_call(
+    acceptor: Acceptor, call: messages_pb2.StoreCall
+) -> messages_pb2.StoreAnswer | None:
     """Returns the acceptor's answer to a call, or None for calls that it does not serve.
 
     A disk error becomes a refusal: nothing is promised from memory alone.
@@ -27,12 +29,14 @@
     try:
         return _answer_durably(acceptor, call)
     except DiskError as error:
-        return kinds.StoreAnswer(reason=f"disk: {error.reason}")
+        return messages_pb2.StoreAnswer(reason=f"disk: {error.reason}")
     except MeshError as error:
-        return kinds.StoreAnswer(reason=str(error))
+        return messages_pb2.StoreAnswer(reason=str(error))
 
 
-def _answer_durably(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer | None:
+def _answer_durably(
+    acceptor: Acceptor, call: messages_pb2.StoreCall
+) -> messages_pb2.StoreAnswer | None:
     # Callers send only chosen views, so a newer one is adopted.
     if call.view:
         acceptor.learn_view(read_view(call.view))
@@ -84,7 +88,7 @@
                 FrameKind.NOTIFICATION, 0, pack_message(pack_accepted_state(register, state))
             )
 
-    async def call(self, peer: str, call: kinds.StoreCall) -> kinds.StoreAnswer:
+    async def call(self, peer: str, call: messages_pb2.StoreCall) -> messages_pb2.StoreAnswer:
         """Returns the peer's answer; raises MeshError if there is none in time."""
         local = self._acceptor
         if peer == local.address:
@@ -95,7 +99,7 @@
         call.sender = local.address
         call.sender_life = local.generation
         connection = await self._peers.connect(peer)
-        reply: kinds.StoreAnswer = unpack_message(
+        reply: messages_pb2.StoreAnswer = unpack_message(
             await connection.call(pack_message(call), _CALL_TIMEOUT_SECONDS)
         )
         self.record_contact(peer)
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -9,7 +9,7 @@
 from marblefold.errors import DiskError, MeshError
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
+from marblefold.inner_protocol.messages import messages_pb2, pack_message, unpack_message
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.inner_protocol.ports import STORE, inner_address
@@ -85,10 +85,10 @@
     def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
         """Answers a call of a store or a registry."""
         message = unpack_message(payload)
-        if isinstance(message, kinds.StoreCall):
+        if isinstance(message, messages_pb2.StoreCall):
             answer = self._replica.answer(message)
             connection.send(FrameKind.REPLY, number, pack_message(answer))
-        elif isinstance(message, kinds.RegisterCall):
+        elif isinstance(message, messages_pb2.RegisterCall):
             task = asyncio.get_running_loop().create_task(
                 self._answer_registry(connection, number, message)
             )
@@ -98,7 +98,7 @@
     def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
         """Takes in a newly chosen record that another store sent."""
         message = unpack_message(payload)
-        if isinstance(message, kinds.Accepted):
+        if isinstance(message, messages_pb2.Accepted):
             self._replica.learn_chosen(message.register, read_accepted_state(message))
 
     def on_lost(self, connection: PeerConnection) -> None:
@@ -110,32 +110,34 @@
         exchange.close()
 
     async def _answer_registry(
-        self, connection: PeerConnection, number: int, call: kinds.RegisterCall
+        self, connection: PeerConnection, number: int, call: messages_pb2.RegisterCall
     ) -> None:
         answer = await self._execute_call(connection, call)
         connection.send(FrameKind.REPLY, number, pack_message(answer))
 
     async def _execute_call(
-        self, connection: PeerConnection, call: kinds.RegisterCall
-    ) -> kinds.RegisterAnswer:
+        self, connection: PeerConnection, call: messages_pb2.RegisterCall
+    ) -> messages_pb2.RegisterAnswer:
         if call.kind == RegisterCallKind.WATCH:
             self._chosen.watch(connection)
             self._send_view(connection)
-            return kinds.RegisterAnswer(outcome=Outcome.APPLIED)
+            return messages_pb2.RegisterAnswer(outcome=Outcome.APPLIED)
         if call.kind == RegisterCallKind.HEARTBEAT:
             return answer_heartbeat(self._acceptor)
         order = read_order(call)
         if order is None:
-            return kinds.RegisterAnswer(outcome=Outcome.UNKNOWN, reason="no such call")
+            return messages_pb2.RegisterAnswer(outcome=Outcome.UNKNOWN, reason="no such call")
         try:
             holding = await self._proposer.change(
                 call.register, order.change, _CHANGE_TIMEOUT_SECONDS
             )
         except MeshError as error:
-            return kinds.RegisterAnswer(outcome=Outcome.UNKNOWN, reason=str(error))
+            return messages_pb2.RegisterAnswer(outcome=Outcome.UNKNOWN, reason=str(error))
         self._publish_chosen(call.register, holding)
         outcome = order.outcome_of(RegisterContent(holding.number, holding.value, holding.orders))
-        return kinds.RegisterAnswer(outcome=outcome, number=holding.number, value=holding.value)
+        return messages_pb2.RegisterAnswer(
+            outcome=outcome, number=holding.number, value=holding.value
+        )
 
     def _send_view(self, connection: PeerConnection) -> None:
         """Sends the current view; the first one was never proposed, so no register holds it."""
@@ -145,7 +147,9 @@
                 FrameKind.NOTIFICATION,
                 0,
                 pack_message(
-                    kinds.Accepted(register=VIEW_REGISTER, number=view.number, value=view.pack())
+                    messages_pb2.Accepted(
+                        register=VIEW_REGISTER, number=view.number, value=view.pack()
+                    )
                 ),
             )
 
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple, Protocol
 
 from marblefold.errors import MeshError
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.register_store.ballots import NO_BALLOT, AcceptedState, Ballot, read_accepted_state
 from marblefold.register_store.changes import Change, RegisterContent
 from marblefold.register_store.generations import NO_GENERATION, is_superseded, later_generation
@@ -23,7 +23,7 @@
 class PeerCaller(Protocol):
     """How a proposer reaches the acceptors, including the local one."""
 
-    async def call(self, peer: str, call: kinds.StoreCall) -> kinds.StoreAnswer: ...
+    async def call(self, peer: str, call: messages_pb2.StoreCall) -> messages_pb2.StoreAnswer: ...
 
     def learn_view(self, view: View) -> None: ...
 
@@ -93,7 +93,7 @@
         )
         if proposed == current and is_accepted_by_majority:
             return newest
-        call = kinds.StoreCall(
+        call = messages_pb2.StoreCall(
             kind=CallKind.ACCEPT,
             view=view.pack(),
             register=register,
@@ -109,7 +109,7 @@
         return AcceptedState(NO_BALLOT, ballot, *proposed)
 
     async def _prepare(self, view: View, register: str, ballot: Ballot) -> _Promises | None:
-        call = kinds.StoreCall(
+        call = messages_pb2.StoreCall(
             kind=CallKind.PREPARE, view=view.pack(), register=register, ballot=ballot.pack()
         )
         answers = _drop_lost_promises(
@@ -125,13 +125,13 @@
     async def _collect_answers(
         self,
         peers: list[str],
-        call: kinds.StoreCall,
+        call: messages_pb2.StoreCall,
         quorum: int,
-    ) -> dict[str, kinds.StoreAnswer]:
+    ) -> dict[str, messages_pb2.StoreAnswer]:
         """Returns the agreeing answers, once they are enough or can no longer be."""
         loop = asyncio.get_running_loop()
         tasks = {loop.create_task(self._peers.call(peer, call)): peer for peer in peers}
-        agreed: dict[str, kinds.StoreAnswer] = {}
+        agreed: dict[str, messages_pb2.StoreAnswer] = {}
         pending = set(tasks)
         end = self._clock() + _PHASE_TIMEOUT_SECONDS
         while pending and len(agreed) < quorum and len(agreed) + len(pending) >= quorum:
@@ -153,8 +153,8 @@
     def _process_answer(
         self,
         peer: str,
-        task: asyncio.Task[kinds.StoreAnswer],
-        agreed: dict[str, kinds.StoreAnswer],
+        task: asyncio.Task[messages_pb2.StoreAnswer],
+        agreed: dict[str, messages_pb2.StoreAnswer],
     ) -> None:
         if task.exception() is not None:
             return
@@ -167,7 +167,9 @@
             self._peers.learn_view(read_view(answer.view))
 
 
-def _drop_lost_promises(answers: dict[str, kinds.StoreAnswer]) -> dict[str, kinds.StoreAnswer]:
+def _drop_lost_promises(
+    answers: dict[str, messages_pb2.StoreAnswer],
+) -> dict[str, messages_pb2.StoreAnswer]:
     """Drops the promises that were lost with a disk, according to the other answers.
 
     A store that lost its disk has read from a member of every majority. Either
@@ -185,6 +187,6 @@
     }
 
 
-def _retrieve_exception(task: asyncio.Task[kinds.StoreAnswer]) -> None:
+def _retrieve_exception(task: asyncio.Task[messages_pb2.StoreAnswer]) -> None:
     if not task.cancelled():
         task.exception()
--- a/marblefold/register_store/register_client.py
+++ b/marblefold/register_store/register_client.py
@@ -2,7 +2,7 @@
 
 from typing import Protocol
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 __all__ = ["RegisterClient"]
 
@@ -12,7 +12,7 @@
 
     async def ask(
         self, kind: str, register: str, number: int = 0, value: bytes = b""
-    ) -> kinds.RegisterAnswer:
+    ) -> messages_pb2.RegisterAnswer:
         """Calls a store and returns what a majority of the stores holds afterwards.
 
         kind: a RegisterCallKind.
--- a/marblefold/register_store/replica.py
+++ b/marblefold/register_store/replica.py
@@ -5,7 +5,7 @@
 from collections.abc import Awaitable, Callable
 
 from marblefold.errors import MeshError
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.logs import log
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, VotingStatus
 from marblefold.register_store.anti_entropy import AntiEntropy, answer_comparison
@@ -88,7 +88,7 @@
         """Stores a state that is known to be chosen."""
         self._reconciler.learn_chosen(register, state)
 
-    def answer(self, call: kinds.StoreCall) -> kinds.StoreAnswer:
+    def answer(self, call: messages_pb2.StoreCall) -> messages_pb2.StoreAnswer:
         """Returns the answer to another store's call of any kind."""
         self._peers.record_contact(call.sender)
         answer = answer_call(self._acceptor, call)
@@ -98,13 +98,13 @@
         if call.kind == CallKind.COMPARE:
             return answer_comparison(self._chosen, call, view)
         if call.kind == CallKind.OPINION:
-            return kinds.StoreAnswer(
+            return messages_pb2.StoreAnswer(
                 agreed=self._members.agrees_to_change(call.register), view=view
             )
         if call.kind == CallKind.JOIN:
             self._members.add_waiting_store(call.sender)
-            return kinds.StoreAnswer(view=view, reason=Refusal.WAIT)
-        return kinds.StoreAnswer(view=view, reason=Refusal.UNKNOWN_CALL)
+            return messages_pb2.StoreAnswer(view=view, reason=Refusal.WAIT)
+        return messages_pb2.StoreAnswer(view=view, reason=Refusal.UNKNOWN_CALL)
 
     async def _act(self) -> None:
         acceptor = self._acceptor
@@ -124,7 +124,7 @@
             sent_with = (acceptor.view, acceptor.generation)
             kind = CallKind.READ if acceptor.is_member else CallKind.JOIN
             answers = await self._ask_all(
-                self._known_stores(), kinds.StoreCall(kind=kind, view=acceptor.pack_view())
+                self._known_stores(), messages_pb2.StoreCall(kind=kind, view=acceptor.pack_view())
             )
             self._learn_from_answers(answers)
             if (acceptor.view, acceptor.generation) != sent_with:
@@ -133,7 +133,7 @@
             self._finish_reading(kind, answers)
             return
 
-    def _learn_from_answers(self, answers: dict[str, kinds.StoreAnswer]) -> None:
+    def _learn_from_answers(self, answers: dict[str, messages_pb2.StoreAnswer]) -> None:
         """Adopts newer views, and starts a later generation if peers recorded a later one."""
         acceptor = self._acceptor
         for answer in answers.values():
@@ -143,7 +143,7 @@
             for answer in answers.values():
                 acceptor.supersede_generation(answer.lives.get(acceptor.address, ""))
 
-    def _finish_reading(self, kind: CallKind, answers: dict[str, kinds.StoreAnswer]) -> None:
+    def _finish_reading(self, kind: CallKind, answers: dict[str, messages_pb2.StoreAnswer]) -> None:
         acceptor = self._acceptor
         if kind is not CallKind.READ or acceptor.voting_status is not VotingStatus.READING:
             return
@@ -215,12 +215,12 @@
     async def _ask_all(
         self,
         peers: list[str],
-        call: kinds.StoreCall,
-    ) -> dict[str, kinds.StoreAnswer]:
+        call: messages_pb2.StoreCall,
+    ) -> dict[str, messages_pb2.StoreAnswer]:
         """Calls all peers named; returns the answers by peer, of those that answered."""
         results = await asyncio.gather(
             *(
-                self._peers.call(peer, kinds.StoreCall.FromString(call.SerializeToString()))
+                self._peers.call(peer, messages_pb2.StoreCall.FromString(call.SerializeToString()))
                 for peer in peers
             ),
             return_exceptions=True,
--- a/marblefold/register_store/state_recovery.py
+++ b/marblefold/register_store/state_recovery.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.register_store.ballots import NO_ACCEPTED_STATE, AcceptedState, read_accepted_state
 from marblefold.register_store.generations import NO_GENERATION, later_generation
 from marblefold.register_store.view import View
@@ -28,7 +28,7 @@
 
 
 def merge_accepted_states(
-    local: dict[str, AcceptedState], answers: Iterable[kinds.StoreAnswer]
+    local: dict[str, AcceptedState], answers: Iterable[messages_pb2.StoreAnswer]
 ) -> None:
     """Keeps the newest accepted value and the highest promise of each register."""
     for answer in answers:
@@ -39,7 +39,7 @@
             local[message.register] = newer._replace(promised=max(current.promised, other.promised))
 
 
-def merge_generations(local: dict[str, str], answers: Iterable[kinds.StoreAnswer]) -> None:
+def merge_generations(local: dict[str, str], answers: Iterable[messages_pb2.StoreAnswer]) -> None:
     """Keeps the latest generation of each store."""
     for answer in answers:
         for member, generation in answer.lives.items():
--- a/marblefold/registry/catalogue.py
+++ b/marblefold/registry/catalogue.py
@@ -4,7 +4,7 @@
 from collections import deque
 from collections.abc import Callable
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 __all__ = ["Catalogue"]
 
@@ -17,19 +17,19 @@
     def __init__(self, generation: int) -> None:
         self.generation = generation
         self.revision = 0
-        self._entries: dict[tuple[str, str], kinds.Entry] = {}
-        self._changes: deque[tuple[int, kinds.Entry]] = deque(maxlen=_MAX_RETAINED_CHANGES)
-        self._listeners: list[Callable[[int, kinds.Entry], None]] = []
+        self._entries: dict[tuple[str, str], messages_pb2.Entry] = {}
+        self._changes: deque[tuple[int, messages_pb2.Entry]] = deque(maxlen=_MAX_RETAINED_CHANGES)
+        self._listeners: list[Callable[[int, messages_pb2.Entry], None]] = []
 
-    def add_listener(self, listener: Callable[[int, kinds.Entry], None]) -> None:
+    def add_listener(self, listener: Callable[[int, messages_pb2.Entry], None]) -> None:
         """Calls the listener with the revision and the entry of each change."""
         self._listeners.append(listener)
 
-    def find(self, kind: str, key: str) -> kinds.Entry | None:
+    def find(self, kind: str, key: str) -> messages_pb2.Entry | None:
         """Returns the newest entry of the key; it may be marked as removed."""
         return self._entries.get((kind, key))
 
-    def entries(self, kind: str) -> list[kinds.Entry]:
+    def entries(self, kind: str) -> list[messages_pb2.Entry]:
         """Returns all entries of a kind that are not removed."""
         return [
             entry
@@ -37,7 +37,7 @@
             if entry_kind == kind and not entry.removed
         ]
 
-    def put(self, entry: kinds.Entry) -> bool:
+    def put(self, entry: messages_pb2.Entry) -> bool:
         """Stores an entry if it is newer than the current one; returns whether it was.
 
         Entries of a key are ordered by generation, then by number.
@@ -53,7 +53,7 @@
             listener(self.revision, entry)
         return True
 
-    def changes_since(self, generation: int, revision: int) -> list[kinds.Entry] | None:
+    def changes_since(self, generation: int, revision: int) -> list[messages_pb2.Entry] | None:
         """Returns the changes after a revision, or None where only a snapshot will do.
 
         That is so for a revision of another generation, one that does not exist, and one
@@ -68,6 +68,6 @@
         newest = itertools.islice(reversed(self._changes), self.revision - revision)
         return [entry for _revision, entry in newest][::-1]
 
-    def snapshot(self) -> list[kinds.Entry]:
+    def snapshot(self) -> list[messages_pb2.Entry]:
         """Returns the newest entry of every key, removed ones included."""
         return list(self._entries.values())
--- a/marblefold/registry/feed.py
+++ b/marblefold/registry/feed.py
@@ -7,7 +7,7 @@
 from datetime import timedelta
 
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds, pack_message
+from marblefold.inner_protocol.messages import messages_pb2, pack_message
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.registry.catalogue import Catalogue
 
@@ -43,7 +43,7 @@
         self._is_push_pending = False
         catalogue.add_listener(self._on_change)
 
-    def follow(self, connection: PeerConnection, follow: kinds.Follow) -> None:
+    def follow(self, connection: PeerConnection, follow: messages_pb2.Follow) -> None:
         """Adds a follower and sends it the changes since its revision, or a snapshot."""
         changes = self._catalogue.changes_since(follow.registry_life, follow.place)
         self._revisions[connection] = self._catalogue.revision
@@ -72,7 +72,7 @@
             if revision == self._catalogue.revision:
                 connection.send(FrameKind.NOTIFICATION, 0, payload)
 
-    def _on_change(self, _revision: int, _entry: kinds.Entry) -> None:
+    def _on_change(self, _revision: int, _entry: messages_pb2.Entry) -> None:
         # Batches changes that arrive in quick succession.
         if not self._is_push_pending:
             self._is_push_pending = True
@@ -97,20 +97,20 @@
             self._revisions[connection] = catalogue.revision
             connection.send(FrameKind.NOTIFICATION, 0, payload)
 
-    def send_entry(self, connection: PeerConnection, want: kinds.Want) -> None:
+    def send_entry(self, connection: PeerConnection, want: messages_pb2.Want) -> None:
         """Sends a follower a whole entry that the feed deferred."""
         entry = self._catalogue.find(want.kind, want.key)
         if entry is not None:
             connection.send(FrameKind.NOTIFICATION, 0, pack_message(entry))
 
-    def _pack(self, changes: list[kinds.Entry] | None) -> bytes:
+    def _pack(self, changes: list[messages_pb2.Entry] | None) -> bytes:
         """Encodes the changes, or a snapshot of the catalogue if `changes` is None."""
         is_snapshot = changes is None
         entries = [
             _defer_large_value(entry)
             for entry in (self._catalogue.snapshot() if changes is None else changes)
         ]
-        feed = kinds.Feed(
+        feed = messages_pb2.Feed(
             registry_life=self._catalogue.generation,
             place=self._catalogue.revision,
             snapshot=is_snapshot,
@@ -120,18 +120,18 @@
         # A node that reconnects receives a snapshot from every registry, over a link
         # that also carries its requests.  Entries are similar, so they compress well.
         if len(entries) >= _MIN_COMPRESSED_ENTRIES:
-            uncompressed = kinds.Feed(entries=entries).SerializeToString()
+            uncompressed = messages_pb2.Feed(entries=entries).SerializeToString()
             feed.compressed_entries = zlib.compress(uncompressed, 1)
         else:
             feed.entries.extend(entries)
         return pack_message(feed)
 
 
-def _defer_large_value(entry: kinds.Entry) -> kinds.Entry:
+def _defer_large_value(entry: messages_pb2.Entry) -> messages_pb2.Entry:
     """Leaves out a large value: nodes hear of it from every registry and fetch it from one."""
     if len(entry.value) <= _MAX_INLINE_VALUE_BYTES:
         return entry
-    return kinds.Entry(
+    return messages_pb2.Entry(
         kind=entry.kind, key=entry.key, life=entry.life, number=entry.number, deferred=True
     )
 
--- a/marblefold/registry/live_capacity.py
+++ b/marblefold/registry/live_capacity.py
@@ -4,7 +4,7 @@
 from datetime import UTC, datetime, timedelta
 
 from marblefold import wire_names
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.maintenance.planning import LiveSlots
 from marblefold.membership.members import Liveness
 from marblefold.membership.node import NodeMembership
@@ -85,6 +85,6 @@
         """The current wall-clock time in UTC."""
         return datetime.now(UTC)
 
-    def _notices(self) -> Iterator[kinds.TargetNotice]:
+    def _notices(self) -> Iterator[messages_pb2.TargetNotice]:
         for entry in self._catalogue.entries("target"):
-            yield kinds.TargetNotice.FromString(entry.value)
+            yield messages_pb2.TargetNotice.FromString(entry.value)
--- a/marblefold/registry/peer_updates.py
+++ b/marblefold/registry/peer_updates.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.registry.catalogue import Catalogue
 
 __all__ = ["PeerUpdates"]
@@ -27,10 +27,10 @@
         """The registries to follow."""
         return self._peers()
 
-    def is_newer(self, entry: kinds.Entry) -> bool:
+    def is_newer(self, entry: messages_pb2.Entry) -> bool:
         """Whether to request a deferred entry: never, as the accepted kinds have small values."""
         return False
 
-    def apply(self, entry: kinds.Entry) -> bool:
+    def apply(self, entry: messages_pb2.Entry) -> bool:
         """Stores an entry of another registry if it is newer; returns whether it was."""
         return entry.kind in self._accepted_kinds and self._catalogue.put(entry)
--- a/marblefold/registry/platform_list_sync.py
+++ b/marblefold/registry/platform_list_sync.py
@@ -11,7 +11,7 @@
 
 from marblefold import wire_names
 from marblefold.errors import MeshError
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.logs import log
 from marblefold.register_store.register_client import RegisterClient
 from marblefold.registry.catalogue import Catalogue
@@ -116,7 +116,7 @@
         self._entry_number += 1
         value = b""
         if target is not None:
-            value = kinds.TargetNotice(
+            value = messages_pb2.TargetNotice(
                 node=instance,
                 address=target.address,
                 zone=target.zone,
@@ -130,7 +130,7 @@
         else:
             self._published.pop(instance, None)
         self._catalogue.put(
-            kinds.Entry(
+            messages_pb2.Entry(
                 kind="target",
                 key=instance,
                 life=self._epoch,
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -16,7 +16,7 @@
 from marblefold.http_connections.http_server import HttpServer
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
+from marblefold.inner_protocol.messages import messages_pb2, pack_message, unpack_message
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.inner_protocol.ports import REGISTRIES_PER_GATEWAY, REGISTRY, STORE, inner_address
 from marblefold.logs import log
@@ -173,17 +173,17 @@
     def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
         """Handles a one-way message of a node: a notice, a subscription or a lease request."""
         message = unpack_message(payload)
-        if isinstance(message, kinds.Follow):
+        if isinstance(message, messages_pb2.Follow):
             self.feed.follow(connection, message)
-        elif isinstance(message, kinds.TargetNotice):
+        elif isinstance(message, messages_pb2.TargetNotice):
             self._apply_target_notice(connection, message)
-        elif isinstance(message, kinds.TrafficNotice):
+        elif isinstance(message, messages_pb2.TrafficNotice):
             self._traffic_rates.record(message, time.monotonic())
-        elif isinstance(message, kinds.SpanBatch):
+        elif isinstance(message, messages_pb2.SpanBatch):
             self._collector.add_batch(message)
-        elif isinstance(message, kinds.Want):
+        elif isinstance(message, messages_pb2.Want):
             self.feed.send_entry(connection, message)
-        elif isinstance(message, kinds.RenewLease):
+        elif isinstance(message, messages_pb2.RenewLease):
             connection.send(
                 FrameKind.NOTIFICATION,
                 0,
@@ -202,10 +202,12 @@
     def on_call(self, connection: PeerConnection, number: int, payload: bytes) -> None:
         """Ignored: registries answer no calls over this protocol."""
 
-    def _apply_target_notice(self, connection: PeerConnection, notice: kinds.TargetNotice) -> None:
+    def _apply_target_notice(
+        self, connection: PeerConnection, notice: messages_pb2.TargetNotice
+    ) -> None:
         self._connections[connection] = notice.node
         self.catalogue.put(
-            kinds.Entry(
+            messages_pb2.Entry(
                 kind="target",
                 key=notice.node,
                 life=notice.node_life,
@@ -220,7 +222,7 @@
         if record.register == "configuration":
             self._history.record(record.number, record.value)
             self.catalogue.put(
-                kinds.Entry(
+                messages_pb2.Entry(
                     kind="configuration",
                     key="configuration",
                     number=record.number,
@@ -229,7 +231,7 @@
             )
         elif record.register.startswith("evacuation/"):
             self.catalogue.put(
-                kinds.Entry(
+                messages_pb2.Entry(
                     kind="evacuation",
                     key=record.register.partition("/")[2],
                     number=record.number,
@@ -255,7 +257,7 @@
         )
         self._registries = set(registries)
         self.catalogue.put(
-            kinds.Entry(
+            messages_pb2.Entry(
                 kind="registries",
                 key="registries",
                 number=record.number,
--- a/marblefold/registry/site_coordination.py
+++ b/marblefold/registry/site_coordination.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from marblefold.http_connections.call_router import CallRouter
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.leases.granting import LeaseGranter
 from marblefold.logs import log
 from marblefold.node_config.reading import NodeConfig
@@ -79,7 +79,7 @@
         if register == PARTNERS_REGISTER:
             self.partners.apply_document(number, value)
             self._catalogue.put(
-                kinds.Entry(
+                messages_pb2.Entry(
                     kind="partners",
                     key="partners",
                     number=number,
@@ -111,11 +111,11 @@
             self.agent.apply_owners_record(value)
         for upstream in self._owned_services:
             # The service is owned from now on; nobody serves it until it has an owner.
-            self._catalogue.put(kinds.Entry(kind="owner", key=upstream, number=1))
+            self._catalogue.put(messages_pb2.Entry(kind="owner", key=upstream, number=1))
         for upstream in set(previous) - set(self._owned_services):
             current = self._catalogue.find("owner", upstream)
             self._catalogue.put(
-                kinds.Entry(
+                messages_pb2.Entry(
                     kind="owner",
                     key=upstream,
                     life=current.life if current else 0,
@@ -132,14 +132,16 @@
         if current is not None and current.value and Owner.read(current.value).epoch == owner.epoch:
             return
         self._catalogue.put(
-            kinds.Entry(kind="owner", key=upstream, life=owner.epoch, number=number, value=value)
+            messages_pb2.Entry(
+                kind="owner", key=upstream, life=owner.epoch, number=number, value=value
+            )
         )
         self.report_claim_conflicts()
 
     def _collect_claims(self) -> KnownClaims:
         claimants: dict[str, set[tuple[str, str]]] = {}
         for entry in self._catalogue.entries("target"):
-            notice = kinds.TargetNotice.FromString(entry.value)
+            notice = messages_pb2.TargetNotice.FromString(entry.value)
             if notice.site and notice.upstream in self._owned_services:
                 claimants.setdefault(notice.upstream, set()).add((notice.site, notice.site_agent))
         owners = {
--- a/marblefold/registry/state.py
+++ b/marblefold/registry/state.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 from marblefold import wire_names
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.membership.members import Member
 from marblefold.registry.catalogue import Catalogue
 
@@ -20,7 +20,7 @@
     configuration = catalogue.find("configuration", "configuration")
     targets = []
     for entry in catalogue.entries("target"):
-        notice = kinds.TargetNotice.FromString(entry.value)
+        notice = messages_pb2.TargetNotice.FromString(entry.value)
         # A proxy without a running target offers no slots.
         if notice.state not in (wire_names.READY, wire_names.DRAINING):
             continue
--- a/marblefold/registry/store_client.py
+++ b/marblefold/registry/store_client.py
@@ -10,7 +10,7 @@
 from marblefold.background_tasks import BackgroundTasks
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.exchange import Exchange
-from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
+from marblefold.inner_protocol.messages import messages_pb2, pack_message, unpack_message
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.logs import log
@@ -69,7 +69,7 @@
 
     async def ask(
         self, kind: str, register: str, number: int = 0, value: bytes = b""
-    ) -> kinds.RegisterAnswer:
+    ) -> messages_pb2.RegisterAnswer:
         """Returns what a majority holds after the call.
 
         Raises a MeshError if no store could answer in time; it is then unclear whether
@@ -79,16 +79,18 @@
         if kind != RegisterCallKind.DESCRIBE:
             check_command(is_age_exempt=is_large)
         call = pack_message(
-            kinds.RegisterCall(
+            messages_pb2.RegisterCall(
                 kind=kind, register=register, number=number, value=value, order=os.urandom(12)
             )
         )
         unanswered: set[str] = set()
 
-        async def call_store(peer: str, seconds: float) -> kinds.RegisterAnswer:
+        async def call_store(peer: str, seconds: float) -> messages_pb2.RegisterAnswer:
             unanswered.add(peer)
             connection = await self._peers.connect(peer)
-            answer: kinds.RegisterAnswer = unpack_message(await connection.call(call, seconds))
+            answer: messages_pb2.RegisterAnswer = unpack_message(
+                await connection.call(call, seconds)
+            )
             unanswered.discard(peer)
             if answer.outcome == Outcome.UNKNOWN:
                 raise MeshError(kind, answer.reason, peer)
@@ -124,7 +126,7 @@
         """Watches one store and sends it heartbeats until its connection is lost."""
         try:
             connection = await self._peers.connect(peer)
-            watch = pack_message(kinds.RegisterCall(kind=RegisterCallKind.WATCH))
+            watch = pack_message(messages_pb2.RegisterCall(kind=RegisterCallKind.WATCH))
             # Sent once per connection: a store that hangs handles it when it resumes.
             with contextlib.suppress(MeshError):
                 await connection.call(watch, _HEARTBEAT_TIMEOUT_SECONDS)
@@ -139,7 +141,7 @@
 
     async def _send_heartbeat(self, peer: str, connection: PeerConnection) -> None:
         sent_at = self._clock()
-        heartbeat = pack_message(kinds.RegisterCall(kind=RegisterCallKind.HEARTBEAT))
+        heartbeat = pack_message(messages_pb2.RegisterCall(kind=RegisterCallKind.HEARTBEAT))
         try:
             answer = unpack_message(await connection.call(heartbeat, _HEARTBEAT_TIMEOUT_SECONDS))
         except MeshError:
@@ -168,7 +170,7 @@
     def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
         """Handles a chosen record that a store sent."""
         accepted = unpack_message(payload)
-        if isinstance(accepted, kinds.Accepted):
+        if isinstance(accepted, messages_pb2.Accepted):
             self._on_record(ChosenRecord(accepted.register, accepted.number, accepted.value))
 
     def on_lost(self, connection: PeerConnection) -> None:
--- a/marblefold/registry/traffic_rates.py
+++ b/marblefold/registry/traffic_rates.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 __all__ = ["Flow", "TrafficRates"]
 
@@ -28,7 +28,7 @@
 class _Received(NamedTuple):
     """A notice and when it was received, in monotonic seconds."""
 
-    notice: kinds.TrafficNotice
+    notice: messages_pb2.TrafficNotice
     received_at: float
 
 
@@ -39,7 +39,7 @@
         self._last: dict[str, _Received] = {}
         self._previous: dict[str, _Received] = {}
 
-    def record(self, notice: kinds.TrafficNotice, now: float) -> None:
+    def record(self, notice: messages_pb2.TrafficNotice, now: float) -> None:
         """Records the counters that a node sent; ignores outdated ones."""
         last = self._last.get(notice.node)
         if last is not None:
@@ -73,7 +73,7 @@
             window = max(1e-3, last.received_at - previous.received_at)
             previous_rows = {row.route: row for row in previous.notice.routes}
             for row in last.notice.routes:
-                previous_row = previous_rows.get(row.route, kinds.RouteCount())
+                previous_row = previous_rows.get(row.route, messages_pb2.RouteCount())
                 requests = row.requests - previous_row.requests
                 if requests <= 0:
                     continue
--- a/marblefold/rehearsal/origins.py
+++ b/marblefold/rehearsal/origins.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from marblefold.configuration.route_table import RouteTable
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.node_config.model import Bounds, Limits
 from marblefold.rehearsal.snapshot import Snapshot
 from marblefold.request_path.mesh_view import MeshView
@@ -31,7 +31,7 @@
     view = MeshView("rehearsal")
     view.table = RouteTable(snapshot.mesh_state.rows)
     for target in snapshot.mesh_state.targets:
-        notice = kinds.TargetNotice(
+        notice = messages_pb2.TargetNotice(
             node=target.node,
             node_life=1,
             notice_number=1,
@@ -48,7 +48,7 @@
             site_agent=target.site_agent,
         )
         view.apply(
-            kinds.Entry(
+            messages_pb2.Entry(
                 kind="target", key=target.node, life=1, number=1, value=notice.SerializeToString()
             )
         )
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -12,7 +12,7 @@
 from marblefold.http_connections.target_connection_pool import CONNECT_STEP, TargetConnectionPool
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.logs import log
 from marblefold.node_config.model import Address, Bounds
 from marblefold.request_path.body_receiver import BodyReceiver
@@ -95,7 +95,7 @@
 
         Raises google.protobuf's DecodeError if its head is malformed.
         """
-        head = kinds.RequestHead.FromString(payload)
+        head = messages_pb2.RequestHead.FromString(payload)
         task = asyncio.get_running_loop().create_task(self._serve(exchange, head, time.monotonic()))
         self._tasks.add(task)
         task.add_done_callback(lambda done: self._on_task_done(done, exchange))
--- a/marblefold/request_path/hop_sender.py
+++ b/marblefold/request_path/hop_sender.py
@@ -13,7 +13,7 @@
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.request_path.outcome import HopOutcome, HopResult, TargetLoad
 
@@ -120,7 +120,7 @@
                 )
             async with asyncio.timeout(seconds + _ANSWER_GRACE_SECONDS):
                 payload = await exchange.answer
-            answer_head = kinds.AnswerHead.FromString(payload)
+            answer_head = messages_pb2.AnswerHead.FromString(payload)
             has_answer = True
             is_complete = not answer_head.body_follows
             return make_result(answer_head, exchange.incoming, exchange.cancel, request.method)
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -11,7 +11,7 @@
 
 from marblefold.configuration.route_table import RouteTable
 from marblefold.configuration.rows import Route, decode_rows
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.leases.held_leases import HeldLeases
 from marblefold.logs import log
 from marblefold.partners.partner_table import (
@@ -155,7 +155,7 @@
             self._targets[old_upstream].pop(node, None)
         if entry.removed:
             return
-        notice = kinds.TargetNotice.FromString(entry.value)
+        notice = messages_pb2.TargetNotice.FromString(entry.value)
         if notice.state not in ("ready", "draining"):
             return
         self._upstream_of[node] = notice.upstream
--- a/marblefold/request_path/outcome.py
+++ b/marblefold/request_path/outcome.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from marblefold.http_connections.answer import Answer
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 __all__ = ["NO_SLOT", "HopOutcome", "HopResult", "TargetLoad", "make_refusal"]
 
@@ -46,6 +46,6 @@
 
 def make_refusal(step: str, retry_after: float):
     """Builds the AnswerHead of a hop that was not offered; `retry_after` is in seconds."""
-    return kinds.AnswerHead(
+    return messages_pb2.AnswerHead(
         outcome=HopOutcome.NEVER_OFFERED, step=step, retry_after_ms=int(retry_after * 1000)
     )
--- a/marblefold/request_path/request_head.py
+++ b/marblefold/request_path/request_head.py
@@ -2,7 +2,7 @@
 
 from marblefold.configuration.rows import Route, Upstream
 from marblefold.http_connections.client_request import ClientRequest
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 __all__ = ["make_head"]
 
@@ -31,7 +31,7 @@
     elif request.body_length >= 0:
         length = request.body_length
     is_inline = is_whole and len(body) <= _MAX_INLINE_BODY_BYTES
-    head = kinds.RequestHead(
+    head = messages_pb2.RequestHead(
         attempt_id=request.attempt_id,
         method=request.method,
         path=request.path.encode("utf-8", "surrogateescape"),
--- a/marblefold/request_path/target_caller.py
+++ b/marblefold/request_path/target_caller.py
@@ -18,7 +18,7 @@
 from marblefold.http_connections.target_connection import ConnectionLostUnused, TargetConnection
 from marblefold.http_connections.target_connection_pool import TargetConnectionPool
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.request_path.outcome import HopOutcome
 
 __all__ = ["BodySource", "OfferedExchange", "TargetCaller", "pack_request"]
@@ -134,7 +134,7 @@
         """Returns the AnswerHead and whether the connection may be kept."""
         if answer.is_not_executed:
             await answer.payload.read()
-            result = kinds.AnswerHead(
+            result = messages_pb2.AnswerHead(
                 outcome=HopOutcome.NOT_EXECUTED, step=f"target said {answer.status}"
             )
             _read_load(answer, result)
@@ -145,7 +145,7 @@
         # Only targets with an instance identity send the Server-Seal header.
         if 200 <= answer.status < 300 and expects_seal and not _is_sealed(answer):
             return _unknown("answer without seal"), False
-        result = kinds.AnswerHead(
+        result = messages_pb2.AnswerHead(
             outcome=HopOutcome.ANSWERED,
             status=answer.status,
             reason=answer.reason.encode("latin-1", "replace"),
@@ -244,8 +244,8 @@
 
 
 def _never_offered(step: str):
-    return kinds.AnswerHead(outcome=HopOutcome.NEVER_OFFERED, step=step)
+    return messages_pb2.AnswerHead(outcome=HopOutcome.NEVER_OFFERED, step=step)
 
 
 def _unknown(step: str):
-    return kinds.AnswerHead(outcome=HopOutcome.UNKNOWN, step=step)
+    return messages_pb2.AnswerHead(outcome=HopOutcome.UNKNOWN, step=step)
--- a/marblefold/request_path/traffic_count.py
+++ b/marblefold/request_path/traffic_count.py
@@ -6,7 +6,7 @@
 
 import time
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 __all__ = ["TrafficCount"]
 
@@ -55,14 +55,14 @@
         zone: str,
         region: str,
         service_seconds: float,
-    ) -> kinds.TrafficNotice | None:
+    ) -> messages_pb2.TrafficNotice | None:
         """Returns the current counts; None if no request was counted since the last notice."""
         total = sum(counts.requests for counts in self._counts.values())
         if total == self._reported_total:
             return None
         self._reported_total = total
         self._number += 1
-        notice = kinds.TrafficNotice(
+        notice = messages_pb2.TrafficNotice(
             node=node,
             node_life=self._generation,
             number=self._number,
--- a/marblefold/tracing/collector.py
+++ b/marblefold/tracing/collector.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from typing import NamedTuple
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.request_path.outcome import HopOutcome
 from marblefold.tracing.context import KeepPriority
 from marblefold.tracing.span import SpanKind
@@ -27,7 +27,7 @@
     node: str
     zone: str
     address: str
-    span: kinds.Span
+    span: messages_pb2.Span
 
 
 class DuplicateOrder(NamedTuple):
@@ -52,7 +52,7 @@
         # For orders that may have been executed: digest -> Attempt-Id -> trace id.
         self._attempts_by_digest: dict[bytes, dict[str, bytes]] = {}
 
-    def add_batch(self, batch: kinds.SpanBatch) -> None:
+    def add_batch(self, batch: messages_pb2.SpanBatch) -> None:
         """Adds the spans of a batch, and drops the traces that its node shed."""
         self.lost_spans[batch.node] = batch.lost
         for trace_id in batch.shed:
@@ -87,7 +87,7 @@
             if len(tries) > 1:
                 yield DuplicateOrder(digest, dict(tries))
 
-    def _add_span(self, batch: kinds.SpanBatch, span: kinds.Span) -> None:
+    def _add_span(self, batch: messages_pb2.SpanBatch, span: messages_pb2.Span) -> None:
         trace = self._traces.get(span.trace_id)
         if trace is None:
             trace = self._traces[span.trace_id] = _Trace()
@@ -147,13 +147,13 @@
         self.digests: list[bytes] = []
 
 
-def _unpack_batch(batch: kinds.SpanBatch) -> list[kinds.Span]:
+def _unpack_batch(batch: messages_pb2.SpanBatch) -> list[messages_pb2.Span]:
     """Returns the spans of a batch, compressed or not."""
     if not batch.compressed_spans:
         return list(batch.spans)
-    return list(kinds.SpanBatch.FromString(zlib.decompress(batch.compressed_spans)).spans)
+    return list(messages_pb2.SpanBatch.FromString(zlib.decompress(batch.compressed_spans)).spans)
 
 
 def _unpack_row(row: tuple[str, str, str, bytes]) -> CollectedSpan:
     node, zone, address, packed = row
-    return CollectedSpan(node, zone, address, kinds.Span.FromString(packed))
+    return CollectedSpan(node, zone, address, messages_pb2.Span.FromString(packed))
--- a/marblefold/tracing/exporter.py
+++ b/marblefold/tracing/exporter.py
@@ -12,7 +12,7 @@
 from datetime import timedelta
 from typing import NamedTuple
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.tracing.recorder import Batch, Recorder
 from marblefold.tracing.span import Span, pack_span
 
@@ -75,11 +75,11 @@
         if not batch.spans and not batch.shed:
             return
         registries = self._registries()
-        messages: dict[str, kinds.SpanBatch] = {}
+        messages: dict[str, messages_pb2.SpanBatch] = {}
 
-        def message_for(registry: str) -> kinds.SpanBatch:
+        def message_for(registry: str) -> messages_pb2.SpanBatch:
             if registry not in messages:
-                messages[registry] = kinds.SpanBatch(
+                messages[registry] = messages_pb2.SpanBatch(
                     node=self._node,
                     zone=self._zone,
                     address=self._address,
@@ -116,11 +116,11 @@
             self._recorder.requeue(Batch(rejected, shed))
 
 
-def _compress(message: kinds.SpanBatch) -> kinds.SpanBatch:
+def _compress(message: messages_pb2.SpanBatch) -> messages_pb2.SpanBatch:
     """Compresses the spans: they are similar, and requests share the links."""
     if message.spans:
         message.compressed_spans = zlib.compress(
-            kinds.SpanBatch(spans=message.spans).SerializeToString(), 6
+            messages_pb2.SpanBatch(spans=message.spans).SerializeToString(), 6
         )
         del message.spans[:]
     return message
--- a/marblefold/tracing/node_tracing.py
+++ b/marblefold/tracing/node_tracing.py
@@ -6,7 +6,7 @@
 from marblefold.background_tasks import BackgroundTasks
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds, pack_message
+from marblefold.inner_protocol.messages import messages_pb2, pack_message
 from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.node_config.reading import NodeConfig
 from marblefold.program_flags import TraceOptions
@@ -72,7 +72,7 @@
 
     def handle_message(self, message: object) -> None:
         """Marks the trace if the message is a TraceMark; ignores other messages."""
-        if isinstance(message, kinds.TraceMark):
+        if isinstance(message, messages_pb2.TraceMark):
             self.recorder.mark(message.trace_id)
 
     def _on_mark(self, trace_id: bytes, peers: list[str]) -> None:
@@ -84,7 +84,7 @@
                 self._tasks.start(self._send_mark(self._peers, peer, trace_id))
 
     async def _send_mark(self, peers: PeerConnectionPool, peer: str, trace_id: bytes) -> None:
-        payload = pack_message(kinds.TraceMark(trace_id=trace_id))
+        payload = pack_message(messages_pb2.TraceMark(trace_id=trace_id))
         for _ in range(_MARK_ATTEMPTS):
             try:
                 connection = await peers.connect(peer)
--- a/marblefold/tracing/span.py
+++ b/marblefold/tracing/span.py
@@ -2,7 +2,7 @@
 
 import enum
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.tracing.context import KeepPriority, TraceContext
 
 __all__ = ["Span", "SpanKind", "pack_span"]
@@ -88,9 +88,9 @@
             self.keep = keep
 
 
-def pack_span(span: Span, epoch_offset: float) -> kinds.Span:
+def pack_span(span: Span, epoch_offset: float) -> messages_pb2.Span:
     """Converts a span to a message; `epoch_offset` is wall clock minus steady clock, in seconds."""
-    return kinds.Span(
+    return messages_pb2.Span(
         trace_id=span.trace_id,
         span_id=span.span_id,
         parent=span.parent,
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -14,7 +14,7 @@
 from marblefold.history.recorder import HistoryRecorder
 from marblefold.http_connections.call_router import CallRouter
 from marblefold.http_connections.client_connection import ClientConnection
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.maintenance.calls import MaintenanceCalls
 from marblefold.ownership.calls import KnownClaims, OwnerCalls
 from marblefold.partners.calls import PartnerCalls
@@ -40,15 +40,15 @@
     async def ask(self, kind, register, number=0, value=b""):
         if not self.is_reachable:
             raise MeshError(kind, "no majority")
-        call = kinds.RegisterCall(
+        call = messages_pb2.RegisterCall(
             kind=kind, register=register, number=number, value=value, order=os.urandom(12)
         )
-        order = read_order(kinds.RegisterCall.FromString(call.SerializeToString()))
+        order = read_order(messages_pb2.RegisterCall.FromString(call.SerializeToString()))
         before = self.registers.get(register, RegisterContent(0, b""))
         after = order.change(before)
         if after != before:
             self.registers[register] = after
-        return kinds.RegisterAnswer(
+        return messages_pb2.RegisterAnswer(
             outcome=order.outcome_of(after), number=after.number, value=after.value
         )
 
--- a/tests/simulated_leases.py
+++ b/tests/simulated_leases.py
@@ -4,7 +4,7 @@
 
 from marblefold.errors import MeshError
 from marblefold.gateway.partner_hops import PartnerHops
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.leases.granting import LeaseGranter
 from marblefold.partners.coordinator import ENFORCED_AFTER, PartnerCoordinator
 from marblefold.partners.document import PartnersDocument
@@ -147,7 +147,9 @@
         return self.world.now * self.rate
 
     def receive_document(self, number, value):
-        self.view.apply(kinds.Entry(kind="partners", key="partners", number=number, value=value))
+        self.view.apply(
+            messages_pb2.Entry(kind="partners", key="partners", number=number, value=value)
+        )
 
     def request_lease(self):
         return self.lease_client.make_request("registry", self.clock)
--- a/tests/simulated_machines.py
+++ b/tests/simulated_machines.py
@@ -9,7 +9,7 @@
 import itertools
 from types import SimpleNamespace
 
-from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
+from marblefold.inner_protocol.messages import messages_pb2, pack_message, unpack_message
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.chosen_registers import ChosenRegisters
 from marblefold.register_store.peer_calls import StorePeers
@@ -136,7 +136,7 @@
     def on_record(self, record):
         kind, _slash, key = record.register.partition("/")
         self.catalogue.put(
-            kinds.Entry(kind=kind, key=key or kind, number=record.number, value=record.value)
+            messages_pb2.Entry(kind=kind, key=key or kind, number=record.number, value=record.value)
         )
 
     def serve(self, connection, payload, on_answer):
@@ -146,7 +146,7 @@
         def reply(answer):
             self.cluster.send(self.name, connection.source, lambda: on_answer(pack_message(answer)))
 
-        if isinstance(message, kinds.StoreCall):
+        if isinstance(message, messages_pb2.StoreCall):
             reply(self.replica.answer(message))
             return
 
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -4,7 +4,7 @@
 import os
 
 from marblefold.errors import MeshError
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.register_store.ballots import NO_ACCEPTED_STATE
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import RegisterContent, leave_unchanged
@@ -31,7 +31,7 @@
         )
 
     async def call(self, peer, call):
-        copy = kinds.StoreCall.FromString(call.SerializeToString())
+        copy = messages_pb2.StoreCall.FromString(call.SerializeToString())
         copy.sender = self.address
         copy.sender_life = self.acceptor.generation
         if peer == self.address:
@@ -151,7 +151,7 @@
         # The client of the registries makes the same check.
         if kind != RegisterCallKind.DESCRIBE:
             check_command()
-        call = kinds.RegisterCall(
+        call = messages_pb2.RegisterCall(
             kind=kind, register=register, number=number, value=value, order=os.urandom(12)
         )
         attempts = [
@@ -165,7 +165,9 @@
             for attempt in attempts:
                 attempt.add_done_callback(lambda task: task.cancelled() or task.exception())
         outcome, content = done.pop().result()
-        return kinds.RegisterAnswer(outcome=outcome, number=content.number, value=content.value)
+        return messages_pb2.RegisterAnswer(
+            outcome=outcome, number=content.number, value=content.value
+        )
 
 
 def accepted_content(stores, address, register):
--- a/tests/simulated_path.py
+++ b/tests/simulated_path.py
@@ -6,7 +6,7 @@
 
 from marblefold.configuration.rows import ConfigurationRows, Route, Upstream
 from marblefold.configuration.rows import Limits as RouteLimits
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 MAX_ATTEMPTS = 2
 ANSWER = re.compile(rb"HTTP/1\.1 (\d+) [^\r]*\r\n((?:[^\r]+\r\n)*)\r\n(.*)", re.DOTALL)
@@ -34,7 +34,7 @@
 
 
 def make_entry(number):
-    notice = kinds.TargetNotice(
+    notice = messages_pb2.TargetNotice(
         node=f"n{number}",
         address=f"10.0.0.{number}:7600",
         zone="hall",
@@ -44,7 +44,7 @@
         slots=4,
         state="ready",
     )
-    return kinds.Entry(
+    return messages_pb2.Entry(
         kind="target", key=f"n{number}", life=1, number=1, value=notice.SerializeToString()
     )
 
--- a/tests/simulated_peer.py
+++ b/tests/simulated_peer.py
@@ -4,7 +4,7 @@
 
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 
 class Body:
@@ -66,7 +66,7 @@
         self.machine, self.hops = machine, []
 
     def on_hop(self, exchange, payload):
-        head = kinds.RequestHead.FromString(payload)
+        head = messages_pb2.RequestHead.FromString(payload)
         hop = ReceivedHop(head.attempt_id, exchange, self.machine.stage)
         self.hops.append(hop)
         self.machine.hops.append(hop)
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -13,7 +13,7 @@
 
 from marblefold.configuration.route_table import RouteTable
 from marblefold.http_connections.answer import Answer
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.leases.held_leases import LEASE_SECONDS
 from marblefold.node_config.model import Limits
 from marblefold.planner.mesh_state import read_configuration_rows
@@ -93,12 +93,12 @@
     def make_entry(self, row):
         if row["cold"]:
             self.cold_limits[row["node"]].cold_until = time.monotonic() + 3.0
-        return kinds.Entry(
+        return messages_pb2.Entry(
             kind="target",
             key=row["node"],
             life=1,
             number=1,
-            value=kinds.TargetNotice(
+            value=messages_pb2.TargetNotice(
                 node=row["node"],
                 address=row["node"],
                 zone=row["zone"],
--- a/tests/simulated_replicas.py
+++ b/tests/simulated_replicas.py
@@ -9,7 +9,7 @@
 import contextlib
 
 from marblefold.errors import MeshError
-from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
+from marblefold.inner_protocol.messages import messages_pb2, pack_message, unpack_message
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.anti_entropy import answer_comparison
 from marblefold.register_store.ballots import pack_accepted_state, read_accepted_state
@@ -89,7 +89,7 @@
         if answer is not None:
             return answer
         if call.kind == "join":
-            return kinds.StoreAnswer(view=self.acceptor.pack_view(), reason="wait")
+            return messages_pb2.StoreAnswer(view=self.acceptor.pack_view(), reason="wait")
         assert call.kind == "compare"
         return answer_comparison(self.chosen, call, self.acceptor.pack_view())
 
@@ -112,5 +112,5 @@
         payload = pack_message(pack_accepted_state(register, state))
         self.core.bytes += len(payload)
         message = unpack_message(payload)
-        assert isinstance(message, kinds.Accepted)
+        assert isinstance(message, messages_pb2.Accepted)
         self.core.members[peer].replica.learn_chosen(message.register, read_accepted_state(message))
--- a/tests/simulated_stores.py
+++ b/tests/simulated_stores.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.register_store.acceptor import Acceptor
 from marblefold.register_store.peer_calls import answer_call
 from marblefold.register_store.proposer import Proposer
@@ -67,7 +67,7 @@
         self.acceptor.learn_view(view)
 
     async def call(self, peer, call):
-        copy = kinds.StoreCall.FromString(call.SerializeToString())
+        copy = messages_pb2.StoreCall.FromString(call.SerializeToString())
         copy.sender = self.address
         copy.sender_life = self.acceptor.generation
         store = self.system.stores[peer]
--- a/tests/simulated_tracing.py
+++ b/tests/simulated_tracing.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from types import SimpleNamespace
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.request_path.outcome import HopOutcome, HopResult
 from marblefold.tracing.assembly import assemble
 from marblefold.tracing.calls import _to_row
@@ -50,7 +50,7 @@
         if self.is_unreachable or registry in self.network.unreachable_registries:
             return False
         self.network.collectors[registry].add_batch(
-            kinds.SpanBatch.FromString(message.SerializeToString())
+            messages_pb2.SpanBatch.FromString(message.SerializeToString())
         )
         return True
 
@@ -105,11 +105,13 @@
         return span
 
     def hop(self, origin, span, path, route, attempt, number, outcome_name):
-        head = kinds.RequestHead(attempt_id=attempt, attempt_number=number, upstream="orders")
+        head = messages_pb2.RequestHead(
+            attempt_id=attempt, attempt_number=number, upstream="orders"
+        )
         peer = self.nodes[path[0]]
         hop = origin.tracer.begin_hop(span, head, "i-" + peer.name, peer.name, number)
         self.record_span(hop, origin)
-        head = kinds.RequestHead.FromString(head.SerializeToString())
+        head = messages_pb2.RequestHead.FromString(head.SerializeToString())
         serve = peer.tracer.begin_serve(head)
         self.record_span(serve, peer)
         if len(path) > 1:
@@ -120,7 +122,7 @@
             "unknown": HopOutcome.UNKNOWN,
             "refused": HopOutcome.NEVER_OFFERED,
         }[outcome_name]
-        peer.tracer.finish_serve(serve, kinds.AnswerHead(outcome=outcome, status=200), 5)
+        peer.tracer.finish_serve(serve, messages_pb2.AnswerHead(outcome=outcome, status=200), 5)
         answer = ANSWER if outcome_name == "answered" else None
         origin.tracer.finish_hop(
             hop, HopResult(outcome, answer, step="" if answer else outcome_name)
--- a/tests/test_bad_control_input.py
+++ b/tests/test_bad_control_input.py
@@ -15,7 +15,7 @@
 from marblefold import wire_names
 from marblefold.configuration.reading import read_configuration
 from marblefold.configuration.row_encoding import encode_rows
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.maintenance.model import MaintenanceDocument
 from marblefold.ownership.claims import read_owners
 from marblefold.partners.partner_table import build_partner_table
@@ -95,7 +95,7 @@
     read_owners(registers["owners"].value)
     MaintenanceDocument.read(registers["maintenance"].value)
     for register, record in registers.items():
-        kinds.Accepted(register=register, number=record.number, value=record.value)
+        messages_pb2.Accepted(register=register, number=record.number, value=record.value)
 
 
 def check_answer(control, name, body, before):
--- a/tests/test_cut_off_cases.py
+++ b/tests/test_cut_off_cases.py
@@ -9,7 +9,7 @@
 import pytest
 
 from marblefold import wire_names
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from tests.simulated_machines import OPERATOR, TIME_STEP_SECONDS, Cluster
 
 NAMES = ("a", "b", "c")
@@ -214,17 +214,17 @@
         (),
         {
             "send": lambda _self, _kind, _number, data: contact_flags.append(
-                kinds.Feed.FromString(data[1:]).in_touch
+                messages_pb2.Feed.FromString(data[1:]).in_touch
             )
         },
     )()
-    machine.feed.follow(follower, kinds.Follow())
+    machine.feed.follow(follower, messages_pb2.Follow())
     assert contact_flags == [True]
     machine.is_paused = True
     cluster.advance(20.0)
     # The first action after it resumes, before any of its timers fires.
     machine.is_paused = False
-    machine.feed.follow(follower, kinds.Follow())
+    machine.feed.follow(follower, messages_pb2.Follow())
     assert contact_flags == [True, False]
 
 
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -10,7 +10,7 @@
 import pytest
 
 from marblefold.errors import DiskError, MeshError
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.register_store.acceptor import META_RECORD, Acceptor, VotingStatus
 from marblefold.register_store.ballots import Ballot
 from marblefold.register_store.generations import NO_GENERATION, is_superseded
@@ -43,11 +43,11 @@
     def call(self, kind):
         self.counter += 1
         register = self.rng.choice(REGISTERS)
-        call = kinds.StoreCall(
+        call = messages_pb2.StoreCall(
             kind=kind,
             view=self.acceptor.pack_view(),
             register=register,
-            ballot=kinds.Ballot(counter=self.counter, proposer="b:1"),
+            ballot=messages_pb2.Ballot(counter=self.counter, proposer="b:1"),
             number=self.counter,
             value=b"%d" % self.counter,
             lives={OWN: self.acceptor.generation},
@@ -117,7 +117,7 @@
     disk = SimulatedDisk()
     disk.install(monkeypatch)
     acceptor = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, True)
-    read = kinds.StoreCall(
+    read = messages_pb2.StoreCall(
         kind="read", view=acceptor.pack_view(), sender="b:1", sender_life="2-second"
     )
     disk.is_full = True
@@ -155,11 +155,11 @@
     disk.install(monkeypatch)
     disk.is_full = True
     acceptor = open_acceptor(OWN, FOLDER, PEERS, True, sleep=lambda _seconds: pytest.fail())
-    prepare = kinds.StoreCall(
+    prepare = messages_pb2.StoreCall(
         kind="prepare",
         view=acceptor.pack_view(),
         register="configuration",
-        ballot=kinds.Ballot(counter=1, proposer="b:1"),
+        ballot=messages_pb2.Ballot(counter=1, proposer="b:1"),
     )
     assert not answer_call(acceptor, prepare).agreed
     disk.is_full = False
@@ -222,11 +222,11 @@
     disk.install(monkeypatch)
     acceptor = Acceptor(OWN, RegisterFiles(FOLDER, META_RECORD), PEERS, True)
     following = View(2, "mark", (*PEERS, "d:1"))
-    prepare = kinds.StoreCall(
+    prepare = messages_pb2.StoreCall(
         kind="prepare",
         view=following.pack(),
         register="configuration",
-        ballot=kinds.Ballot(counter=1, proposer="b:1"),
+        ballot=messages_pb2.Ballot(counter=1, proposer="b:1"),
     )
     disk.is_full = True
     assert not answer_call(acceptor, prepare).agreed
@@ -239,8 +239,8 @@
 def test_a_register_whose_name_is_too_long_for_a_file_is_refused_and_affects_no_other(tmp_path):
     acceptor = Acceptor(OWN, RegisterFiles(str(tmp_path), META_RECORD), PEERS, True)
     for register, is_agreed in (("evacuation/" + "z" * 250, False), ("evacuation/z", True)):
-        ballot = kinds.Ballot(counter=1, proposer="b:1")
-        prepare = kinds.StoreCall(
+        ballot = messages_pb2.Ballot(counter=1, proposer="b:1")
+        prepare = messages_pb2.StoreCall(
             kind="prepare", view=acceptor.pack_view(), register=register, ballot=ballot
         )
         assert answer_call(acceptor, prepare).agreed is is_agreed
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from marblefold.inner_protocol.messages import kinds, pack_message, unpack_message
+from marblefold.inner_protocol.messages import messages_pb2, pack_message, unpack_message
 from marblefold.proxy.deferred_entry_fetcher import DeferredEntryFetcher
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.registry.catalogue import Catalogue
@@ -23,14 +23,14 @@
 
     def send(self, _kind, _number, payload):
         message = unpack_message(payload)
-        if isinstance(message, kinds.Follow):
+        if isinstance(message, messages_pb2.Follow):
             self.requests.append(message)
         elif not self.drops_messages:
             self.follower.on_notification(self, payload)
 
 
 def make_entry(zone, number, value):
-    return kinds.Entry(kind="evacuation", key=zone, number=number, value=value)
+    return messages_pb2.Entry(kind="evacuation", key=zone, number=number, value=value)
 
 
 EVENTS = st.lists(
@@ -46,7 +46,7 @@
 @given(EVENTS)
 def test_follower_that_misses_changes_resubscribes_and_catches_up(events):
     view = MeshView("n")
-    follower = RegistryFollower("n", list, view, kinds.TargetNotice)
+    follower = RegistryFollower("n", list, view, messages_pb2.TargetNotice)
     # The settling time of the proxy count is long over.
     follower._counted_since = 1e-9
     connection = Connection(follower)
@@ -57,7 +57,7 @@
         publisher = FeedPublisher(
             catalogue, lambda: True, lambda: 3, schedule=lambda _delay, _push: None
         )
-        publisher.follow(connection, kinds.Follow())
+        publisher.follow(connection, messages_pb2.Follow())
         return catalogue, publisher
 
     catalogue, publisher = start(generation)
@@ -80,7 +80,7 @@
         while connection.requests:
             publisher.follow(connection, connection.requests.pop())
     connection.drops_messages = False
-    catalogue.put(kinds.Entry(kind="evacuation", key="last", number=1, value=b"on"))
+    catalogue.put(messages_pb2.Entry(kind="evacuation", key="last", number=1, value=b"on"))
     publisher._push()
     while connection.requests:
         publisher.follow(connection, connection.requests.pop())
@@ -102,7 +102,7 @@
 
 
 def test_malformed_messages_are_rejected():
-    assert unpack_message(pack_message(kinds.Follow(node="n"))).node == "n"
+    assert unpack_message(pack_message(messages_pb2.Follow(node="n"))).node == "n"
     for payload in (b"", b"\xff", bytes((0,)) + b"\xff\xff"):
         try:
             unpack_message(payload)
@@ -113,7 +113,7 @@
 
 def test_large_entry_is_fetched_from_one_registry_and_from_another_after_a_timeout():
     held, requests = [0], []
-    entry = kinds.Entry(kind="configuration", key="configuration", number=3, deferred=True)
+    entry = messages_pb2.Entry(kind="configuration", key="configuration", number=3, deferred=True)
     fetcher = DeferredEntryFetcher(
         lambda entry: entry.number > held[0],
         lambda peer, _want: requests.append(peer) or peer != "gone",
@@ -146,7 +146,7 @@
         connection.send = lambda _kind, _number, payload, connection=connection: (
             connection.sent.append(payload)
         )
-        publisher.follow(connection, kinds.Follow())
+        publisher.follow(connection, messages_pb2.Follow())
         connections.append(connection)
     counted.clear()
     for number in range(1, 51):
--- a/tests/test_given_up_in_time.py
+++ b/tests/test_given_up_in_time.py
@@ -12,7 +12,7 @@
 from marblefold.http_connections.target_connection_pool import TargetConnectionPool
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.frames import FrameKind, FrameReader, pack_frame
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.node_config.model import Address
 from marblefold.node_config.reading import parse_config
@@ -91,7 +91,7 @@
 
 def test_a_hop_cancelled_before_its_first_step_is_not_begun_and_leaves_no_state(stage):
     guard, connection, transport = make_guard(stage)
-    head = pack_frame(FrameKind.HEAD, 1, kinds.RequestHead().SerializeToString())
+    head = pack_frame(FrameKind.HEAD, 1, messages_pb2.RequestHead().SerializeToString())
     stage.call(connection.data_received, head + pack_frame(FrameKind.CANCEL, 1))
     assert transport.written == b""
     assert connection.is_idle and guard.in_progress == 0
@@ -104,7 +104,7 @@
         raise RuntimeError("unforeseen")
 
     guard._find_refusal = fail
-    head = pack_frame(FrameKind.HEAD, 1, kinds.RequestHead().SerializeToString())
+    head = pack_frame(FrameKind.HEAD, 1, messages_pb2.RequestHead().SerializeToString())
     stage.call(connection.data_received, head)
     frames = list(FrameReader().feed(bytes(transport.written)))
     assert [frame.kind for frame in frames] == [FrameKind.RESET]
@@ -113,7 +113,7 @@
 
 def test_a_second_hop_with_a_number_in_use_closes_the_connection(stage):
     _guard, connection, transport = make_guard(stage)
-    head = pack_frame(FrameKind.HEAD, 1, kinds.RequestHead().SerializeToString())
+    head = pack_frame(FrameKind.HEAD, 1, messages_pb2.RequestHead().SerializeToString())
     stage.call(connection.data_received, head + head)
     assert not transport.is_open
 
@@ -131,7 +131,7 @@
     lines = []
     stage.loop.connector = lambda _address, transport: lines.append(transport)
     connections = stage.call(TargetConnectionPool, Address("10.0.0.1", 80))
-    head = kinds.RequestHead(
+    head = messages_pb2.RequestHead(
         attempt_id="a",
         method="POST",
         path=b"/",
--- a/tests/test_guard_parts.py
+++ b/tests/test_guard_parts.py
@@ -12,7 +12,7 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol.body_pipe import BodyPipe
 from marblefold.inner_protocol.exchange import Exchange
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.request_path.body_receiver import BodyReceiver
 from marblefold.request_path.cold_limit import ColdLimit
 from marblefold.request_path.local_target import Heartbeat, LocalTarget, TargetState
@@ -213,7 +213,7 @@
         tasks = [
             asyncio.ensure_future(
                 receiver.receive(
-                    exchange, kinds.RequestHead(body_follows=True, body_length=60_000), 30.0
+                    exchange, messages_pb2.RequestHead(body_follows=True, body_length=60_000), 30.0
                 )
             )
             for exchange in exchanges
@@ -234,7 +234,7 @@
     async def test():
         receiver = BodyReceiver(1000.0)
         exchanges = [BodyExchange(b"photo") for _ in range(3)]
-        heads = [kinds.RequestHead(body_follows=True, body_length=5) for _ in exchanges]
+        heads = [messages_pb2.RequestHead(body_follows=True, body_length=5) for _ in exchanges]
         tasks = [
             asyncio.ensure_future(receiver.receive(exchange, head, 30.0))
             for exchange, head in zip(exchanges, heads, strict=True)
@@ -254,7 +254,10 @@
         # A body that does not arrive is refused before the deadline.
         assert (
             await BodyReceiver(1e9).receive(
-                BodyExchange(b""), kinds.RequestHead(body_follows=True, body_length=5), 30.0, 0.0
+                BodyExchange(b""),
+                messages_pb2.RequestHead(body_follows=True, body_length=5),
+                30.0,
+                0.0,
             )
             == "body too slow"
         )
--- a/tests/test_leaving.py
+++ b/tests/test_leaving.py
@@ -3,7 +3,7 @@
 import types
 from datetime import timedelta
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.request_path import guard as guard_module
 from marblefold.request_path.guard import Guard
 from marblefold.request_path.local_target import Heartbeat, LocalTarget
@@ -23,7 +23,9 @@
     guard._caller = object()
 
     def refusal(last_resort):
-        head = kinds.RequestHead(expected_instance="i", upstream="q", last_resort=last_resort)
+        head = messages_pb2.RequestHead(
+            expected_instance="i", upstream="q", last_resort=last_resort
+        )
         answer = guard._find_refusal(head)
         return answer.step if answer is not None else ""
 
--- a/tests/test_lost_promises.py
+++ b/tests/test_lost_promises.py
@@ -6,7 +6,7 @@
 import asyncio
 
 from marblefold.errors import MeshError
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.register_store.acceptor import Acceptor, VotingStatus
 from marblefold.register_store.changes import leave_unchanged, set_configuration
 from marblefold.register_store.peer_call_kinds import CallKind, Refusal
@@ -39,7 +39,9 @@
             await gate
         if peer not in self.members:
             raise MeshError("network", "lost")
-        return answer_call(self.five[peer], kinds.StoreCall.FromString(call.SerializeToString()))
+        return answer_call(
+            self.five[peer], messages_pb2.StoreCall.FromString(call.SerializeToString())
+        )
 
 
 def start_members():
@@ -64,7 +66,7 @@
     for _ in range(3):
         reader = five[address]
         generation = reader.generation
-        call = kinds.StoreCall(
+        call = messages_pb2.StoreCall(
             kind=CallKind.READ, view=reader.pack_view(), sender=address, sender_life=generation
         )
         answers = [answer_call(five[source], call) for source in sources]
@@ -114,13 +116,13 @@
         task = asyncio.create_task(late.change(REGISTER, set_configuration(1, b"late"), 0.0))
         await run_loop_turns()
         early = make_proposer(five, "early", ["w:1", "z:1"], 0)
-        call = kinds.StoreCall(
+        call = messages_pb2.StoreCall(
             kind=CallKind.ACCEPT,
             view=five["w:1"].pack_view(),
             register=REGISTER,
             number=1,
             value=b"early",
-            ballot=kinds.Ballot(counter=1, proposer="early"),
+            ballot=messages_pb2.Ballot(counter=1, proposer="early"),
             lives={peer: five[peer].generation for peer in ("w:1", "z:1", "y:1")},
         )
         assert all(answer_call(five[peer], call).agreed for peer in ("w:1", "z:1"))
@@ -155,7 +157,7 @@
     """A frozen member receives the read calls of two generations at once, the later one first."""
     five = start_members()
     recover_on_empty_disk(five, "x:1", ["u:1", "w:1", "y:1"])
-    earlier_call = kinds.StoreCall(
+    earlier_call = messages_pb2.StoreCall(
         kind=CallKind.READ,
         view=five["w:1"].pack_view(),
         sender="x:1",
--- a/tests/test_one_number_one_content.py
+++ b/tests/test_one_number_one_content.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import rule
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import RegisterContent
 from marblefold.register_store.orders import read_order
@@ -22,7 +22,7 @@
 
 
 def make_call(number, content):
-    return kinds.RegisterCall(
+    return messages_pb2.RegisterCall(
         kind=RegisterCallKind.CONFIGURATION, register=REGISTER, number=number, value=content
     )
 
--- a/tests/test_orders_take_effect_once.py
+++ b/tests/test_orders_take_effect_once.py
@@ -16,7 +16,7 @@
 
 from marblefold import wire_names
 from marblefold.http_connections.call_router import Call
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.register_store.call_kinds import Outcome, RegisterCallKind
 from marblefold.register_store.changes import RegisterContent, leave_unchanged
 from marblefold.register_store.orders import read_order
@@ -156,7 +156,9 @@
 
 
 def make_call(kind, value, number, order=b"one"):
-    return kinds.RegisterCall(kind=kind, register=REGISTER, number=number, value=value, order=order)
+    return messages_pb2.RegisterCall(
+        kind=kind, register=REGISTER, number=number, value=value, order=order
+    )
 
 
 def test_a_start_left_at_a_minority_does_not_follow_a_stop_that_was_acknowledged():
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, rule
 
 from marblefold.errors import MeshError
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.leases.held_leases import Grant, HeldLeases
 from marblefold.ownership.agent import OWNER_PREFIX, SiteAgent
 from marblefold.ownership.claims import Claim, Owner, Verdict, decide_claim, find_clashes
@@ -209,7 +209,7 @@
         view.leases = site.leases
         guard = Guard(LocalTarget(lambda: None), view, None)
         executions += guard._is_owner(
-            kinds.RequestHead(upstream="orders", owner_epoch=sender_epoch)
+            messages_pb2.RequestHead(upstream="orders", owner_epoch=sender_epoch)
         )
     return executions
 
--- a/tests/test_peer_connection_model.py
+++ b/tests/test_peer_connection_model.py
@@ -16,7 +16,7 @@
 from marblefold.errors import MeshError
 from marblefold.inner_protocol import peer_connection
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.inner_protocol.peer_connection import PeerConnection
 from marblefold.inner_protocol.peer_connection_pool import PeerConnectionPool
 from marblefold.request_path.hop_sender import HopSender
@@ -96,7 +96,7 @@
 
     def send_request(self, mutating, has_body):
         name = f"a{len(self.requests):04}"
-        head = kinds.RequestHead(
+        head = messages_pb2.RequestHead(
             attempt_id=name,
             route_type="mutating" if mutating else "read_only",
             deadline_left_ms=900_000,
@@ -132,7 +132,7 @@
             return
         hop.is_answering = True
         hop.is_over = style != "long"
-        head = kinds.AnswerHead(outcome=HopOutcome.ANSWERED, status=200)
+        head = messages_pb2.AnswerHead(outcome=HopOutcome.ANSWERED, status=200)
         if style == "long":
             head.body_follows = True
             hop.tasks.append(self.stage.start(hop.answer_at_length(head)))
@@ -141,7 +141,7 @@
             head.body = b"answer of " + hop.name.encode()
         elif style == "refused":
             self.refused.add(hop.name)
-            head = kinds.AnswerHead(outcome=HopOutcome.NEVER_OFFERED)
+            head = messages_pb2.AnswerHead(outcome=HopOutcome.NEVER_OFFERED)
         if style == "reset":
             hop.exchange.send(FrameKind.RESET)
         else:
--- a/tests/test_starting_proxies.py
+++ b/tests/test_starting_proxies.py
@@ -1,6 +1,6 @@
 """A proxy that starts while a registry has no quorum contact."""
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.proxy.registry_follower import RegistryFollower
 from marblefold.proxy.startup_entry_hold import HOLD_TIMEOUT_SECONDS
 from marblefold.request_path.mesh_view import MeshView
@@ -34,12 +34,12 @@
     cluster.advance(2.0)
     assert [command[0][0], withdrawal[0][0]] == [200, 200]
     view, follower = start_proxy()
-    cluster.machines["a"].feed.follow(Connection(follower, "a"), kinds.Follow())
+    cluster.machines["a"].feed.follow(Connection(follower, "a"), messages_pb2.Follow())
     assert view.evacuated == set()
-    cluster.machines["b"].feed.follow(Connection(follower, "b"), kinds.Follow())
+    cluster.machines["b"].feed.follow(Connection(follower, "b"), messages_pb2.Follow())
     assert (
         view.evacuated == set()
-        and view.is_newer(kinds.Entry(kind="evacuation", key="z", number=2)) is False
+        and view.is_newer(messages_pb2.Entry(kind="evacuation", key="z", number=2)) is False
     )
 
 
@@ -51,7 +51,7 @@
     cluster.advance(2.0)
     view, follower = start_proxy()
     connection = Connection(follower, "a")
-    cluster.machines["a"].feed.follow(connection, kinds.Follow())
+    cluster.machines["a"].feed.follow(connection, messages_pb2.Follow())
     cluster.advance(HOLD_TIMEOUT_SECONDS - TIME_STEP_SECONDS)
     follower.release_held_entries(cluster.now)
     assert view.evacuated == set()
--- a/tests/test_store_safety.py
+++ b/tests/test_store_safety.py
@@ -16,7 +16,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from marblefold.errors import MeshError
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.register_store.acceptor import VIEW_REGISTER, Acceptor, VotingStatus
 from marblefold.register_store.changes import change_view, set_configuration
 from marblefold.register_store.peer_calls import answer_call
@@ -138,7 +138,7 @@
         for peer in ALL:
             if peer == address:
                 continue
-            call = kinds.StoreCall(
+            call = messages_pb2.StoreCall(
                 kind="read", view=acceptor.pack_view(), sender=address, sender_life=generation
             )
             answer = answer_call(self.stores[peer].acceptor, call)
@@ -224,7 +224,7 @@
 
 def make_call(kind, acceptor_view, **fields):
     """Makes a call between stores of the first view."""
-    return kinds.StoreCall(kind=kind, view=acceptor_view, **fields)
+    return messages_pb2.StoreCall(kind=kind, view=acceptor_view, **fields)
 
 
 def test_an_accept_that_counts_on_a_superseded_generation_is_refused():
@@ -232,7 +232,7 @@
     disks = {address: MemoryRecords() for address in SEEDS}
     stores = {address: Acceptor(address, disks[address], SEEDS, True) for address in SEEDS}
     view = stores["a:1"].pack_view()
-    ballot = kinds.Ballot(counter=5, proposer="d:1")
+    ballot = messages_pb2.Ballot(counter=5, proposer="d:1")
     prepare = make_call("prepare", view, register="configuration", ballot=ballot)
     generations = {peer: answer_call(stores[peer], prepare).life for peer in SEEDS}
     accept = make_call(
--- a/tests/test_target_connection_model.py
+++ b/tests/test_target_connection_model.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from marblefold.http_connections.target_connection_pool import TargetConnectionPool
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.node_config.model import Address
 from marblefold.request_path.outcome import HopOutcome
 from marblefold.request_path.target_caller import TargetCaller
@@ -57,7 +57,7 @@
     @rule(mutating=st.booleans())
     def send_request(self, mutating):
         name = f"a{len(self.offers)}"
-        head = kinds.RequestHead(
+        head = messages_pb2.RequestHead(
             attempt_id=name,
             method="GET",
             path=b"/",
--- a/tests/test_tracing.py
+++ b/tests/test_tracing.py
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.tracing.collector import Collector
 from marblefold.tracing.context import (
     KeepPriority,
@@ -229,7 +229,7 @@
     for number in range(300):
         keep = KeepPriority.MARKED if number % 3 == 0 else KeepPriority.ORDER
         span = make_span(number.to_bytes(16, "big"), keep, number)
-        collector.add_batch(kinds.SpanBatch(node="n", lost=2, spans=[pack_span(span, 0.0)]))
+        collector.add_batch(messages_pb2.SpanBatch(node="n", lost=2, spans=[pack_span(span, 0.0)]))
         assert collector.span_count <= 100
     held = list(collector.newest())
     marked = sum(1 for trace_id in held if int.from_bytes(trace_id, "big") % 3 == 0)
@@ -265,7 +265,7 @@
     held = {}
     for batch in sent.values():
         collector = Collector()
-        collector.add_batch(kinds.SpanBatch.FromString(batch.SerializeToString()))
+        collector.add_batch(messages_pb2.SpanBatch.FromString(batch.SerializeToString()))
         for trace_id in collector.newest():
             held.setdefault(trace_id, []).extend(
                 row.span.target for row in collector.find_spans(trace_id)
@@ -300,7 +300,7 @@
 
 def test_traceparent_sent_by_the_target_links_its_call_to_the_execution():
     tracer = Tracer(Recorder(), TraceSettings(), "n", 1)
-    head = kinds.RequestHead(
+    head = messages_pb2.RequestHead(
         attempt_id="a",
         trace_id=b"t" * 16,
         parent_span=b"p" * 8,
--- a/tests/test_zone_taken_back.py
+++ b/tests/test_zone_taken_back.py
@@ -3,7 +3,7 @@
 import time
 from datetime import timedelta
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.proxy.program import ProxyProgram
 from marblefold.request_path.local_target import Heartbeat
 from tests.mesh_on_loopback import make_config, make_watch
@@ -28,6 +28,8 @@
         Heartbeat("i1", "quotes", "", "hall", 12, False, timedelta(seconds=2.5), 1)
     )
     now[0] += 0.03
-    proxy.view.apply(kinds.Entry(kind="evacuation", key="hall", life=1, number=2, value=b"off"))
+    proxy.view.apply(
+        messages_pb2.Entry(kind="evacuation", key="hall", life=1, number=2, value=b"off")
+    )
     now[0] += 1.6
     assert proxy.target.cold_until > now[0]
--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -11,7 +11,7 @@
 from typing import NamedTuple
 
 from marblefold.errors import MeshError
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.register_store.acceptor import Acceptor, VotingStatus
 from marblefold.register_store.changes import set_configuration
 from marblefold.register_store.peer_call_kinds import CallKind
@@ -75,7 +75,7 @@
     """One proposer's calls, held until they are delivered."""
 
     def __init__(self, world: "World", reach: tuple[str, ...]) -> None:
-        self.waiting: dict[tuple[str, str], tuple[kinds.StoreCall, asyncio.Future]] = {}
+        self.waiting: dict[tuple[str, str], tuple[messages_pb2.StoreCall, asyncio.Future]] = {}
         self.delivered: list[tuple] = []
         self._world, self._reach = world, reach
         # A call that nobody answers must not be collected before the run ends.
@@ -87,11 +87,11 @@
     def learn_view(self, view: View) -> None:
         """Views do not change in a run."""
 
-    async def call(self, peer: str, call: kinds.StoreCall) -> kinds.StoreAnswer:
+    async def call(self, peer: str, call: messages_pb2.StoreCall) -> messages_pb2.StoreAnswer:
         future = asyncio.get_running_loop().create_future()
         self._futures.append(future)
         if peer in self._reach:
-            copy = kinds.StoreCall.FromString(call.SerializeToString())
+            copy = messages_pb2.StoreCall.FromString(call.SerializeToString())
             self.waiting[peer, call.kind] = (copy, future)
         return await future
 
@@ -194,7 +194,7 @@
     def _read(self, member: str, sources: tuple[str, ...]) -> None:
         reader = self.acceptors[member]
         life = reader.generation
-        call = kinds.StoreCall(
+        call = messages_pb2.StoreCall(
             kind=CallKind.READ, view=reader.pack_view(), sender=member, sender_life=life
         )
         answers = [_answer(self.acceptors[source], call) for source in sources]
@@ -259,7 +259,7 @@
     return acceptor.view
 
 
-def _answer(acceptor: Acceptor, call: kinds.StoreCall) -> kinds.StoreAnswer:
+def _answer(acceptor: Acceptor, call: messages_pb2.StoreCall) -> messages_pb2.StoreAnswer:
     answer = answer_call(acceptor, call)
     if answer is None:
         raise ValueError(f"not a call for an acceptor: {call.kind}")
