--- a/marblefold/http_connections/http_server.py
+++ b/marblefold/http_connections/http_server.py
@@ -42,7 +42,7 @@
         self.in_progress = 0
         self._handle = handle
         self._may_run_concurrently = may_run_concurrently
-        self._loop_watch = EventLoopMonitor(_SWEEP_INTERVAL.total_seconds())
+        self._loop_monitor = EventLoopMonitor(_SWEEP_INTERVAL.total_seconds())
         self._max_connections = max_connections
         self._connections: set[ClientConnection] = set()
         self._server: asyncio.Server | None = None
@@ -59,7 +59,7 @@
         self.last_request_at = request.arrived
         self.in_progress += 1
         try:
-            await self._loop_watch.catch_up()
+            await self._loop_monitor.catch_up()
             if self.refuses_requests:
                 # The body is read first: closing with unread bytes resets the
                 # connection, and the client may lose the answer.
@@ -123,7 +123,7 @@
         while True:
             await asyncio.sleep(_SWEEP_INTERVAL.total_seconds())
             now = time.monotonic()
-            self._loop_watch.tick(now)
+            self._loop_monitor.tick(now)
             idle_cutoff = now - self.idle_timeout.total_seconds()
             head_cutoff = now - self.header_timeout.total_seconds()
             for connection in list(self._connections):
--- a/marblefold/register_store/acceptor.py
+++ b/marblefold/register_store/acceptor.py
@@ -286,8 +286,12 @@
 
     def _read_meta(self, data: bytes) -> None:
         meta = StoreMeta.read(data)
-        self.generation, self.voting_status, self.view = meta.life, meta.standing, meta.view
-        self.known_generations, self._unproven = dict(meta.lives), set(meta.unproven)
+        self.generation, self.voting_status, self.view = (
+            meta.generation,
+            meta.voting_status,
+            meta.view,
+        )
+        self.known_generations, self._unproven = dict(meta.known_generations), set(meta.unproven)
 
     def _agree(self, accepted: list[messages_pb2.Accepted]) -> messages_pb2.StoreAnswer:
         return messages_pb2.StoreAnswer(
--- a/marblefold/register_store/anti_entropy.py
+++ b/marblefold/register_store/anti_entropy.py
@@ -69,7 +69,7 @@
 
     def is_known_chosen(self, register: str) -> bool:
         """Whether the state accepted here, or a newer one, is known to be chosen."""
-        known = self._chosen.holdings.get(register)
+        known = self._chosen.states.get(register)
         accepted = self._acceptor.accepted_states.get(register)
         return known is not None and (accepted is None or accepted.ballot <= known.ballot)
 
@@ -101,7 +101,7 @@
 
     def _store_copies(self) -> None:
         """Accepts the chosen states that the disk refused, or that arrived during recovery."""
-        for register, state in list(self._chosen.holdings.items()):
+        for register, state in list(self._chosen.states.items()):
             if not self._store_copy(register, state):
                 return
 
--- a/marblefold/register_store/call_kinds.py
+++ b/marblefold/register_store/call_kinds.py
@@ -24,7 +24,7 @@
     # that the caller read.
     EVACUATION = "evacuation"
     MAINTENANCE = "maintenance"
-    DUTY = "duty"
+    LEADER = "duty"
     WINDOW_EMPTY = "window-empty"
     WINDOW_RELEASE = "window-release"
 
--- a/marblefold/register_store/chosen_registers.py
+++ b/marblefold/register_store/chosen_registers.py
@@ -19,18 +19,18 @@
     """The newest chosen state of every register, and the connections to notify of changes."""
 
     def __init__(self) -> None:
-        self.holdings: dict[str, AcceptedState] = {}
+        self.states: dict[str, AcceptedState] = {}
         self._watchers: set[PeerConnection] = set()
         self._digest = b""
 
-    def put(self, register: str, holding: AcceptedState) -> bool:
+    def put(self, register: str, state: AcceptedState) -> bool:
         """Stores a chosen state; returns whether it was newer than the known one."""
-        known = self.holdings.get(register)
-        if not holding.value or (known is not None and holding.ballot <= known.ballot):
+        known = self.states.get(register)
+        if not state.value or (known is not None and state.ballot <= known.ballot):
             return False
-        self.holdings[register] = holding
+        self.states[register] = state
         self._digest = b""
-        payload = pack_message(pack_accepted_state(register, holding))
+        payload = pack_message(pack_accepted_state(register, state))
         for connection in self._watchers:
             connection.send(FrameKind.NOTIFICATION, 0, payload)
         return True
@@ -38,9 +38,9 @@
     def watch(self, connection: PeerConnection) -> None:
         """Sends all chosen states to the connection, and every later change."""
         self._watchers.add(connection)
-        for register, holding in self.holdings.items():
+        for register, state in self.states.items():
             connection.send(
-                FrameKind.NOTIFICATION, 0, pack_message(pack_accepted_state(register, holding))
+                FrameKind.NOTIFICATION, 0, pack_message(pack_accepted_state(register, state))
             )
 
     def remove_watcher(self, connection: PeerConnection) -> None:
@@ -50,15 +50,15 @@
     def digest(self) -> bytes:
         """A 16-byte hash over registers and ballots; equal if two stores know the same states."""
         if not self._digest:
-            versions = sorted((name, *holding.ballot) for name, holding in self.holdings.items())
+            versions = sorted((name, *state.ballot) for name, state in self.states.items())
             self._digest = blake2b(repr(versions).encode(), digest_size=16).digest()
         return self._digest
 
     def ballots(self) -> list[messages_pb2.Accepted]:
         """The ballot of every chosen state, for peers to compare with theirs."""
         return [
-            messages_pb2.Accepted(register=register, ballot=holding.ballot.pack())
-            for register, holding in self.holdings.items()
+            messages_pb2.Accepted(register=register, ballot=state.ballot.pack())
+            for register, state in self.states.items()
         ]
 
     def newer_than(self, ballots: list[messages_pb2.Accepted]) -> list[messages_pb2.Accepted]:
@@ -66,10 +66,10 @@
         peer_ballots = {message.register: Ballot.read(message.ballot) for message in ballots}
         newer: list[messages_pb2.Accepted] = []
         size = 0
-        for register, holding in self.holdings.items():
-            if register in peer_ballots and holding.ballot <= peer_ballots[register]:
+        for register, state in self.states.items():
+            if register in peer_ballots and state.ballot <= peer_ballots[register]:
                 continue
-            message = pack_accepted_state(register, holding)
+            message = pack_accepted_state(register, state)
             size += message.ByteSize()
             if newer and size > _MAX_ANSWER_BYTES:
                 break
--- a/marblefold/register_store/program.py
+++ b/marblefold/register_store/program.py
@@ -128,16 +128,14 @@
         if order is None:
             return messages_pb2.RegisterAnswer(outcome=Outcome.UNKNOWN, reason="no such call")
         try:
-            holding = await self._proposer.change(
+            state = await self._proposer.change(
                 call.register, order.change, _CHANGE_TIMEOUT_SECONDS
             )
         except MeshError as error:
             return messages_pb2.RegisterAnswer(outcome=Outcome.UNKNOWN, reason=str(error))
-        self._publish_chosen(call.register, holding)
-        outcome = order.outcome_of(RegisterContent(holding.number, holding.value, holding.orders))
-        return messages_pb2.RegisterAnswer(
-            outcome=outcome, number=holding.number, value=holding.value
-        )
+        self._publish_chosen(call.register, state)
+        outcome = order.outcome_of(RegisterContent(state.number, state.value, state.orders))
+        return messages_pb2.RegisterAnswer(outcome=outcome, number=state.number, value=state.value)
 
     def _send_view(self, connection: PeerConnection) -> None:
         """Sends the current view; the first one was never proposed, so no register holds it."""
@@ -153,11 +151,11 @@
                 ),
             )
 
-    def _publish_chosen(self, register: str, holding: AcceptedState) -> None:
-        self._replica.learn_chosen(register, holding)
+    def _publish_chosen(self, register: str, state: AcceptedState) -> None:
+        self._replica.learn_chosen(register, state)
         view = self._acceptor.view
         for peer in view.members if view else ():
-            self._peers.notify_chosen(peer, register, holding)
+            self._peers.notify_chosen(peer, register, state)
 
 
 def open_acceptor(
--- a/marblefold/register_store/replica.py
+++ b/marblefold/register_store/replica.py
@@ -199,7 +199,7 @@
             register: state.ballot
             for register, state in self._acceptor.accepted_states.items()
             if register != VIEW_REGISTER
-            and state.ballot > self._chosen.holdings.get(register, NO_ACCEPTED_STATE).ballot
+            and state.ballot > self._chosen.states.get(register, NO_ACCEPTED_STATE).ballot
         }
         if self._unreconciled is not None:
             self._unreconciled |= {
--- a/marblefold/register_store/store_records.py
+++ b/marblefold/register_store/store_records.py
@@ -24,9 +24,9 @@
     a higher ballot was promised.
     """
 
-    life: str
-    standing: VotingStatus
-    lives: dict[str, str]
+    generation: str
+    voting_status: VotingStatus
+    known_generations: dict[str, str]
     unproven: frozenset[str]
     view: View | None
 
@@ -34,9 +34,9 @@
         """Encodes the record as JSON."""
         return json.dumps(
             {
-                "life": self.life,
-                "standing": self.standing.value,
-                "lives": self.lives,
+                "life": self.generation,
+                "standing": self.voting_status.value,
+                "lives": self.known_generations,
                 "unproven": sorted(self.unproven),
                 "view": self.view.pack().decode() if self.view else "",
             }
--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -65,7 +65,7 @@
         self._caller: TargetCaller | None = None
         self._tasks: set[asyncio.Task] = set()
         self._offered_hops = OfferedHops()
-        self._loop_watch = EventLoopMonitor(_CHECK_INTERVAL_SECONDS)
+        self._loop_monitor = EventLoopMonitor(_CHECK_INTERVAL_SECONDS)
         self._unreachable_until = 0.0
         self._shutdown_rule = ShutdownRule(bounds)
         # Records every hop if tracing is enabled on this node.
@@ -111,7 +111,7 @@
         while True:
             await asyncio.sleep(_CHECK_INTERVAL_SECONDS)
             now = time.monotonic()
-            self._loop_watch.tick(now)
+            self._loop_monitor.tick(now)
             # A single request may just be slow; several without any byte indicate a failure.
             waiting = self._offered_hops.count_older(now, _SILENCE_SECONDS)
             connections = self._connections
@@ -137,7 +137,7 @@
         span = tracer.begin_serve(head) if tracer is not None and head.trace_id else None
         answer = None
         try:
-            await self._loop_watch.catch_up()
+            await self._loop_monitor.catch_up()
             answer = await self._admit_and_offer(exchange, head, arrived_at, span)
             answer.running = self.slots.running
             answer.waiting = self.slots.waiting + self._body_receiver.waiting
--- a/marblefold/request_path/mesh_view.py
+++ b/marblefold/request_path/mesh_view.py
@@ -1,7 +1,7 @@
 """This proxy's view of the mesh: targets, configuration and evacuations.
 
 It is updated from the registries' feeds and never reverts to older data: of two
-entries under one key it keeps the one with the higher life (generation) and number.
+entries under one key it keeps the one with the higher generation (the field `life`) and number.
 """
 
 import json
@@ -59,7 +59,7 @@
         self.evacuated: set[str] = set()
         self.suspects: set[str] = set()
         self.registries: set[str] = set()
-        # Called with the life of each new entry about the target of this node.
+        # Called with the generation of each new entry about the target of this node.
         self.on_own_target_entry: Callable[[int], None] | None = None
         self.on_evacuation: Callable[[str, bool], None] | None = None
         self.on_partners: Callable[[], None] | None = None
--- a/tests/many_changes.py
+++ b/tests/many_changes.py
@@ -57,31 +57,30 @@
     expected = {}
     for number in range(1, changes + 1):
         index = number - 1 if number <= registers else rng.randrange(registers)
-        holding = await core.change(
+        state = await core.change(
             proposer_of(number), register_name(index), change_of(index, number)
         )
-        expected[register_name(index)] = (holding.number, holding.value)
+        expected[register_name(index)] = (state.number, state.value)
     return expected
 
 
 def accepted_at(member):
     return {
-        register: (holding.number, holding.value)
-        for register, holding in member.acceptor.accepted_states.items()
+        register: (state.number, state.value)
+        for register, state in member.acceptor.accepted_states.items()
     }
 
 
 def chosen_at(member):
     return {
-        register: (holding.number, holding.value)
-        for register, holding in member.chosen.holdings.items()
+        register: (state.number, state.value) for register, state in member.chosen.states.items()
     }
 
 
 def bytes_chosen_at(member):
     return sum(
-        pack_accepted_state(register, holding).ByteSize()
-        for register, holding in member.chosen.holdings.items()
+        pack_accepted_state(register, state).ByteSize()
+        for register, state in member.chosen.states.items()
     )
 
 
--- a/tests/simulated_cold.py
+++ b/tests/simulated_cold.py
@@ -45,8 +45,8 @@
     """One peer, one guard and one target on a simulated clock."""
 
     def __init__(self):
-        self.stage = Simulation()
-        self.stage.loop.connector = self._connect
+        self.simulation = Simulation()
+        self.simulation.loop.connector = self._connect
         self.bounds = parse_config(make_config("10.0.0.9", 7000, "")).bounds
         # When each request was written to the target.
         self.written = []
@@ -73,7 +73,7 @@
         """Starts a new proxy process without a configuration or any state of the target."""
         self.view = MeshView("n1")
         self.target = LocalTarget(lambda: None)
-        self.stage.call(self._make_guard)
+        self.simulation.call(self._make_guard)
 
     def _make_guard(self):
         self.probes = 0
@@ -81,12 +81,12 @@
         self.address = Address("10.0.1.1", 80)
         self.guard.set_address(self.address)
         self.guard.cold.on_probe_needed = self._count_probe
-        self.guard.cold.begin(self.stage.now)
+        self.guard.cold.begin(self.simulation.now)
 
     def _count_probe(self):
-        if self.guard.cold.may_probe(self.stage.now):
+        if self.guard.cold.may_probe(self.simulation.now):
             self.probes += 1
-            self.written.append(self.stage.now)
+            self.written.append(self.simulation.now)
 
     def configure(self):
         """Gives the configuration to the proxy beside the target."""
@@ -104,22 +104,24 @@
 
     def deliver(self, heartbeat):
         """The proxy receives a heartbeat."""
-        self.stage.call(self.target.apply_heartbeat, heartbeat)
+        self.simulation.call(self.target.apply_heartbeat, heartbeat)
 
     def restart_proxy(self):
         """Kills the proxy process beside the target and starts another one."""
         links, self._links = self._links, []
         for near, far in links:
-            self.stage.call(near.reset)
-            self.stage.call(far.reset)
+            self.simulation.call(near.reset)
+            self.simulation.call(far.reset)
         for link in self._target_links:
-            self.stage.call(link.transport.reset)
+            self.simulation.call(link.transport.reset)
         self.start_proxy()
 
     def answer_health(self, cold_seconds, requested_at):
         """Delivers the answer of the target to the probe sent at `requested_at`."""
         cold = timedelta(seconds=cold_seconds)
-        self.stage.call(self.target.apply_health, "i1", "quotes", "hall", 12, cold, requested_at)
+        self.simulation.call(
+            self.target.apply_health, "i1", "quotes", "hall", 12, cold, requested_at
+        )
 
     def warm_up(self):
         """Brings the proxy to a state in which it is in use and its target is known to be warm."""
@@ -127,16 +129,16 @@
         self.heartbeat(0.0)
         self.advance(5.0)
         self.send_requests(1)
-        self.answer_health(0.0, self.stage.now)
+        self.answer_health(0.0, self.simulation.now)
 
     def send_requests(self, count):
         """Sends `count` requests from clients of the peer; the target answers at once."""
         for _request in range(count):
             self._request_count += 1
-            connection = self.stage.call(ClientConnection, self._server)
-            transport = InMemoryTransport(connection, self.stage.loop)
-            self.stage.call(connection.connection_made, transport)
-            self.stage.call(
+            connection = self.simulation.call(ClientConnection, self._server)
+            transport = InMemoryTransport(connection, self.simulation.loop)
+            self.simulation.call(connection.connection_made, transport)
+            self.simulation.call(
                 connection.data_received,
                 b"GET /read/x HTTP/1.1\r\nHost: shop\r\nAttempt-Id: a%d\r\n"
                 b"Deadline-Ms: 900\r\n\r\n" % self._request_count,
@@ -145,8 +147,8 @@
 
     def advance(self, seconds):
         """Advances the clock."""
-        self.stage.now += seconds
-        self.stage.turn()
+        self.simulation.now += seconds
+        self.simulation.turn()
         self._transfer()
 
     def max_in_a_second(self, since, until):
@@ -155,7 +157,7 @@
         return max((sum(1 for at in cold if end - 1.0 < at <= end) for end in cold), default=0)
 
     def close(self):
-        self.stage.close()
+        self.simulation.close()
 
     def _connect(self, address, near):
         if address.startswith("10.0.1."):
@@ -164,14 +166,14 @@
             return
         owner = SimpleNamespace(on_hop=self.guard.on_hop, on_lost=lambda _connection: None)
         protocol = PeerConnection(owner)
-        far = InMemoryTransport(protocol, self.stage.loop)
+        far = InMemoryTransport(protocol, self.simulation.loop)
         protocol.connection_made(far)
         self._links.append((near, far))
 
     def _record_writes(self):
         for link in self._target_links:
             found = list(WRITTEN.finditer(bytes(link.transport.written)))
-            self.written += [self.stage.now] * (len(found) - link.seen)
+            self.written += [self.simulation.now] * (len(found) - link.seen)
             link.seen = len(found)
 
     def _transfer(self):
@@ -183,7 +185,7 @@
                 for end, other in ((near, far), (far, near)):
                     data = end.take()
                     if data and other.is_open:
-                        self.stage.call(other.protocol.data_received, data)
+                        self.simulation.call(other.protocol.data_received, data)
                         moved = True
             for link in self._target_links:
                 for match in WRITTEN.finditer(link.transport.take()):
@@ -191,5 +193,5 @@
                         b"HTTP/1.1 200 OK\r\nAttempt-Id: %s\r\nServer-Seal: s\r\n"
                         b"Content-Length: 4\r\n\r\ndone" % match[1]
                     )
-                    self.stage.call(link.transport.protocol.data_received, answer)
+                    self.simulation.call(link.transport.protocol.data_received, answer)
                     moved = True
--- a/tests/simulated_control.py
+++ b/tests/simulated_control.py
@@ -92,13 +92,13 @@
     def __init__(self, history_folder=""):
         self.stores = SimulatedStores()
         self.router = CallRouter()
-        partner_duty = PartnerCoordinator(self.stores, lambda: False)
+        partner_coordinator = PartnerCoordinator(self.stores, lambda: False)
         history = HistoryRecorder(history_folder)
         self.call_groups = (
             TraceCalls(Collector(100), lambda: 0.0),
             history,
             RehearsalCalls(self.stores, dict),
-            PartnerCalls(self.stores, partner_duty, dict, sleep=_no_sleep),
+            PartnerCalls(self.stores, partner_coordinator, dict, sleep=_no_sleep),
             OwnerCalls(self.stores, lambda: KnownClaims({}, {})),
             MaintenanceCalls(self.stores, lambda: ZONES, lambda: CAPACITY),
             ControlCalls(self.stores, lambda: ZONES, dict),
--- a/tests/simulated_orders.py
+++ b/tests/simulated_orders.py
@@ -68,10 +68,10 @@
     async def execute(self, address, call):
         """Returns the outcome of an order at a store, and the content of its register."""
         order = read_order(call)
-        holding = await self.stores[address].proposer.change(
+        state = await self.stores[address].proposer.change(
             call.register, order.change, _CHANGE_TIMEOUT_SECONDS
         )
-        content = RegisterContent(holding.number, holding.value, holding.orders)
+        content = RegisterContent(state.number, state.value, state.orders)
         return order.outcome_of(content), content
 
     async def _execute_for_outcome(self, address, call):
--- a/tests/simulated_peer.py
+++ b/tests/simulated_peer.py
@@ -22,13 +22,13 @@
 class ReceivedHop:
     """A hop as the receiving peer has it."""
 
-    def __init__(self, name, exchange, stage):
+    def __init__(self, name, exchange, simulation):
         self.name, self.exchange, self.is_cancelled, self.is_over = name, exchange, False, False
         self.tasks, self.body = [], None
         # Set when the rest of a long answer may be sent.
         self.can_finish, self.is_answering = asyncio.Event(), False
         exchange.on_cancel = self.cancel
-        self.stage = stage
+        self.simulation = simulation
 
     def cancel(self):
         self.is_cancelled = self.is_over = True
@@ -67,12 +67,12 @@
 
     def on_hop(self, exchange, payload):
         head = messages_pb2.RequestHead.FromString(payload)
-        hop = ReceivedHop(head.attempt_id, exchange, self.machine.stage)
+        hop = ReceivedHop(head.attempt_id, exchange, self.machine.simulation)
         self.hops.append(hop)
         self.machine.hops.append(hop)
         if head.body_follows:
             exchange.grant_credit(7)
-            hop.tasks.append(self.machine.stage.loop.create_task(hop.read()))
+            hop.tasks.append(self.machine.simulation.loop.create_task(hop.read()))
 
     def on_lost(self, connection):
         pass
--- a/tests/test_cold_model.py
+++ b/tests/test_cold_model.py
@@ -29,7 +29,7 @@
 
     @property
     def now(self):
-        return self.path.stage.now
+        return self.path.simulation.now
 
     @property
     def cold_remaining(self):
@@ -109,7 +109,7 @@
 
     @invariant()
     def no_second_of_a_cold_time_holds_more_than_its_bound(self):
-        assert self.path.stage.faults == []
+        assert self.path.simulation.faults == []
         for since, until in self.cold_times:
             assert self.path.max_in_a_second(since, until) <= ALLOWED
 
--- a/tests/test_cold_targets.py
+++ b/tests/test_cold_targets.py
@@ -21,7 +21,7 @@
 
 def send_load(path, seconds, per_tenth=10):
     """Sends `per_tenth` requests every 0.1 seconds; returns when the load began."""
-    began = path.stage.now
+    began = path.simulation.now
     for _step in range(round(seconds * 10)):
         path.send_requests(per_tenth)
         path.advance(0.1)
@@ -31,7 +31,7 @@
 def test_a_warm_target_is_not_limited(path):
     path.warm_up()
     began = send_load(path, 1.0)
-    assert path.max_in_a_second(began, path.stage.now) >= 90
+    assert path.max_in_a_second(began, path.simulation.now) >= 90
 
 
 def test_a_cold_target_is_limited(path):
@@ -52,13 +52,13 @@
     path.heartbeat(3.0)
     path.advance(1.2)
     began = send_load(path, 1.5)
-    assert path.max_in_a_second(began, path.stage.now) > 30
+    assert path.max_in_a_second(began, path.simulation.now) > 30
 
 
 def test_a_delayed_heartbeat_does_not_make_the_target_warm(path):
     """It was sent before the target went cold and arrives after the evacuation has ended."""
     path.warm_up()
-    path.guard.cold.mark_uncertain(path.stage.now, "zone taken back")
+    path.guard.cold.mark_uncertain(path.simulation.now, "zone taken back")
     path.heartbeat(0.0)
     began = send_load(path, 3.0)
     assert path.max_in_a_second(began, began + 3.0) <= ALLOWED
@@ -73,30 +73,30 @@
 
 def test_uncertainty_without_a_probe_answer_lasts_for_the_whole_cold_start(path):
     path.warm_up()
-    path.guard.cold.mark_uncertain(path.stage.now, "zone taken back")
+    path.guard.cold.mark_uncertain(path.simulation.now, "zone taken back")
     began = send_load(path, 2.9)
     assert path.max_in_a_second(began, began + 2.9) <= ALLOWED
     assert path.probes > 1
     later = send_load(path, 1.5)
-    assert path.max_in_a_second(later, path.stage.now) > ALLOWED
+    assert path.max_in_a_second(later, path.simulation.now) > ALLOWED
 
 
 def test_a_health_answer_ends_uncertainty_only_if_requested_after_it_began(path):
     path.warm_up()
     path.advance(0.2)
-    requested_before = path.stage.now - 0.1
-    path.guard.cold.mark_uncertain(path.stage.now, "zone taken back")
+    requested_before = path.simulation.now - 0.1
+    path.guard.cold.mark_uncertain(path.simulation.now, "zone taken back")
     path.answer_health(0.0, requested_before)
     began = send_load(path, 1.0)
-    assert path.max_in_a_second(began, path.stage.now) <= ALLOWED
-    path.answer_health(0.0, path.stage.now)
+    assert path.max_in_a_second(began, path.simulation.now) <= ALLOWED
+    path.answer_health(0.0, path.simulation.now)
     later = send_load(path, 1.2)
-    assert path.max_in_a_second(later, path.stage.now) > ALLOWED
+    assert path.max_in_a_second(later, path.simulation.now) > ALLOWED
 
 
 def test_a_cold_health_answer_prevails_over_a_warm_heartbeat(path):
     path.warm_up()
-    path.answer_health(2.0, path.stage.now)
+    path.answer_health(2.0, path.simulation.now)
     path.heartbeat(0.0)
     began = send_load(path, 2.0)
     assert path.max_in_a_second(began, began + 2.0) <= ALLOWED
@@ -114,7 +114,7 @@
 def test_a_suspended_process_may_have_missed_that_its_target_went_cold(path):
     path.warm_up()
     send_load(path, 0.5)
-    path.stage.now += 1.3
+    path.simulation.now += 1.3
     began = send_load(path, 2.9)
     assert path.max_in_a_second(began, began + 2.9) <= ALLOWED
 
@@ -122,16 +122,16 @@
 def test_requests_on_slow_connections_are_counted_when_they_are_written(path):
     path.warm_up()
     path.heartbeat(3.0)
-    began = path.stage.now
+    began = path.simulation.now
     path.send_requests(30)
     # All of these are admitted, although the window has room for only a few.
-    gate = path.stage.loop.gate = asyncio.Event()
+    gate = path.simulation.loop.gate = asyncio.Event()
     path.guard.set_address(path.address)
     path.send_requests(12)
     path.advance(0.1)
-    path.stage.call(gate.set)
+    path.simulation.call(gate.set)
     path.advance(0.0)
-    assert 30 < path.max_in_a_second(began, path.stage.now) <= ALLOWED
+    assert 30 < path.max_in_a_second(began, path.simulation.now) <= ALLOWED
 
 
 def test_a_request_written_late_counts_when_it_is_written(path):
@@ -139,15 +139,15 @@
     path.warm_up()
     path.heartbeat(3.0)
     path.advance(1.5)
-    gate = path.stage.loop.gate = asyncio.Event()
+    gate = path.simulation.loop.gate = asyncio.Event()
     path.guard.set_address(path.address)
-    began = path.stage.now
+    began = path.simulation.now
     path.send_requests(12)
     path.advance(0.24)
-    path.stage.call(gate.set)
+    path.simulation.call(gate.set)
     path.advance(0.83)
     path.send_requests(40)
-    assert path.max_in_a_second(began, path.stage.now) <= ALLOWED
+    assert path.max_in_a_second(began, path.simulation.now) <= ALLOWED
 
 
 def test_an_unknown_limit_does_not_mean_unlimited(path):
@@ -156,7 +156,7 @@
     path.heartbeat(3.0)
     path.advance(1.2)
     began = send_load(path, 1.5)
-    assert path.max_in_a_second(began, path.stage.now) <= 2
+    assert path.max_in_a_second(began, path.simulation.now) <= 2
 
 
 def test_a_refusal_due_to_uncertainty_triggers_a_probe(path):
@@ -165,16 +165,16 @@
     path.heartbeat(0.0)
     path.send_requests(1)
     assert path.probes == 1
-    path.answer_health(0.0, path.stage.now)
+    path.answer_health(0.0, path.simulation.now)
     began = send_load(path, 0.5)
-    assert path.max_in_a_second(began, path.stage.now) > ALLOWED
+    assert path.max_in_a_second(began, path.simulation.now) > ALLOWED
 
 
 def test_an_answer_to_an_earlier_probe_does_not_replace_one_to_a_later_probe(path):
     path.warm_up()
-    requested_at = path.stage.now
+    requested_at = path.simulation.now
     path.advance(0.3)
-    path.answer_health(3.0, path.stage.now)
+    path.answer_health(3.0, path.simulation.now)
     path.answer_health(0.0, requested_at)
     began = send_load(path, 2.9)
     assert path.max_in_a_second(began, began + 2.9) <= ALLOWED
--- a/tests/test_command_router.py
+++ b/tests/test_command_router.py
@@ -240,8 +240,8 @@
 )
 def test_changes_of_a_window_are_fenced_by_the_register(kind, before, others, after):
     registers = Registers(5, before, others)
-    duty = MaintenanceCoordinator(registers, None)
-    state = asyncio.run(duty._change_zone(RegisterCallKind(kind), "z"))
+    coordinator = MaintenanceCoordinator(registers, None)
+    state = asyncio.run(coordinator._change_zone(RegisterCallKind(kind), "z"))
     assert state.value == registers.value
     assert registers.value == after
 
--- a/tests/test_cut_off_cases.py
+++ b/tests/test_cut_off_cases.py
@@ -232,7 +232,7 @@
     cluster,
 ):
     command, machine = send(cluster, "a", "PUT"), cluster.machines["a"]
-    while "evacuation/z" not in machine.chosen.holdings:
+    while "evacuation/z" not in machine.chosen.states:
         cluster.run_rounds(1)
     # The others accepted it, but machine a's messages that it is chosen are lost.
     cluster.cut_links.update(CUTS["both ways"])
--- a/tests/test_cut_off_registry.py
+++ b/tests/test_cut_off_registry.py
@@ -157,15 +157,15 @@
     def no_superseded_command_is_in_effect(self):
         if self.acknowledged < 0:
             return
-        holdings = [
+        states = [
             machine.acceptor.accepted_states.get(REGISTER, NO_ACCEPTED_STATE)
             for machine in self.cluster.machines.values()
         ]
-        for holding in holdings:
-            agreeing = sum(1 for other in holdings if other.ballot == holding.ballot)
-            if agreeing * 2 > len(holdings):
+        for state in states:
+            agreeing = sum(1 for other in states if other.ballot == state.ballot)
+            if agreeing * 2 > len(states):
                 allowed = {command.value for command in self.commands[self.acknowledged :]}
-                assert holding.value in allowed, "a superseded command took effect"
+                assert state.value in allowed, "a superseded command took effect"
 
     @invariant()
     def contact_requires_a_majority(self):
--- a/tests/test_failing_disks.py
+++ b/tests/test_failing_disks.py
@@ -186,7 +186,7 @@
         for number, proposing in enumerate(core.addresses, 1):
             await core.change(proposing, register_name(1), change_of(1, number))
         await core.run_round()
-        assert full.chosen.holdings[register_name(1)].number == 3
+        assert full.chosen.states[register_name(1)].number == 3
         assert register_name(1) not in full.acceptor.accepted_states
         # Once there is space again, the next round writes the missing copy.
         full.records.is_full = False
@@ -211,8 +211,8 @@
         for address in core.addresses:
             core.restart(address)
         await core.run_round()
-        holding = await core.change(core.addresses[1], register_name(1), change_of(1, 3))
-        assert holding.number in (2, 3)
+        state = await core.change(core.addresses[1], register_name(1), change_of(1, 3))
+        assert state.number in (2, 3)
 
     asyncio.run(test())
 
--- a/tests/test_given_up_in_time.py
+++ b/tests/test_given_up_in_time.py
@@ -29,22 +29,22 @@
 
 
 @pytest.fixture
-def stage():
-    stage = Simulation()
-    yield stage
-    stage.close()
+def simulation():
+    simulation = Simulation()
+    yield simulation
+    simulation.close()
 
 
-def open_client(stage, server):
-    connection = stage.call(ClientConnection, server)
-    transport = InMemoryTransport(connection, stage.loop)
-    stage.call(connection.connection_made, transport)
+def open_client(simulation, server):
+    connection = simulation.call(ClientConnection, server)
+    transport = InMemoryTransport(connection, simulation.loop)
+    simulation.call(connection.connection_made, transport)
     return connection, transport
 
 
 @pytest.mark.parametrize("suspended_seconds, is_begun", [(0.0, True), (1.5, False)])
 def test_a_client_that_disconnected_during_a_suspension_is_not_served(
-    stage, suspended_seconds, is_begun
+    simulation, suspended_seconds, is_begun
 ):
     begun = []
 
@@ -53,10 +53,10 @@
         await asyncio.Event().wait()
 
     server = HttpServer(handle)
-    stage.start(server.run())
-    stage.advance(0.5)
-    connection, transport = open_client(stage, server)
-    stage.now += suspended_seconds
+    simulation.start(server.run())
+    simulation.advance(0.5)
+    connection, transport = open_client(simulation, server)
+    simulation.now += suspended_seconds
 
     async def wake():
         # The request is read in one iteration of the event loop and the close in the next.
@@ -64,8 +64,8 @@
         await asyncio.sleep(0)
         transport.reset()
 
-    stage.loop.run_until_complete(wake())
-    stage.turn()
+    simulation.loop.run_until_complete(wake())
+    simulation.turn()
     assert bool(begun) == is_begun
 
 
@@ -79,42 +79,42 @@
     assert watch.is_catching_up(12.05) and not watch.is_catching_up(12.2)
 
 
-def make_guard(stage):
+def make_guard(simulation):
     bounds = parse_config(make_config("10.0.0.1", 7000, "")).bounds
-    guard = stage.call(Guard, LocalTarget(lambda: None), MeshView("n"), bounds)
+    guard = simulation.call(Guard, LocalTarget(lambda: None), MeshView("n"), bounds)
     connection = PeerConnection(guard)
     guard.on_lost = lambda _connection: None
-    transport = InMemoryTransport(connection, stage.loop)
-    stage.call(connection.connection_made, transport)
+    transport = InMemoryTransport(connection, simulation.loop)
+    simulation.call(connection.connection_made, transport)
     return guard, connection, transport
 
 
-def test_a_hop_cancelled_before_its_first_step_is_not_begun_and_leaves_no_state(stage):
-    guard, connection, transport = make_guard(stage)
+def test_a_hop_cancelled_before_its_first_step_is_not_begun_and_leaves_no_state(simulation):
+    guard, connection, transport = make_guard(simulation)
     head = pack_frame(FrameKind.HEAD, 1, messages_pb2.RequestHead().SerializeToString())
-    stage.call(connection.data_received, head + pack_frame(FrameKind.CANCEL, 1))
+    simulation.call(connection.data_received, head + pack_frame(FrameKind.CANCEL, 1))
     assert transport.written == b""
     assert connection.is_idle and guard.in_progress == 0
 
 
-def test_a_hop_with_an_unexpected_error_is_reset_for_its_peer(stage):
-    guard, connection, transport = make_guard(stage)
+def test_a_hop_with_an_unexpected_error_is_reset_for_its_peer(simulation):
+    guard, connection, transport = make_guard(simulation)
 
     def fail(_head):
         raise RuntimeError("unforeseen")
 
     guard._find_refusal = fail
     head = pack_frame(FrameKind.HEAD, 1, messages_pb2.RequestHead().SerializeToString())
-    stage.call(connection.data_received, head)
+    simulation.call(connection.data_received, head)
     frames = list(FrameReader().feed(bytes(transport.written)))
     assert [frame.kind for frame in frames] == [FrameKind.RESET]
     assert connection.is_idle
 
 
-def test_a_second_hop_with_a_number_in_use_closes_the_connection(stage):
-    _guard, connection, transport = make_guard(stage)
+def test_a_second_hop_with_a_number_in_use_closes_the_connection(simulation):
+    _guard, connection, transport = make_guard(simulation)
     head = pack_frame(FrameKind.HEAD, 1, messages_pb2.RequestHead().SerializeToString())
-    stage.call(connection.data_received, head + head)
+    simulation.call(connection.data_received, head + head)
     assert not transport.is_open
 
 
@@ -127,10 +127,10 @@
         self.incoming.finish()
 
 
-def test_a_connection_whose_request_body_ended_early_is_not_reused(stage):
+def test_a_connection_whose_request_body_ended_early_is_not_reused(simulation):
     lines = []
-    stage.loop.connector = lambda _address, transport: lines.append(transport)
-    connections = stage.call(TargetConnectionPool, Address("10.0.0.1", 80))
+    simulation.loop.connector = lambda _address, transport: lines.append(transport)
+    connections = simulation.call(TargetConnectionPool, Address("10.0.0.1", 80))
     head = messages_pb2.RequestHead(
         attempt_id="a",
         method="POST",
@@ -139,14 +139,14 @@
         body_length=9,
         deadline_left_ms=1000,
     )
-    offer = TargetCaller(connections).offer(stage.call(ShortBody), head, 9.0)
-    task = stage.loop.create_task(offer)
+    offer = TargetCaller(connections).offer(simulation.call(ShortBody), head, 9.0)
+    task = simulation.loop.create_task(offer)
     # The target answers before it has read the body and would leave the connection open.
-    stage.turn(2)
+    simulation.turn(2)
     if lines and lines[0].is_open and lines[0].written:
         answer = b"HTTP/1.1 200 OK\r\nAttempt-Id: a\r\nContent-Length: 0\r\n\r\n"
-        stage.call(lines[0].protocol.data_received, answer)
-    stage.turn()
+        simulation.call(lines[0].protocol.data_received, answer)
+    simulation.turn()
     assert task.result().outcome == HopOutcome.UNKNOWN
     assert connections.idle_count == 0 and not lines[0].is_open
 
@@ -160,33 +160,33 @@
         await asyncio.Event().wait()
 
 
-def test_a_body_that_does_not_arrive_is_awaited_until_the_deadline(stage):
-    task = stage.start(_buffer_body(SlowBody(), 100, stage.now + 2.0))
-    stage.advance(1.9)
+def test_a_body_that_does_not_arrive_is_awaited_until_the_deadline(simulation):
+    task = simulation.start(_buffer_body(SlowBody(), 100, simulation.now + 2.0))
+    simulation.advance(1.9)
     assert not task.done()
-    stage.advance(0.2)
+    simulation.advance(0.2)
     with pytest.raises(TimeoutError):
         task.result()
 
 
-def test_a_malformed_body_is_answered_and_closes_the_connection(stage):
+def test_a_malformed_body_is_answered_and_closes_the_connection(simulation):
     async def handle(request):
         await request.read_body(100, 100)
         return own_answer(200, "never")
 
-    connection, transport = open_client(stage, HttpServer(handle))
+    connection, transport = open_client(simulation, HttpServer(handle))
     head = b"POST /1 HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
-    stage.call(connection.data_received, head)
-    stage.call(connection.data_received, b"no chunk at all\r\n")
+    simulation.call(connection.data_received, head)
+    simulation.call(connection.data_received, b"no chunk at all\r\n")
     assert transport.written.startswith(b"HTTP/1.1 400 ") and not transport.is_open
     assert transport.written.count(b"HTTP/1.1") == 1
 
 
 @pytest.mark.parametrize("error", [RuntimeError("unforeseen"), MeshError("step", "reason")])
-def test_a_request_with_an_unexpected_error_is_aborted_without_an_answer(stage, error):
+def test_a_request_with_an_unexpected_error_is_aborted_without_an_answer(simulation, error):
     async def handle(_request):
         raise error
 
-    connection, transport = open_client(stage, HttpServer(handle))
-    stage.call(connection.data_received, GET)
+    connection, transport = open_client(simulation, HttpServer(handle))
+    simulation.call(connection.data_received, GET)
     assert transport.written == b"" and not transport.is_open
--- a/tests/test_hung_disks.py
+++ b/tests/test_hung_disks.py
@@ -30,10 +30,10 @@
         core.members[core.addresses[0]].call = call
         async with asyncio.timeout(20):
             for number in range(1, 21):
-                holding = await core.members[core.addresses[0]].proposer.change(
+                state = await core.members[core.addresses[0]].proposer.change(
                     register_name(1), change_of(1, number), 1.0
                 )
-                assert holding.number == number
+                assert state.number == number
         never.cancel()
 
     asyncio.run(test())
--- a/tests/test_peer_connection_model.py
+++ b/tests/test_peer_connection_model.py
@@ -35,15 +35,15 @@
         super().__init__()
         self.patch = mock.patch.object(peer_connection, "MAX_EXCHANGE_NUMBER", self.last_number)
         self.patch.start()
-        self.stage = Simulation()
-        self.stage.loop.connector = self.connect
+        self.simulation = Simulation()
+        self.simulation.loop.connector = self.connect
         self.links, self.hops, self.requests, self.read = [], [], {}, {}
         self.resets_connections = False
         self.is_down, self.refused, self.readers = False, set(), {}
         self.peer = SimulatedPeer(self)
         self.pool = PeerConnectionPool(SimpleNamespace(on_lost=lambda _connection: None))
         self.sender = HopSender(self.pool, lambda _peer: None)
-        self.sender_task = self.stage.start(self.sender.run())
+        self.sender_task = self.simulation.start(self.sender.run())
 
     def teardown(self):
         # Delivers all remaining bytes; after that no work may remain.
@@ -55,7 +55,7 @@
             self.check_no_work_remains()
         finally:
             self.patch.stop()
-            self.stage.close()
+            self.simulation.close()
 
     def check_no_work_remains(self):
         """All bytes were delivered: neither end may still work on what the other cancelled."""
@@ -68,8 +68,8 @@
             if finished == set(self.requests) and near.is_open:
                 assert near.protocol.is_idle
         for near, far in self.links:
-            self.stage.call(near.reset)
-            self.stage.call(far.reset)
+            self.simulation.call(near.reset)
+            self.simulation.call(far.reset)
         # No request waits on a lost connection.
         assert all(task.done() for task in self.requests.values())
 
@@ -77,12 +77,12 @@
         if self.is_down:
             raise ConnectionRefusedError
         protocol = PeerConnection(self.peer)
-        far = InMemoryTransport(protocol, self.stage.loop)
+        far = InMemoryTransport(protocol, self.simulation.loop)
         protocol.connection_made(far)
         self.links.append((near, far))
         if self.resets_connections:
-            self.stage.loop.call_soon(near.reset)
-            self.stage.loop.call_soon(far.reset)
+            self.simulation.loop.call_soon(near.reset)
+            self.simulation.loop.call_soon(far.reset)
 
     @rule(resets=st.sampled_from([False, False, True]))
     def set_peer_resets_connections(self, resets):
@@ -103,7 +103,7 @@
             body_follows=has_body,
         )
         body = Body(b"body of " + name.encode())
-        self.requests[name] = self.stage.start(self.sender.send(PEER, head, body, 100, 900.0))
+        self.requests[name] = self.simulation.start(self.sender.send(PEER, head, body, 100, 900.0))
 
     def deliver(self, link, side, size):
         sending_end, receiving_end = link[side], link[1 - side]
@@ -111,10 +111,10 @@
             return
         data = sending_end.take(size)
         if data and receiving_end.is_open:
-            self.stage.call(receiving_end.protocol.data_received, data)
+            self.simulation.call(receiving_end.protocol.data_received, data)
         # The other end notices a close after the last byte.
         if not sending_end.is_open and sending_end.moved == len(sending_end.written):
-            self.stage.call(receiving_end.lose, None)
+            self.simulation.call(receiving_end.lose, None)
 
     @rule(choice=CHOICE, side=st.integers(0, 1), size=st.sampled_from([1, 3, 9, 30, 10_000]))
     def deliver_some(self, choice, side, size):
@@ -128,14 +128,14 @@
             return
         hop = hops[choice % len(hops)]
         if hop.is_answering:
-            self.stage.call(hop.can_finish.set)
+            self.simulation.call(hop.can_finish.set)
             return
         hop.is_answering = True
         hop.is_over = style != "long"
         head = messages_pb2.AnswerHead(outcome=HopOutcome.ANSWERED, status=200)
         if style == "long":
             head.body_follows = True
-            hop.tasks.append(self.stage.start(hop.answer_at_length(head)))
+            hop.tasks.append(self.simulation.start(hop.answer_at_length(head)))
             return
         if style == "whole":
             head.body = b"answer of " + hop.name.encode()
@@ -153,7 +153,7 @@
         tasks = [task for task in self.requests.values() if not task.done()]
         if tasks:
             tasks[choice % len(tasks)].cancel()
-            self.stage.turn()
+            self.simulation.turn()
 
     @rule(choice=CHOICE)
     def give_up_reading(self, choice):
@@ -162,28 +162,28 @@
             name = unfinished[choice % len(unfinished)]
             self.read[name] = None
             self.readers[name].cancel()
-            self.stage.call(self.requests[name].result().answer.release)
+            self.simulation.call(self.requests[name].result().answer.release)
 
     @rule(choice=CHOICE)
     def cut(self, choice):
         if self.links:
             near, far = self.links[choice % len(self.links)]
-            self.stage.call(near.reset)
-            self.stage.call(far.reset)
+            self.simulation.call(near.reset)
+            self.simulation.call(far.reset)
 
     @rule(restarts=st.booleans())
     def restart(self, restarts):
         """The peer ends; its next generation may start at the same address."""
         for near, far in self.links:
-            self.stage.call(near.reset)
-            self.stage.call(far.reset)
+            self.simulation.call(near.reset)
+            self.simulation.call(far.reset)
         self.is_down, self.peer = not restarts, SimulatedPeer(self)
 
     @rule()
     def advance_time(self):
         """Advances the clock far enough for a silent peer to become unresponsive."""
         for _step in range(8):
-            self.stage.advance(0.1)
+            self.simulation.advance(0.1)
 
     @invariant()
     def every_answer_belongs_to_its_request(self):
@@ -202,7 +202,7 @@
             if result.answer.pipe is None:
                 assert result.answer.body == expected
             elif name not in self.readers:
-                self.readers[name] = self.stage.start(self.read_pipe(name, result.answer))
+                self.readers[name] = self.simulation.start(self.read_pipe(name, result.answer))
             if self.read.get(name) is not None:
                 assert self.read[name] == expected
         for hop in self.hops:
--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -59,7 +59,7 @@
             # All of them: a count told of itself in between would be taken for the last,
             # and the one after it for a rate over no time at all.
             async with asyncio.timeout(10):
-                while count_told(registry) < 13:
+                while reported_count(registry) < 13:
                     await asyncio.sleep(0)
             # As if ten seconds lay between the counts, which no test waits for.
             for node, heard in registry._traffic_rates._previous.items():
@@ -105,7 +105,7 @@
     asyncio.run(test())
 
 
-def count_told(registry):
+def reported_count(registry):
     return sum(
         row.requests
         for node, heard in registry._traffic_rates._last.items()
--- a/tests/test_sent_at_most_once.py
+++ b/tests/test_sent_at_most_once.py
@@ -46,30 +46,32 @@
 
     def __init__(self):
         super().__init__()
-        self.stage = Simulation()
+        self.simulation = Simulation()
         self.requests, self.peer_links, self.target_links, self.paused_nodes = {}, [], [], set()
         self.connect_seconds, self.refused_addresses = 0.0, set()
         # The total seconds for which bytes to each node were delayed.
         self.paused_seconds = dict.fromkeys(self.nodes, 0.0)
-        self.stage.loop.connector = self.connect
+        self.simulation.loop.connector = self.connect
         config = parse_config(make_config("10.0.0.9", 7000, ""))
         self.view = MeshView("n9")
         self.view.table, self.view.proxies = RouteTable(make_rows()), 1
         self.guards = {}
         for number in self.nodes:
             self.view.apply(make_entry(number))
-            self.guards[number] = self.stage.call(self.make_guard, number, config.bounds)
+            self.guards[number] = self.simulation.call(self.make_guard, number, config.bounds)
         selector = TargetSelector(self.view, "hall", seed=1)
         routing_state = RoutingState(self.view, selector, config.bounds, Limits(1e6, 1_000_000))
         peers = PeerConnectionPool(SimpleNamespace(on_lost=lambda _connection: None))
-        sender = HopSender(peers, lambda peer: selector.note_unresponsive(peer, self.stage.now))
+        sender = HopSender(
+            peers, lambda peer: selector.note_unresponsive(peer, self.simulation.now)
+        )
         executor = RequestExecutor(routing_state, sender, RunningRequests(), "shop")
         self.server = HttpServer(executor.serve, may_run_concurrently=executor.may_run_concurrently)
         for run in (sender.run, self.server.run, *(guard.run for guard in self.guards.values())):
-            self.stage.start(run())
+            self.simulation.start(run())
 
     def teardown(self):
-        self.stage.close()
+        self.simulation.close()
 
     def make_guard(self, number, bounds):
         target = LocalTarget(lambda: None)
@@ -93,12 +95,12 @@
             return
         owner = SimpleNamespace(on_hop=self.guards[number].on_hop, on_lost=lambda _connection: None)
         far_protocol = PeerConnection(owner)
-        far = InMemoryTransport(far_protocol, self.stage.loop)
+        far = InMemoryTransport(far_protocol, self.simulation.loop)
         far_protocol.connection_made(far)
         self.peer_links.append((near, far, number))
 
     def advance(self, seconds):
-        self.stage.now += seconds
+        self.simulation.now += seconds
         # Bytes in transit are delayed too.
         nodes_with_queued_bytes = {
             number for near, _far, number in self.peer_links if near.moved < len(near.written)
@@ -117,10 +119,10 @@
                 for end, other in ((near, far), (far, near)):
                     data = end.take()
                     if data and other.is_open:
-                        self.stage.call(other.protocol.data_received, data)
+                        self.simulation.call(other.protocol.data_received, data)
                         moved = True
                     if not end.is_open and other.is_open:
-                        self.stage.call(other.lose, None)
+                        self.simulation.call(other.lose, None)
                         moved = True
 
     def record_writes(self):
@@ -134,7 +136,7 @@
                 target_link.pending = TargetWrite(
                     is_refused=False, number=target_link.number, request=request
                 )
-                expect = self.stage.expect
+                expect = self.simulation.expect
                 if request.is_mutating:
                     # It may have run at every target that did not refuse it.
                     expect(
@@ -146,7 +148,7 @@
                 expect(len(request.writes) <= MAX_ATTEMPTS, "too many targets", request.name)
                 # The deadline passed on must not exceed the time that the client has left.
                 # A guard cannot know how long a link delayed the request.
-                remaining_ms = (request.deadline - self.stage.now) * 1000 + 1
+                remaining_ms = (request.deadline - self.simulation.now) * 1000 + 1
                 remaining_ms += (
                     self.paused_seconds[target_link.number]
                     - request.paused_seconds[target_link.number]
@@ -169,16 +171,16 @@
 
     def send_request(self, route, milliseconds):
         name = f"a{len(self.requests)}"
-        connection = self.stage.call(ClientConnection, self.server)
-        transport = InMemoryTransport(connection, self.stage.loop)
-        self.stage.call(connection.connection_made, transport)
-        now = self.stage.now
+        connection = self.simulation.call(ClientConnection, self.server)
+        transport = InMemoryTransport(connection, self.simulation.loop)
+        self.simulation.call(connection.connection_made, transport)
+        now = self.simulation.now
         deadline = now + min(2.0, milliseconds / 1000)
         request = self.requests[name] = TrackedRequest(
             name, route == "book", now, deadline, transport
         )
         request.paused_seconds = dict(self.paused_seconds)
-        self.stage.call(
+        self.simulation.call(
             connection.data_received,
             b"GET /%s/x HTTP/1.1\r\nHost: shop\r\nAttempt-Id: %s\r\nDeadline-Ms: %d\r\n\r\n"
             % (route.encode(), name.encode(), milliseconds),
@@ -199,7 +201,7 @@
     def answer_request(self, target_link, style):
         request, write, target_link.pending = target_link.pending.request, target_link.pending, None
         if style == "reset":
-            self.stage.call(target_link.transport.reset)
+            self.simulation.call(target_link.transport.reset)
             self.deliver()
             return
         attempt = b"zz" if style == "other" else request.name.encode()
@@ -208,7 +210,7 @@
         header = b"Not-Executed: 1" if style == "refused" else b"Server-Seal: " + seal
         write.is_refused = style == "refused"
         request.answers_given[seal] = status
-        self.stage.call(
+        self.simulation.call(
             target_link.transport.protocol.data_received,
             b"HTTP/1.1 %d Said\r\nAttempt-Id: %s\r\n%s\r\nContent-Length: 4\r\n\r\ndone"
             % (status, attempt, header),
@@ -225,8 +227,8 @@
     def reset_peer_link(self, choice):
         if self.peer_links:
             near, far, _number = self.peer_links[choice % len(self.peer_links)]
-            self.stage.call(near.reset)
-            self.stage.call(far.reset)
+            self.simulation.call(near.reset)
+            self.simulation.call(far.reset)
             self.deliver()
 
     @rule(choice=CHOICE)
@@ -235,7 +237,7 @@
         if connected:
             request = connected[choice % len(connected)]
             request.is_disconnected, request.writes_at_disconnect = True, len(request.writes)
-            self.stage.call(request.transport.reset)
+            self.simulation.call(request.transport.reset)
             self.deliver()
 
     @rule(seconds=st.sampled_from([0.0, 0.0, 0.2, 0.24]))
@@ -251,19 +253,19 @@
     def pass_time(self, ticks):
         for _tick in range(ticks):
             self.advance(0.1)
-            self.stage.turn()
+            self.simulation.turn()
             self.deliver()
 
     @invariant()
     def answers_agree_with_executions(self):
-        assert self.stage.faults == []
+        assert self.simulation.faults == []
         for request in self.requests.values():
             if request.is_disconnected:
                 assert len(request.writes) == request.writes_at_disconnect
             if request.answer is None:
                 assert (
                     request.is_disconnected
-                    or self.stage.now <= request.deadline + 0.25 + self.connect_seconds
+                    or self.simulation.now <= request.deadline + 0.25 + self.connect_seconds
                 )
                 continue
             status, head, _body = request.answer
--- a/tests/test_thousand_changes.py
+++ b/tests/test_thousand_changes.py
@@ -82,7 +82,7 @@
         print("bytes held by three stores:", few, many)
         assert few < 3 * 2 * 1024 * 1024 and many < 1.1 * few
         for member in core.members.values():
-            assert len(member.acceptor.accepted_states) == len(member.chosen.holdings) == REGISTERS
+            assert len(member.acceptor.accepted_states) == len(member.chosen.states) == REGISTERS
 
     tracemalloc.start()
     try:
@@ -134,8 +134,8 @@
         assert core.calls["prepare"] == core.calls["accept"] == 0
         # Its vote counts: it completes the majority while two others are away.
         core.away.update(others[:2])
-        holding = await core.change(others[2], register_name(1), change_of(1, 1))
-        assert accepted_at(member)[register_name(1)] == (holding.number, holding.value)
+        state = await core.change(others[2], register_name(1), change_of(1, 1))
+        assert accepted_at(member)[register_name(1)] == (state.number, state.value)
 
     asyncio.run(test())
 
@@ -167,7 +167,7 @@
         core.reset_counts()
         member = core.restart(core.addresses[4])
         await core.run_round(core.addresses[4])
-        assert len(member.chosen.holdings) == REGISTERS
+        assert len(member.chosen.states) == REGISTERS
         assert core.largest <= MAX_ANSWER_BYTES
         # Every member answers whether it differs; one of them sends the new records in parts.
         whole = bytes_chosen_at(member)
@@ -214,9 +214,7 @@
             # run_round suppresses the error; the same step called directly raises it.
             with pytest.raises(MeshError, match="no majority"):
                 await member.replica._act()
-        assert (
-            accepted_at(member) and not member.chosen.holdings and registry.notification_count == 0
-        )
+        assert accepted_at(member) and not member.chosen.states and registry.notification_count == 0
 
     asyncio.run(test())
 
@@ -246,10 +244,10 @@
         assert newest == numbers_of(expected) and position <= len(payloads)
         # A record with a lower ballot does not replace a chosen one either.
         chosen = core.members[core.addresses[1]].chosen
-        before = dict(chosen.holdings)
-        for register, holding in before.items():
-            older = holding._replace(ballot=holding.ballot._replace(counter=0), number=99)
+        before = dict(chosen.states)
+        for register, state in before.items():
+            older = state._replace(ballot=state.ballot._replace(counter=0), number=99)
             assert not chosen.put(register, older)
-        assert chosen.holdings == before
+        assert chosen.states == before
 
     asyncio.run(test())
--- a/tests/test_whole_mesh.py
+++ b/tests/test_whole_mesh.py
@@ -154,12 +154,12 @@
             f"--latest_end={(start + timedelta(hours=2)).isoformat()}",
         ]
         assert (await windows(mesh, "set", "w", *wish))[0] == 0
-        # The duty settles after a start; here its round is made at once.
-        duty = mesh.registry.maintenance
-        duty._mesh_state.is_maintenance_leader = lambda: False
-        await mesh.until(lambda: duty.document.windows)
-        duty._mesh_state.live_slots = lambda: LiveSlots({})
-        await duty.step()
+        # The coordinator waits after a start; the test runs its round at once.
+        coordinator = mesh.registry.maintenance
+        coordinator._mesh_state.is_maintenance_leader = lambda: False
+        await mesh.until(lambda: coordinator.document.windows)
+        coordinator._mesh_state.live_slots = lambda: LiveSlots({})
+        await coordinator.step()
         await mesh.until(lambda: all("hall" in proxy.view.evacuated for proxy in mesh.proxies))
         status, shown, _errors = await windows(mesh, "list")
         assert status == 0 and "window w: running in hall" in shown
@@ -167,7 +167,7 @@
         assert (await windows(mesh, "floors", "--floor=quotes=9"))[0] == 1
         assert (await windows(mesh, "floors", "--floor=quotes=8"))[0] == 0
         assert (await windows(mesh, "withdraw", "w"))[0] == 0
-        await duty.step()
+        await coordinator.step()
         await mesh.until(lambda: not any(proxy.view.evacuated for proxy in mesh.proxies))
         assert (await windows(mesh, "withdraw", "none"))[0] == 1
         assert (await windows(mesh, "dance"))[0] == 2
@@ -179,8 +179,8 @@
 
 def test_a_stray_site_is_refused_as_owner_and_each_order_is_placed_once(tmp_path):
     async def test(mesh):
-        word = {"number": 1, "services": {"quotes": ["north"]}}
-        body = json.dumps(word).encode()
+        document = {"number": 1, "services": {"quotes": ["north"]}}
+        body = json.dumps(document).encode()
         assert (await ask(CORE, mesh.control, "PUT", "/mesh/owners", body=body))[0] == 200
         real, stray = mesh.proxies
         clock = asyncio.get_running_loop().time
