--- a/marblefold/circuit_breaker/concurrency_limit.py
+++ b/marblefold/circuit_breaker/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""Limits the concurrent requests of each route, so that no route crowds out the others.
+"""Limits the concurrent requests of each route, so that no route starves the others.
 
 Spikes of a route are admitted as long as the normal load of the other routes and
 some headroom still fit.
--- a/marblefold/membership/prober.py
+++ b/marblefold/membership/prober.py
@@ -88,7 +88,7 @@
         if now >= self._next_probe:
             self._next_probe = now + self._config.probe_interval_seconds
             out.extend(self._probe_next(now))
-            # A suspect must be told repeatedly, as any datagram may be lost.  All nodes
+            # A suspect must be notified repeatedly, as any datagram may be lost.  All nodes
             # do this, so a few suspects per node are enough, and the loss of a zone
             # does not flood the remaining nodes.
             suspects = [
@@ -137,7 +137,7 @@
         if member is None or member.liveness is Liveness.ALIVE:
             return
         # The member sent a datagram, so this node considers it alive.  Other nodes
-        # accept only the member's own refutation, so the response tells it about the
+        # accept only the member's own refutation, so the response notifies it of the
         # suspicion (see _make_message).
         self.table.merge(
             member._replace(incarnation=member.incarnation + 1, liveness=Liveness.ALIVE), now
@@ -235,7 +235,7 @@
     def _make_message(self, peer: str, kind: str, number: int, subject: str) -> Message:
         members = [self.table.own]
         known = self.table.find(peer)
-        # A peer can refute a suspicion only if it is told about it.
+        # A peer can refute a suspicion only if it is notified of it.
         if known is not None and known.liveness is not Liveness.ALIVE:
             members.append(known)
         members.extend(
--- a/marblefold/ownership/agent.py
+++ b/marblefold/ownership/agent.py
@@ -139,7 +139,7 @@
     ) -> Verdict:
         requested_at = self._clock()
         value = new_owner.pack()
-        answer = await self._store_client.ask(RegisterCallKind.LEADER, register, number, value)
+        answer = await self._store_client.ask(RegisterCallKind.REPLACEMENT, register, number, value)
         # Another agent wrote first; the next round evaluates what it wrote.
         if answer.value != value:
             return Verdict.WAITING
--- a/marblefold/partners/calls.py
+++ b/marblefold/partners/calls.py
@@ -110,7 +110,7 @@
                 if value == current.value:
                     return await self._answer_unchanged(current.number, value)
                 answer = await self._store_client.ask(
-                    RegisterCallKind.LEADER, PARTNERS_REGISTER, current.number, value
+                    RegisterCallKind.REPLACEMENT, PARTNERS_REGISTER, current.number, value
                 )
                 if Outcome.read(answer.outcome) is Outcome.APPLIED:
                     self._coordinator.apply_document(answer.number, answer.value)
--- a/marblefold/partners/coordinator.py
+++ b/marblefold/partners/coordinator.py
@@ -100,7 +100,7 @@
             if now - since > partner["lapse-after-s"] and self._is_leader():
                 changed = mark_lapsed(document, name, reads)
                 answer = await self._store_client.ask(
-                    RegisterCallKind.LEADER, PARTNERS_REGISTER, self.number, changed.pack()
+                    RegisterCallKind.REPLACEMENT, PARTNERS_REGISTER, self.number, changed.pack()
                 )
                 self.apply_document(answer.number, answer.value)
                 log.warning("partner lapsed", partner=name, silent=round(now - since, 1))
--- a/marblefold/proxy/registry_follower.py
+++ b/marblefold/proxy/registry_follower.py
@@ -209,8 +209,8 @@
     def _update_proxy_count(self, proxies: int, now: float) -> None:
         """Updates the number of proxies that share the retry budget."""
         self._counted_since = self._counted_since or now
-        # Registries that start at the same time as this node count up from zero.  Of several
-        # counts the largest is the cautious one.
+        # Registries that start at the same time as this node count up from zero.  The largest
+        # count is used, as it gives this proxy the smallest share.
         if now - self._counted_since >= _COUNT_SETTLING_SECONDS:
             self._view.proxies = max(self._view.proxies, proxies)
 
--- a/marblefold/proxy/traffic_reporter.py
+++ b/marblefold/proxy/traffic_reporter.py
@@ -42,7 +42,7 @@
     def send_report(self) -> None:
         """Sends the current counts, if they have changed."""
         config = self._config
-        report = self._count.make_notice(
+        report = self._count.make_report(
             config.node_name, config.zone, config.region, self._service_seconds()
         )
         if report is not None:
--- a/marblefold/register_store/call_kinds.py
+++ b/marblefold/register_store/call_kinds.py
@@ -24,7 +24,8 @@
     # that the caller read.
     EVACUATION = "evacuation"
     MAINTENANCE = "maintenance"
-    LEADER = "duty"
+    # Replaces a document, an owner or a leader.
+    REPLACEMENT = "duty"
     WINDOW_EMPTY = "window-empty"
     WINDOW_RELEASE = "window-release"
 
--- a/marblefold/register_store/orders.py
+++ b/marblefold/register_store/orders.py
@@ -37,7 +37,7 @@
         return Order(leave_unchanged, lambda _content: Outcome.APPLIED)
     if kind is RegisterCallKind.CONFIGURATION:
         return _order_configuration(call.number, call.value)
-    if kind in (RegisterCallKind.MAINTENANCE, RegisterCallKind.LEADER):
+    if kind in (RegisterCallKind.MAINTENANCE, RegisterCallKind.REPLACEMENT):
         return _order_replacement(call)
     if kind is RegisterCallKind.EVACUATION:
         return _order_evacuation(call)
--- a/marblefold/register_store/proposer.py
+++ b/marblefold/register_store/proposer.py
@@ -188,5 +188,6 @@
 
 
 def _retrieve_exception(task: asyncio.Task[messages_pb2.StoreAnswer]) -> None:
+    # Otherwise asyncio logs that the exception was never retrieved.
     if not task.cancelled():
         task.exception()
--- a/marblefold/registry/catalogue.py
+++ b/marblefold/registry/catalogue.py
@@ -54,10 +54,10 @@
         return True
 
     def changes_since(self, generation: int, revision: int) -> list[messages_pb2.Entry] | None:
-        """Returns the changes after a revision, or None where only a snapshot will do.
+        """Returns the changes after a revision, or None if a snapshot is required.
 
-        That is so for a revision of another generation, one that does not exist, and one
-        whose following changes are no longer retained.
+        A snapshot is required if the revision belongs to another generation, does not
+        exist, or is followed by changes that are no longer retained.
         """
         if generation != self.generation or revision > self.revision:
             return None
--- a/marblefold/registry/feed.py
+++ b/marblefold/registry/feed.py
@@ -128,7 +128,7 @@
 
 
 def _defer_large_value(entry: messages_pb2.Entry) -> messages_pb2.Entry:
-    """Leaves out a large value: nodes hear of it from every registry and fetch it from one."""
+    """Leaves out a large value: every registry announces it, and nodes fetch it from one."""
     if len(entry.value) <= _MAX_INLINE_VALUE_BYTES:
         return entry
     return messages_pb2.Entry(
--- a/marblefold/registry/leader_selection.py
+++ b/marblefold/registry/leader_selection.py
@@ -12,7 +12,7 @@
 
 
 class LeaderSelection:
-    """Tells whether this registry is the leader for a task's key."""
+    """Determines whether this registry is the leader for a task's key."""
 
     def __init__(
         self,
--- a/marblefold/registry/program.py
+++ b/marblefold/registry/program.py
@@ -57,7 +57,7 @@
         config = watch.config
         self._watch = watch
         self._config = config
-        # Random: the wall clock may be set back, which would repeat an earlier generation.
+        # Random, because a clock that is set back could repeat an earlier generation.
         self.catalogue = Catalogue(int.from_bytes(os.urandom(6)))
         self.contact = QuorumContact(on_change=self._on_contact_change)
         self.store_client = StoreClient(
@@ -171,7 +171,7 @@
         return [follower.run(), list_sync.run()]
 
     def on_notification(self, connection: PeerConnection, payload: bytes) -> None:
-        """Handles a one-way message of a node: a notice, a subscription or a lease request."""
+        """Handles a one-way message of a node: a report, a subscription or a lease request."""
         message = unpack_message(payload)
         if isinstance(message, messages_pb2.Follow):
             self.feed.follow(connection, message)
@@ -286,7 +286,7 @@
         )
 
     def _on_contact_change(self, is_held: bool) -> None:
-        """Tells followers at once rather than with the next keepalive."""
+        """Notifies followers at once rather than with the next keepalive."""
         stores = len(self.store_client.stores)
         log.info("quorum contact gained" if is_held else "quorum contact lost", stores=stores)
         self.feed.send_keepalive()
--- a/marblefold/registry/stall_detector.py
+++ b/marblefold/registry/stall_detector.py
@@ -25,7 +25,7 @@
 
 
 class StallDetector:
-    """Tells whether data read now may have arrived while this process was paused."""
+    """Detects whether data read now may have arrived while this process was paused."""
 
     def __init__(
         self,
--- a/marblefold/registry/traffic_rates.py
+++ b/marblefold/registry/traffic_rates.py
@@ -6,7 +6,7 @@
 
 __all__ = ["Flow", "TrafficRates"]
 
-# Older counters of a node do not describe the present.
+# Counters of a node that are older than this are ignored.
 _MAX_AGE_SECONDS = 60.0
 
 
@@ -26,14 +26,14 @@
 
 
 class _Received(NamedTuple):
-    """A notice and when it was received, in monotonic seconds."""
+    """A report and when it was received, in monotonic seconds."""
 
     notice: messages_pb2.TrafficNotice
     received_at: float
 
 
 class TrafficRates:
-    """Keeps the last two notices of every node and derives rates from them."""
+    """Keeps the last two reports of every node and derives rates from them."""
 
     def __init__(self) -> None:
         self._last: dict[str, _Received] = {}
--- a/marblefold/rehearsal/simulation_context.py
+++ b/marblefold/rehearsal/simulation_context.py
@@ -13,7 +13,7 @@
 
 
 class LossListener(Protocol):
-    """A request in progress, which is told of the loss."""
+    """A request in progress, which is notified of the loss of zones."""
 
     def note_zone_loss(self) -> None:
         """Handles the loss of the zones, which has just happened."""
--- a/marblefold/request_path/cold_start.py
+++ b/marblefold/request_path/cold_start.py
@@ -66,7 +66,7 @@
         self.mark_uncertain(now, "start")
 
     def mark_uncertain(self, now: float, why: str) -> None:
-        """Records that the target may have gone cold without this proxy having been told."""
+        """Records that the target may have gone cold without a report to this proxy."""
         log.info("target may be cold", instance=self._target.instance, why=why)
         self._target.cold.mark_uncertain(now)
 
--- a/marblefold/request_path/executor.py
+++ b/marblefold/request_path/executor.py
@@ -213,8 +213,8 @@
     def may_run_concurrently(self, request: ClientRequest) -> bool:
         """Whether a pipelined request may run before earlier ones are answered.
 
-        This depends on the type of its route, as only requests of read-only routes
-        may be repeated; the method says nothing about that.
+        True only for read-only routes, whose requests may be repeated.  The HTTP method
+        is not considered, as it does not show that.
         """
         table = self._routing_state.view.table
         route = table.find(request.host, request.path) if table is not None else None
--- a/marblefold/request_path/routing_state.py
+++ b/marblefold/request_path/routing_state.py
@@ -17,7 +17,7 @@
 
 __all__ = ["RoutingState"]
 
-
+# The longest time for which a target is avoided after its guard refused a hop.
 _MAX_REFUSING_SECONDS = 0.2
 # On average a request uses at most two descriptors, and a share of the memory that
 # the program itself does not need.
--- a/marblefold/request_path/traffic_count.py
+++ b/marblefold/request_path/traffic_count.py
@@ -1,7 +1,7 @@
 """Counts the requests that enter the mesh at this node, by route.
 
-Counts are cumulative: the difference of two notices gives the rate in between, and
-a lost notice does no harm.
+Counts are cumulative: the difference of two reports gives the rate in between, and
+a lost report does not distort it.
 """
 
 import time
@@ -10,7 +10,7 @@
 
 __all__ = ["TrafficCount"]
 
-# The number of routes that a notice lists; less used ones are combined into one row.
+# The number of routes that a report lists; less used ones are combined into one row.
 _MAX_ROUTES = 48
 OTHER_ROUTES = ""
 
@@ -26,7 +26,7 @@
 
 
 class TrafficCount:
-    """Counts finished requests and builds notices of the counts."""
+    """Counts finished requests and builds reports of the counts."""
 
     def __init__(self) -> None:
         self._counts: dict[str, _Counts] = {}
@@ -49,14 +49,14 @@
         else:
             counts.answered += 1
 
-    def make_notice(
+    def make_report(
         self,
         node: str,
         zone: str,
         region: str,
         service_seconds: float,
     ) -> messages_pb2.TrafficNotice | None:
-        """Returns the current counts; None if no request was counted since the last notice."""
+        """Returns the current counts; None if no request was counted since the last report."""
         total = sum(counts.requests for counts in self._counts.values())
         if total == self._reported_total:
             return None
--- a/marblefold/request_path/upstream_limits.py
+++ b/marblefold/request_path/upstream_limits.py
@@ -64,7 +64,7 @@
 def cold_rate_limit(limits: ColdLimits | None, bounds: Bounds) -> float:
     """The number of requests per second that the guard allows for a cold target.
 
-    If the limits are unknown it is one, the most cautious choice.
+    One, the strictest limit, if the limits are unknown.
     """
     if limits is None:
         return _UNKNOWN_RATE_LIMIT
--- a/tests/mesh_on_loopback.py
+++ b/tests/mesh_on_loopback.py
@@ -164,7 +164,7 @@
     """One core machine and two sidecars with their targets."""
 
     def __init__(self, folder, sites=("", ""), places=(("hall", "here"), ("hall", "here"))):
-        self.news = asyncio.Event()
+        self.view_changed = asyncio.Event()
         first = next(FIRST_PORTS)
         self.control, self.outbound, self.ready = first + 1, first + 2, first + 3
         self.targets = [StandIn(host, first + 4) for host in SIDES]
@@ -209,15 +209,15 @@
             try:
                 return apply_entry(entry)
             finally:
-                self.news.set()
+                self.view_changed.set()
 
         view.apply = note
 
     async def until(self, condition):
         async with asyncio.timeout(20):
             while not condition():
-                self.news.clear()
-                await self.news.wait()
+                self.view_changed.clear()
+                await self.view_changed.wait()
 
     async def start(self):
         for target in (*self.targets, self.door):
--- a/tests/simulated_core.py
+++ b/tests/simulated_core.py
@@ -92,8 +92,8 @@
         core.deliver(self.peer, self.machine.address, deliver_answer, may_be_late=False)
 
 
-class SimulatedPeerBook:
-    """Simulates the peer book, which holds the outgoing connections."""
+class SimulatedConnectionPool:
+    """Simulates the connection pool, which holds the outgoing connections to peers."""
 
     def __init__(self, machine):
         self.machine, self.run = machine, machine.run
@@ -129,7 +129,7 @@
         self.is_up = True
         core, clock = self.core, self.core.loop.time
         self.acceptor = Acceptor(self.address, self.disk, self.seeds, is_first)
-        peers = StorePeers(self.acceptor, SimulatedPeerBook(self), clock)
+        peers = StorePeers(self.acceptor, SimulatedConnectionPool(self), clock)
         self.proposer = Proposer(
             peers, f"{self.address}/{self.acceptor.generation}/{self.run}", clock=clock
         )
--- a/tests/simulated_region.py
+++ b/tests/simulated_region.py
@@ -155,7 +155,7 @@
 
     def report_traffic(self):
         for name, node in self.nodes.items():
-            notice = node.routing_state.traffic.make_notice(name, node.zone, ZONES[node.zone], 0.0)
+            notice = node.routing_state.traffic.make_report(name, node.zone, ZONES[node.zone], 0.0)
             if notice is not None:
                 self.traffic_rates.record(notice, time.monotonic())
 
--- a/tests/test_lost_promises.py
+++ b/tests/test_lost_promises.py
@@ -129,14 +129,14 @@
         recover_on_empty_disk(five, "x:1", ["w:1", "y:1", "z:1"])
         early = make_proposer(five, "settler", ["w:1", "x:1", "z:1"], 20)
         early._peers.gates = {}
-        settled = await early.change(REGISTER, leave_unchanged, 0.0)
+        chosen = await early.change(REGISTER, leave_unchanged, 0.0)
         gate.set_result(None)
         await asyncio.gather(task, return_exceptions=True)
         reader = make_proposer(five, "reader", ["u:1", "x:1", "y:1"], 50)
-        return settled, await reader.change(REGISTER, leave_unchanged, 0.0)
+        return chosen, await reader.change(REGISTER, leave_unchanged, 0.0)
 
-    settled, read = asyncio.run(run_scenario())
-    assert read.value == settled.value, "two values were chosen under one number"
+    chosen, read = asyncio.run(run_scenario())
+    assert read.value == chosen.value, "two values were chosen under one number"
 
 
 def test_a_member_that_lost_its_disk_twice_is_counted_by_one_that_missed_the_second():
--- a/tests/test_orders_take_effect_once.py
+++ b/tests/test_orders_take_effect_once.py
@@ -182,7 +182,7 @@
 
 def test_one_order_at_two_stores_at_once_takes_effect_once():
     stores = OrderedStores(lambda: 0.0)
-    call = make_call(RegisterCallKind.LEADER, b"document", 0)
+    call = make_call(RegisterCallKind.REPLACEMENT, b"document", 0)
     attempts = [stores.propose(address, call) for address in ("a:1", "b:1")]
     # Both have prepared; then one completes, and the other one after it.
     stores.deliver_until(lambda: len(stores.network.waiting) > 4 or attempts[0].done())
@@ -195,11 +195,13 @@
 
 def test_a_document_that_was_applied_and_then_replaced_is_recognized_by_its_order():
     content = RegisterContent(0, b"")
-    first = read_order(make_call(RegisterCallKind.LEADER, b"first", 0))
+    first = read_order(make_call(RegisterCallKind.REPLACEMENT, b"first", 0))
     content = first.change(content)
-    content = read_order(make_call(RegisterCallKind.LEADER, b"second", 1, b"two")).change(content)
+    content = read_order(make_call(RegisterCallKind.REPLACEMENT, b"second", 1, b"two")).change(
+        content
+    )
     assert first.change(content) == content and first.outcome_of(content) is Outcome.APPLIED
-    never = read_order(make_call(RegisterCallKind.LEADER, b"first", 0, b"never"))
+    never = read_order(make_call(RegisterCallKind.REPLACEMENT, b"first", 0, b"never"))
     assert never.change(content) == content and never.outcome_of(content) is Outcome.SUPERSEDED
 
 
@@ -220,7 +222,7 @@
     content = RegisterContent(0, b"")
     for number in range(30):
         order = b"%d" % number
-        content = read_order(make_call(RegisterCallKind.LEADER, b"x", number, order)).change(
+        content = read_order(make_call(RegisterCallKind.REPLACEMENT, b"x", number, order)).change(
             content
         )
     assert content.number == 30 and content.orders == tuple(b"%d" % one for one in range(22, 30))
--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -48,7 +48,7 @@
         await mesh.start()
         near = mesh.proxies[0]
         try:
-            # Counts are told twice, with requests between: a rate is known.
+            # Counts are reported twice, with requests between, so that a rate is known.
             assert (await request(mesh, "/read/x", "first"))[0] == 200
             near._traffic.send_report()
             for number in range(12):
@@ -56,8 +56,8 @@
                 assert (await request(mesh, kind[0], f"w{number}", kind[1]))[0] == 200
             near._traffic.send_report()
             registry = mesh.registry
-            # All of them: a count told of itself in between would be taken for the last,
-            # and the one after it for a rate over no time at all.
+            # Waits for all of them: the proxy may send a periodic report in between, which
+            # would be taken for the last one, and the next would give a rate over no time.
             async with asyncio.timeout(10):
                 while reported_count(registry) < 13:
                     await asyncio.sleep(0)
