--- a/tools/model_check/world.py
+++ b/tools/model_check/world.py
@@ -233,7 +233,7 @@
         voters = [a for a in self.acceptors.values() if a.voting_status is VotingStatus.VOTING]
         for quorum in itertools.combinations(voters, len(self.bounds.members) // 2 + 1):
             held = [a.accepted_states[REGISTER] for a in quorum if REGISTER in a.accepted_states]
-            newest = max(held, key=lambda state: state.ballot, default=None)
+            newest = max(held, key=lambda holding: holding.ballot, default=None)
             if newest is None or newest.number < number:
                 raise BrokenInvariant(f"{value!r} was acknowledged and a quorum shows {newest}")
 
@@ -247,9 +247,9 @@
                 if not isinstance(error, MeshError):
                     raise error
                 continue
-            state = task.result()
-            if chosen.setdefault(state.number, state.value) != state.value:
-                raise BrokenInvariant(f"two values of number {state.number}")
+            holding = task.result()
+            if chosen.setdefault(holding.number, holding.value) != holding.value:
+                raise BrokenInvariant(f"two values of number {holding.number}")
         return chosen
 
 
--- a/tools/scale/hollow.py
+++ b/tools/scale/hollow.py
@@ -116,7 +116,7 @@
             self.view,
             TargetReportBuilder(config, self.target).build,
         )
-        self.view.on_own_target_entry = lambda generation: None
+        self.view.on_own_target_entry = lambda life: None
         self.suspected_at: dict[str, float] = {}
         self.membership = NodeMembership(watch, "proxy", PROXY, self._on_member)
         self.tasks: list[asyncio.Task] = []
