--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -16,14 +16,14 @@
     )
 
 
-async def rehearse(mesh, *words):
+async def rehearse(mesh, *arguments):
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "marblefold",
         "rehearse",
         f"--registry={CORE}:{mesh.control}",
-        *words,
+        *arguments,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
