--- a/tests/mesh_on_loopback.py
+++ b/tests/mesh_on_loopback.py
@@ -65,13 +65,13 @@
 }
 
 
-class StubTarget:
-    """A target that follows the published protocol."""
+class StandIn:
+    """A target that keeps to the published protocol."""
 
     def __init__(self, host, port):
         self.host, self.port, self.instance, self.ran = host, port, f"i-{host}", []
         self.spoil = None
-        # Awaited during each run.
+        # Awaited in the midst of each run.
         self.in_run = None
 
     async def start(self):
@@ -113,8 +113,8 @@
         )
 
 
-class StubPartner(StubTarget):
-    """A target at a partner: it sends no Server-Seal header and expects no instance."""
+class Door(StandIn):
+    """A partner's door: it seals nothing and expects no instance."""
 
     def answer(self, method, path, headers, body):
         assert "Expected-Instance" not in headers
@@ -164,15 +164,15 @@
     """One core machine and two sidecars with their targets."""
 
     def __init__(self, folder, sites=("", ""), places=(("hall", "here"), ("hall", "here"))):
-        self.view_changed = asyncio.Event()
+        self.news = asyncio.Event()
         first = next(FIRST_PORTS)
         self.control, self.outbound, self.ready = first + 1, first + 2, first + 3
-        self.targets = [StubTarget(host, first + 4) for host in SIDES]
+        self.targets = [StandIn(host, first + 4) for host in SIDES]
         core = make_config(CORE, first, f"data-directory={folder}/store\n")
         self.store = StoreProgram(make_watch(core))
         # The registry is the agent of the first machine's site, if there is one.
         site = f"site-name={sites[0]}\n" if sites[0] else ""
-        self.partner = StubPartner(f"{NETWORK}.51", first + 4)
+        self.door = Door(f"{NETWORK}.51", first + 4)
         self.registry = RegistryProgram(
             make_watch(
                 make_config(
@@ -209,18 +209,18 @@
             try:
                 return apply_entry(entry)
             finally:
-                self.view_changed.set()
+                self.news.set()
 
         view.apply = note
 
     async def until(self, condition):
         async with asyncio.timeout(20):
             while not condition():
-                self.view_changed.clear()
-                await self.view_changed.wait()
+                self.news.clear()
+                await self.news.wait()
 
     async def start(self):
-        for target in (*self.targets, self.partner):
+        for target in (*self.targets, self.door):
             await target.start()
         loop = asyncio.get_running_loop()
         self.tasks = [
--- a/tests/test_gateway.py
+++ b/tests/test_gateway.py
@@ -14,8 +14,8 @@
     CORE,
     FIRST_PORTS,
     NETWORK,
-    StubPartner,
-    StubTarget,
+    Door,
+    StandIn,
     ask,
     make_config,
     make_watch,
@@ -67,8 +67,8 @@
     def __init__(self, folder):
         first = next(FIRST_PORTS)
         self.control, self.front, self.ready = first + 1, first + 2, first + 3
-        self.targets = [StubTarget(host, first + 4) for host in HOSTS]
-        self.partner_gateway = StubPartner(PARTNER_HOST, first + 4)
+        self.targets = [StandIn(host, first + 4) for host in HOSTS]
+        self.partner_gateway = Door(PARTNER_HOST, first + 4)
         self.platform = FakePlatform(self.targets)
         self.platform_port = first + 4
         cloud = f"cloud-api.address={CORE}:{first + 4}\ncloud-api.rate-per-s=4000\n"
--- a/tests/test_region_on_loopback.py
+++ b/tests/test_region_on_loopback.py
@@ -16,14 +16,14 @@
     )
 
 
-async def rehearse(mesh, *arguments):
+async def rehearse(mesh, *words):
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "marblefold",
         "rehearse",
         f"--registry={CORE}:{mesh.control}",
-        *arguments,
+        *words,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
@@ -48,7 +48,7 @@
         await mesh.start()
         near = mesh.proxies[0]
         try:
-            # Counts are reported twice, with requests between, so that a rate is known.
+            # Counts are told twice, with requests between: a rate is known.
             assert (await request(mesh, "/read/x", "first"))[0] == 200
             near._traffic.send_report()
             for number in range(12):
@@ -56,10 +56,10 @@
                 assert (await request(mesh, kind[0], f"w{number}", kind[1]))[0] == 200
             near._traffic.send_report()
             registry = mesh.registry
-            # Waits for all of them: the proxy may send a periodic report in between, which
-            # would be taken for the last one, and the next would give a rate over no time.
+            # All of them: a count told of itself in between would be taken for the last,
+            # and the one after it for a rate over no time at all.
             async with asyncio.timeout(10):
-                while reported_count(registry) < 13:
+                while count_told(registry) < 13:
                     await asyncio.sleep(0)
             # As if ten seconds lay between the counts, which no test waits for.
             for node, heard in registry._traffic_rates._previous.items():
@@ -105,7 +105,7 @@
     asyncio.run(test())
 
 
-def reported_count(registry):
+def count_told(registry):
     return sum(
         row.requests
         for node, heard in registry._traffic_rates._last.items()
--- a/tests/test_whole_mesh.py
+++ b/tests/test_whole_mesh.py
@@ -80,7 +80,7 @@
 
 def test_a_drain_is_obeyed_before_it_is_acknowledged_and_evacuations_reach_all(tmp_path):
     async def test(mesh):
-        heartbeat = {
+        beat = {
             "upstream": "quotes",
             "address": f"{SIDES[0]}:1",
             "zone": "hall",
@@ -91,7 +91,7 @@
         }
         path = f"/mesh/targets/{mesh.targets[0].instance}"
         status, _head, _body = await ask(
-            SIDES[0], mesh.control, "PUT", path, body=json.dumps(heartbeat).encode()
+            SIDES[0], mesh.control, "PUT", path, body=json.dumps(beat).encode()
         )
         assert status == 200
         for number in range(6):
@@ -129,14 +129,14 @@
     run(test, tmp_path)
 
 
-async def windows(mesh, *arguments):
+async def windows(mesh, *words):
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
         "marblefold",
         "windows",
         f"--system={CORE}:{mesh.control}",
-        *arguments,
+        *words,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.PIPE,
     )
@@ -147,33 +147,31 @@
 def test_a_window_set_on_the_command_line_empties_its_zone_and_gives_it_back(tmp_path):
     async def test(mesh):
         start = datetime.now(UTC)
-        window_arguments = [
+        wish = [
             "--zone=hall",
             f"--start={start.isoformat()}",
             "--length_s=3600",
             f"--latest_end={(start + timedelta(hours=2)).isoformat()}",
         ]
-        assert (await windows(mesh, "set", "w", *window_arguments))[0] == 0
-        # The coordinator waits after a start; the test runs its round at once.
-        coordinator = mesh.registry.maintenance
-        coordinator._mesh_state.is_maintenance_leader = lambda: False
-        await mesh.until(lambda: coordinator.document.windows)
-        coordinator._mesh_state.live_slots = lambda: LiveSlots({})
-        await coordinator.step()
+        assert (await windows(mesh, "set", "w", *wish))[0] == 0
+        # The duty settles after a start; here its round is made at once.
+        duty = mesh.registry.maintenance
+        duty._mesh_state.is_maintenance_leader = lambda: False
+        await mesh.until(lambda: duty.document.windows)
+        duty._mesh_state.live_slots = lambda: LiveSlots({})
+        await duty.step()
         await mesh.until(lambda: all("hall" in proxy.view.evacuated for proxy in mesh.proxies))
         status, shown, _errors = await windows(mesh, "list")
         assert status == 0 and "window w: running in hall" in shown
-        assert (await windows(mesh, "set", "w", *window_arguments))[0] == 1
+        assert (await windows(mesh, "set", "w", *wish))[0] == 1
         assert (await windows(mesh, "floors", "--floor=quotes=9"))[0] == 1
         assert (await windows(mesh, "floors", "--floor=quotes=8"))[0] == 0
         assert (await windows(mesh, "withdraw", "w"))[0] == 0
-        await coordinator.step()
+        await duty.step()
         await mesh.until(lambda: not any(proxy.view.evacuated for proxy in mesh.proxies))
         assert (await windows(mesh, "withdraw", "none"))[0] == 1
         assert (await windows(mesh, "dance"))[0] == 2
-        status, _shown, errors = await windows(
-            mesh, "set", "x", "--zone=nowhere", *window_arguments[1:]
-        )
+        status, _shown, errors = await windows(mesh, "set", "x", "--zone=nowhere", *wish[1:])
         assert status == 1 and "zone" in errors
 
     run(test, tmp_path)
@@ -181,8 +179,8 @@
 
 def test_a_stray_site_is_refused_as_owner_and_each_order_is_placed_once(tmp_path):
     async def test(mesh):
-        document = {"number": 1, "services": {"quotes": ["north"]}}
-        body = json.dumps(document).encode()
+        word = {"number": 1, "services": {"quotes": ["north"]}}
+        body = json.dumps(word).encode()
         assert (await ask(CORE, mesh.control, "PUT", "/mesh/owners", body=body))[0] == 200
         real, stray = mesh.proxies
         clock = asyncio.get_running_loop().time
@@ -199,10 +197,10 @@
                 mesh, "/book/x", f"o{number}", "POST", body=b"order", side=number % 2
             )
             assert status == 200
-        # Requests that entered at the unlisted site were sent to the owner as well, once each.
+        # Also those that came in beside the stray went to the owner, once each.
         assert sorted(ran[0] for ran in mesh.targets[0].ran) == [f"o{n}" for n in range(6)]
         assert mesh.targets[1].ran == []
-        # A node with a wrong view sends a request to the unlisted site, whose guard refuses it.
+        # A node whose view is wrong sends one to the stray: its guard refuses.
         stray.view.owners["quotes"] = KnownOwner("stray", "127.0.0.99:1", 1)
         for target in list(stray.view._targets["quotes"].values()):
             stray.view._targets["quotes"][target.node] = target._replace(
@@ -243,7 +241,7 @@
                 {
                     "number": 1,
                     "hosts": ["yard"],
-                    "address": f"{mesh.partner.host}:{mesh.partner.port}",
+                    "address": f"{mesh.door.host}:{mesh.door.port}",
                     "credential": "secret-of-the-yard",
                 },
             )
@@ -272,6 +270,6 @@
                 SIDES[side], mesh.outbound, "GET", "/private/", head, name="yard"
             )
             assert status == 404
-        assert mesh.partner.ran == [(f"y{side}", "POST", "/open/batch", photos) for side in (0, 1)]
+        assert mesh.door.ran == [(f"y{side}", "POST", "/open/batch", photos) for side in (0, 1)]
 
     run(test, tmp_path)
