--- a/marblefold/request_path/guard.py
+++ b/marblefold/request_path/guard.py
@@ -12,7 +12,7 @@
 from marblefold.http_connections.target_connection_pool import CONNECT_STEP, TargetConnectionPool
 from marblefold.inner_protocol.exchange import Exchange
 from marblefold.inner_protocol.frames import FrameKind
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 from marblefold.logs import log
 from marblefold.node_config.model import Address, Bounds
 from marblefold.request_path.body_receiver import BodyReceiver
@@ -65,7 +65,7 @@
         self._caller: TargetCaller | None = None
         self._tasks: set[asyncio.Task] = set()
         self._offered_hops = OfferedHops()
-        self._loop_watch = EventLoopMonitor(_CHECK_INTERVAL_SECONDS)
+        self._loop_monitor = EventLoopMonitor(_CHECK_INTERVAL_SECONDS)
         self._unreachable_until = 0.0
         self._shutdown_rule = ShutdownRule(bounds)
         # Records every hop if tracing is enabled on this node.
@@ -95,7 +95,7 @@
 
         Raises google.protobuf's DecodeError if its head is malformed.
         """
-        head = kinds.RequestHead.FromString(payload)
+        head = messages_pb2.RequestHead.FromString(payload)
         task = asyncio.get_running_loop().create_task(self._serve(exchange, head, time.monotonic()))
         self._tasks.add(task)
         task.add_done_callback(lambda done: self._on_task_done(done, exchange))
@@ -111,7 +111,7 @@
         while True:
             await asyncio.sleep(_CHECK_INTERVAL_SECONDS)
             now = time.monotonic()
-            self._loop_watch.tick(now)
+            self._loop_monitor.tick(now)
             # A single request may just be slow; several without any byte indicate a failure.
             waiting = self._offered_hops.count_older(now, _SILENCE_SECONDS)
             connections = self._connections
@@ -137,7 +137,7 @@
         span = tracer.begin_serve(head) if tracer is not None and head.trace_id else None
         answer = None
         try:
-            await self._loop_watch.catch_up()
+            await self._loop_monitor.catch_up()
             answer = await self._admit_and_offer(exchange, head, arrived_at, span)
             answer.running = self.slots.running
             answer.waiting = self.slots.waiting + self._body_receiver.waiting
--- a/marblefold/request_path/traffic_count.py
+++ b/marblefold/request_path/traffic_count.py
@@ -1,16 +1,16 @@
 """Counts the requests that enter the mesh at this node, by route.
 
-Counts are cumulative: the difference of two notices gives the rate in between, and
-a lost notice does no harm.
+Counts are cumulative: the difference of two reports gives the rate in between, and
+a lost report does not distort it.
 """
 
 import time
 
-from marblefold.inner_protocol.messages import kinds
+from marblefold.inner_protocol.messages import messages_pb2
 
 __all__ = ["TrafficCount"]
 
-# The number of routes that a notice lists; less used ones are combined into one row.
+# The number of routes that a report lists; less used ones are combined into one row.
 _MAX_ROUTES = 48
 OTHER_ROUTES = ""
 
@@ -26,7 +26,7 @@
 
 
 class TrafficCount:
-    """Counts finished requests and builds notices of the counts."""
+    """Counts finished requests and builds reports of the counts."""
 
     def __init__(self) -> None:
         self._counts: dict[str, _Counts] = {}
@@ -49,20 +49,20 @@
         else:
             counts.answered += 1
 
-    def make_notice(
+    def make_report(
         self,
         node: str,
         zone: str,
         region: str,
         service_seconds: float,
-    ) -> kinds.TrafficNotice | None:
-        """Returns the current counts; None if no request was counted since the last notice."""
+    ) -> messages_pb2.TrafficNotice | None:
+        """Returns the current counts; None if no request was counted since the last report."""
         total = sum(counts.requests for counts in self._counts.values())
         if total == self._reported_total:
             return None
         self._reported_total = total
         self._number += 1
-        notice = kinds.TrafficNotice(
+        notice = messages_pb2.TrafficNotice(
             node=node,
             node_life=self._generation,
             number=self._number,
