--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -17,7 +17,7 @@
 
 def main(_arguments: list[str]) -> int:
     """Plays the seeds; the exit status."""
-    broken = 0
+    failed_seeds = 0
     for seed in FLAGS.seeds:
         outcome = asyncio.run(soak(int(seed), FLAGS.seconds, FLAGS.rate))
         print(
@@ -27,11 +27,11 @@
             f"violations: {'; '.join(outcome.violations) or 'none'}",
             flush=True,
         )
-        broken += bool(outcome.violations)
+        failed_seeds += bool(outcome.violations)
         if FLAGS.out:
             with open(FLAGS.out, "a", encoding="utf-8") as file:
                 file.write(json.dumps(outcome.as_dict()) + "\n")
-    return 1 if broken else 0
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/tools/soak/troubles.py
+++ b/tools/soak/fault_injection.py
@@ -7,29 +7,29 @@
 from tools.soak.fleet import Fleet, Node
 from tools.soak.target import Target
 
-__all__ = ["Troubles"]
+__all__ = ["FaultInjector"]
 
 # At most so many troubles at once; a soak is of troubles that overlap.
-_AT_ONCE = 3
+_MAX_CONCURRENT_FAULTS = 3
 
 
-class Troubles:
+class FaultInjector:
     """Draws troubles one after the other and ends each of them again."""
 
-    def __init__(self, fleet: Fleet, targets: list[Target], choice: random.Random) -> None:
+    def __init__(self, fleet: Fleet, targets: list[Target], rng: random.Random) -> None:
         self._fleet = fleet
         self._targets = targets
-        self._random = choice
-        self._busy: set[Node] = set()
+        self._rng = rng
+        self._affected_nodes: set[Node] = set()
         self._tasks: set[asyncio.Task] = set()
         # Every trouble with when it began, for the report.
-        self.played: list[tuple[float, str]] = []
+        self.injected: list[tuple[float, str]] = []
 
     async def run(self, seconds: float) -> None:
         """Brings troubles about for so long, and returns once all of them are over."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        kinds = [
+        faults = [
             self._kill_proxy,
             self._pause_proxy,
             self._cut_side_from_core,
@@ -42,93 +42,95 @@
             self._lose_power,
         ]
         while loop.time() - began < seconds:
-            await asyncio.sleep(self._random.uniform(0.3, 1.0))
-            if len(self._tasks) < _AT_ONCE:
-                kind = self._random.choice(kinds)
-                self.played.append((round(loop.time() - began, 2), kind.__name__.strip("_")))
-                task = loop.create_task(kind())
+            await asyncio.sleep(self._rng.uniform(0.3, 1.0))
+            if len(self._tasks) < _MAX_CONCURRENT_FAULTS:
+                fault = self._rng.choice(faults)
+                self.injected.append((round(loop.time() - began, 2), fault.__name__.strip("_")))
+                task = loop.create_task(fault())
                 self._tasks.add(task)
                 task.add_done_callback(self._tasks.discard)
         await asyncio.gather(*self._tasks)
 
-    def _draw(self, nodes: list[Node]) -> Node | None:
-        free = [node for node in nodes if node not in self._busy]
-        return self._random.choice(free) if free else None
+    def _choose_idle_node(self, nodes: list[Node]) -> Node | None:
+        free = [node for node in nodes if node not in self._affected_nodes]
+        return self._rng.choice(free) if free else None
 
     async def _kill_proxy(self) -> None:
-        await self._restart([self._draw(self._fleet.proxies)], 1.0)
+        await self._restart([self._choose_idle_node(self._fleet.proxies)], 1.0)
 
     async def _kill_core_program(self) -> None:
-        await self._restart([self._draw([*self._fleet.stores, *self._fleet.registries])], 1.5)
+        await self._restart(
+            [self._choose_idle_node([*self._fleet.stores, *self._fleet.registries])], 1.5
+        )
 
     async def _kill_all_core(self) -> None:
         core = [*self._fleet.stores, *self._fleet.registries]
-        await self._restart([node for node in core if node not in self._busy], 2.5)
+        await self._restart([node for node in core if node not in self._affected_nodes], 2.5)
 
     async def _lose_power(self) -> None:
         """Of all machines at once; targets come back cold, and all disks stay."""
-        nodes = [node for node in self._fleet.nodes if node not in self._busy]
+        nodes = [node for node in self._fleet.nodes if node not in self._affected_nodes]
         for target in self._targets:
             await target.crash()
         restart = asyncio.create_task(self._restart(list(nodes), 1.0))
-        await asyncio.sleep(self._random.uniform(0.1, 1.0))
+        await asyncio.sleep(self._rng.uniform(0.1, 1.0))
         for target in self._targets:
             await target.start(is_cold=True)
         await restart
 
-    async def _restart(self, nodes: list[Node | None], longest: float) -> None:
+    async def _restart(self, nodes: list[Node | None], max_downtime_seconds: float) -> None:
         chosen = [node for node in nodes if node is not None]
-        self._busy.update(chosen)
+        self._affected_nodes.update(chosen)
         try:
             for node in chosen:
                 await node.kill()
-            await asyncio.sleep(self._random.uniform(0.1, longest))
+            await asyncio.sleep(self._rng.uniform(0.1, max_downtime_seconds))
             for node in chosen:
                 await node.start()
         finally:
-            self._busy.difference_update(chosen)
+            self._affected_nodes.difference_update(chosen)
 
     async def _pause_proxy(self) -> None:
-        await self._pause(self._draw(self._fleet.proxies))
+        await self._pause(self._choose_idle_node(self._fleet.proxies))
 
     async def _pause_core_program(self) -> None:
-        await self._pause(self._draw([*self._fleet.stores, *self._fleet.registries]))
+        await self._pause(self._choose_idle_node([*self._fleet.stores, *self._fleet.registries]))
 
     async def _pause(self, node: Node | None) -> None:
         if node is None:
             return
-        self._busy.add(node)
+        self._affected_nodes.add(node)
         try:
             node.send(signal.SIGSTOP)
-            await asyncio.sleep(self._random.uniform(0.2, 3.0))
+            await asyncio.sleep(self._rng.uniform(0.2, 3.0))
         finally:
             node.send(signal.SIGCONT)
-            self._busy.discard(node)
+            self._affected_nodes.discard(node)
 
     async def _cut_side_from_core(self) -> None:
-        side = self._random.choice(self._fleet.proxies).machine
-        await self._cut([(side.host, node.machine.host) for node in self._fleet.stores])
+        side = self._rng.choice(self._fleet.proxies).machine
+        await self._partition([(side.host, node.machine.host) for node in self._fleet.stores])
 
     async def _cut_core(self) -> None:
-        one = self._random.choice(self._fleet.stores).machine
-        others = [node.machine for node in self._fleet.stores if node.machine != one]
-        await self._cut([(one.host, other.host) for other in others])
+        first = self._rng.choice(self._fleet.stores).machine
+        others = [node.machine for node in self._fleet.stores if node.machine != first]
+        await self._partition([(first.host, second.host) for second in others])
 
-    async def _cut(self, pairs: list[tuple[str, str]]) -> None:
-        for one, other in pairs:
-            self._fleet.cut(one, other, True)
-        await asyncio.sleep(self._random.uniform(0.5, 4.0))
-        for one, other in pairs:
-            self._fleet.cut(one, other, False)
+    async def _partition(self, pairs: list[tuple[str, str]]) -> None:
+        for first, second in pairs:
+            self._fleet.set_partitioned(first, second, True)
+        await asyncio.sleep(self._rng.uniform(0.5, 4.0))
+        for first, second in pairs:
+            self._fleet.set_partitioned(first, second, False)
 
     async def _lose_answers(self) -> None:
-        target = self._random.choice(self._targets)
-        target.lost_share = 0.2
-        await asyncio.sleep(self._random.uniform(0.5, 2.0))
-        target.lost_share = 0.0
+        target = self._rng.choice(self._targets)
+        target.lost_response_ratio = 0.2
+        await asyncio.sleep(self._rng.uniform(0.5, 2.0))
+        target.lost_response_ratio = 0.0
 
     async def _replace_target(self) -> None:
-        target = self._random.choice(self._targets)
+        target = self._rng.choice(self._targets)
         await target.crash()
-        await asyncio.sleep(self._random.uniform(0.1, 0.6))
+        await asyncio.sleep(self._rng.uniform(0.1, 0.6))
         await target.start(is_cold=True)
--- a/tools/soak/fleet.py
+++ b/tools/soak/fleet.py
@@ -25,7 +25,7 @@
         self._starts = 0
 
     @property
-    def cut_file(self) -> Path:
+    def unreachable_hosts_file(self) -> Path:
         """Lists the addresses that this machine cannot reach."""
         return self._folder / f"{self.machine.name}.cut"
 
@@ -45,7 +45,7 @@
                 "-m",
                 "tools.soak.node",
                 self.machine.host,
-                str(self.cut_file),
+                str(self.unreachable_hosts_file),
                 self.role,
                 stdout=log,
                 stderr=log,
@@ -62,7 +62,7 @@
             self._process.send_signal(number)
 
     @property
-    def has_ended_by_itself(self) -> bool:
+    def exited_unexpectedly(self) -> bool:
         """Whether the program ended though nobody killed it."""
         return self._process is not None and self._process.returncode is not None
 
@@ -78,11 +78,11 @@
 class Fleet:
     """All programs; leaving the context ends every one of them."""
 
-    def __init__(self, core: list[Machine], sides: list[Machine], folder: Path) -> None:
+    def __init__(self, core: list[Machine], target_machines: list[Machine], folder: Path) -> None:
         self.stores = [Node(machine, "store", folder, core) for machine in core]
         self.registries = [Node(machine, "registry", folder, core) for machine in core]
-        self.proxies = [Node(machine, "proxy", folder, core) for machine in sides]
-        self._cuts: dict[str, set[str]] = {}
+        self.proxies = [Node(machine, "proxy", folder, core) for machine in target_machines]
+        self._unreachable_hosts: dict[str, set[str]] = {}
 
     @property
     def nodes(self) -> list[Node]:
@@ -98,12 +98,12 @@
         for node in self.nodes:
             await node.kill()
 
-    def _cut_file(self, host: str) -> Path:
-        return next(node.cut_file for node in self.nodes if node.machine.host == host)
+    def _unreachable_hosts_file(self, host: str) -> Path:
+        return next(node.unreachable_hosts_file for node in self.nodes if node.machine.host == host)
 
-    def cut(self, one: str, other: str, is_cut: bool) -> None:
+    def set_partitioned(self, first_host: str, second_host: str, is_partitioned: bool) -> None:
         """Cuts two addresses off from each other, or joins them again."""
-        for near, far in ((one, other), (other, one)):
-            hosts = self._cuts.setdefault(near, set())
-            (hosts.add if is_cut else hosts.discard)(far)
-            self._cut_file(near).write_text("\n".join(sorted(hosts)))
+        for source, destination in ((first_host, second_host), (second_host, first_host)):
+            hosts = self._unreachable_hosts.setdefault(source, set())
+            (hosts.add if is_partitioned else hosts.discard)(destination)
+            self._unreachable_hosts_file(source).write_text("\n".join(sorted(hosts)))
--- a/tools/soak/http_call.py
+++ b/tools/soak/http_call.py
@@ -3,10 +3,10 @@
 import asyncio
 from typing import NamedTuple
 
-__all__ = ["CallAnswer", "call"]
+__all__ = ["HttpResponse", "send_request"]
 
 
-class CallAnswer(NamedTuple):
+class HttpResponse(NamedTuple):
     """An answer; status 0 if none came, or not a whole one."""
 
     status: int
@@ -14,21 +14,21 @@
     body: bytes
 
 
-_NONE = CallAnswer(0, b"", b"")
+_NO_RESPONSE = HttpResponse(0, b"", b"")
 
 
-async def call(
+async def send_request(
     address: tuple[str, int],
     method: str,
     path: str,
     headers: tuple[str, ...] = (),
     body: bytes = b"",
-    seconds: float = 1.0,
-) -> CallAnswer:
+    timeout_seconds: float = 1.0,
+) -> HttpResponse:
     """The answer to the call, or one with status 0."""
     writer = None
     try:
-        async with asyncio.timeout(seconds):
+        async with asyncio.timeout(timeout_seconds):
             reader, writer = await asyncio.open_connection(*address)
             lines = [
                 f"{method} {path} HTTP/1.1",
@@ -38,10 +38,10 @@
                 *headers,
             ]
             writer.write("\r\n".join(lines).encode() + b"\r\n\r\n" + body)
-            head, _sign, rest = (await reader.read(-1)).partition(b"\r\n\r\n")
-            return CallAnswer(int(head.split(b" ", 2)[1]), head, rest)
+            head, _separator, response_body = (await reader.read(-1)).partition(b"\r\n\r\n")
+            return HttpResponse(int(head.split(b" ", 2)[1]), head, response_body)
     except (OSError, TimeoutError, ValueError, IndexError):
-        return _NONE
+        return _NO_RESPONSE
     finally:
         if writer is not None:
             writer.close()
--- a/tools/soak/layout.py
+++ b/tools/soak/layout.py
@@ -5,9 +5,9 @@
 from typing import NamedTuple
 
 __all__ = [
-    "BEAT_SECONDS",
-    "COLD_ALLOWED",
-    "COLD_SECONDS",
+    "COLD_START_SECONDS",
+    "HEARTBEAT_INTERVAL_SECONDS",
+    "MAX_COLD_REQUESTS_PER_SECOND",
     "SERVICES",
     "ZONES",
     "Machine",
@@ -18,13 +18,13 @@
 
 ZONES = ("hall-a", "hall-b", "hall-c")
 SERVICES = ("quotes", "orders")
-COLD_SECONDS = 3.0
-BEAT_SECONDS = 1.5
-_COLD_PER_SECOND = 6.0
+COLD_START_SECONDS = 3.0
+HEARTBEAT_INTERVAL_SECONDS = 1.5
+_COLD_START_REQUESTS_PER_SECOND = 6.0
 # By the bounds below: 1.5 times that and 5 more.
-COLD_ALLOWED = 14
+MAX_COLD_REQUESTS_PER_SECOND = 14
 _FIRST_PORT = 29000
-_BOUNDS = """
+_BOUNDS_CONFIG = """
 bounds.contact-window-ms=3000
 bounds.ack-timeout-ms=4000
 bounds.catch-up-s=4
@@ -54,17 +54,17 @@
     service: str
 
     @property
-    def control(self) -> int:
+    def control_port(self) -> int:
         """The port for targets and operators."""
         return _FIRST_PORT
 
     @property
-    def outbound(self) -> int:
+    def outbound_port(self) -> int:
         """The port for clients."""
         return _FIRST_PORT + 1
 
     @property
-    def application(self) -> int:
+    def application_port(self) -> int:
         """The port of the target."""
         return _FIRST_PORT + 2
 
@@ -77,19 +77,19 @@
         Machine(f"core-{number}", f"{network}.{10 + number}", zone, "")
         for number, zone in enumerate(ZONES)
     ]
-    sides = [
+    target_machines = [
         Machine(f"side-{service}-{zone}", f"{network}.{20 + 10 * kind + number}", zone, service)
         for kind, service in enumerate(SERVICES)
         for number, zone in enumerate(ZONES)
     ]
-    return core, sides
+    return core, target_machines
 
 
 def write_config(
-    path: Path, machine: Machine, core: list[Machine], data: str, is_first: bool
+    path: Path, machine: Machine, core: list[Machine], data_directory: str, is_first: bool
 ) -> None:
     """Writes the config file of one program of the machine; `data` is its folder, if any."""
-    seeds = ",".join(f"{seed.host}:{seed.control}" for seed in core)
+    seeds = ",".join(f"{seed.host}:{seed.control_port}" for seed in core)
     lines = [
         f"node-name={machine.name}",
         f"zone={machine.zone}",
@@ -99,18 +99,18 @@
         f"internal-port-range={_FIRST_PORT + 4},{_FIRST_PORT + 12}",
         f"seed-nodes={seeds}",
         f"initial-start={str(is_first).lower()}",
-        f"listen-addresses.control-plane={machine.host}:{machine.control}",
+        f"listen-addresses.control-plane={machine.host}:{machine.control_port}",
     ]
-    if data:
-        lines.append(f"data-directory={data}")
+    if data_directory:
+        lines.append(f"data-directory={data_directory}")
     if machine.service:
         lines += [
-            f"listen-addresses.outbound={machine.host}:{machine.outbound}",
+            f"listen-addresses.outbound={machine.host}:{machine.outbound_port}",
             f"listen-addresses.readiness={machine.host}:{_FIRST_PORT + 3}",
-            f"app-address={machine.host}:{machine.application}",
+            f"app-address={machine.host}:{machine.application_port}",
             f"upstream={machine.service}",
         ]
-    path.write_text("\n".join(lines) + _BOUNDS)
+    path.write_text("\n".join(lines) + _BOUNDS_CONFIG)
 
 
 def make_configuration(version: int) -> dict:
@@ -136,8 +136,8 @@
                 "name": service,
                 "health-check-path": "/health",
                 "max-connections": 100,
-                "cold-start-s": COLD_SECONDS,
-                "coldstart-per-s": _COLD_PER_SECOND,
+                "cold-start-s": COLD_START_SECONDS,
+                "coldstart-per-s": _COLD_START_REQUESTS_PER_SECOND,
             }
             for service in SERVICES
         ],
--- a/tools/soak/node.py
+++ b/tools/soak/node.py
@@ -12,12 +12,12 @@
 stub_unused_modules()
 
 from marblefold.command_line import main  # noqa: E402
-from tools.soak.cut_loop import CutLoop  # noqa: E402
+from tools.soak.partitionable_loop import PartitionableEventLoop  # noqa: E402
 
-_READ_EVERY = 0.03
+_POLL_INTERVAL_SECONDS = 0.03
 
 
-class _Policy(asyncio.DefaultEventLoopPolicy):
+class _PartitionableLoopPolicy(asyncio.DefaultEventLoopPolicy):
     """Makes the loop of this process, and has it follow the cut file."""
 
     def __init__(self, host: str, path: Path) -> None:
@@ -26,19 +26,19 @@
         self._path = path
         self._text = ""
 
-    def new_event_loop(self) -> CutLoop:
-        loop = CutLoop(self._host)
-        self._read(loop)
+    def new_event_loop(self) -> PartitionableEventLoop:
+        loop = PartitionableEventLoop(self._host)
+        self._poll_unreachable_hosts(loop)
         return loop
 
-    def _read(self, loop: CutLoop) -> None:
+    def _poll_unreachable_hosts(self, loop: PartitionableEventLoop) -> None:
         text = self._path.read_text() if self._path.exists() else ""
         if text != self._text:
             self._text = text
-            loop.set_cut(text.split())
-        loop.call_later(_READ_EVERY, self._read, loop)
+            loop.set_unreachable_hosts(text.split())
+        loop.call_later(_POLL_INTERVAL_SECONDS, self._poll_unreachable_hosts, loop)
 
 
 if __name__ == "__main__":
-    asyncio.set_event_loop_policy(_Policy(sys.argv[1], Path(sys.argv[2])))
+    asyncio.set_event_loop_policy(_PartitionableLoopPolicy(sys.argv[1], Path(sys.argv[2])))
     sys.exit(main(["marblefold", *sys.argv[3:]]))
--- a/tools/soak/cut_loop.py
+++ b/tools/soak/partitionable_loop.py
@@ -8,40 +8,40 @@
 import socket
 from collections.abc import Iterable
 
-__all__ = ["CutLoop"]
+__all__ = ["PartitionableEventLoop"]
 
 
-class CutLoop(asyncio.SelectorEventLoop):
+class PartitionableEventLoop(asyncio.SelectorEventLoop):
     """Connects from the node's own address, so that both ends know each other by it."""
 
     def __init__(self, own_host: str) -> None:
         super().__init__()
         self._own_host = own_host
-        self._cut: frozenset[str] = frozenset()
-        self._healed = asyncio.Event()
+        self._unreachable_hosts: frozenset[str] = frozenset()
+        self._reachability_changed = asyncio.Event()
         # Open connections to other nodes, each with what reads it.
         self._transports: dict[asyncio.Transport, tuple[str, int]] = {}
 
-    def set_cut(self, hosts: Iterable[str]) -> None:
+    def set_unreachable_hosts(self, hosts: Iterable[str]) -> None:
         """From now on exactly these addresses are out of reach."""
-        self._cut = frozenset(hosts)
+        self._unreachable_hosts = frozenset(hosts)
         for transport, (host, descriptor) in list(self._transports.items()):
             if transport.is_closing():
                 del self._transports[transport]
-            elif host in self._cut:
+            elif host in self._unreachable_hosts:
                 self._remove_reader(descriptor)  # type: ignore[attr-defined]
             else:
                 self._add_reader(  # type: ignore[attr-defined]
                     descriptor,
                     transport._read_ready,  # type: ignore[attr-defined]
                 )
-        self._healed.set()
-        self._healed = asyncio.Event()
+        self._reachability_changed.set()
+        self._reachability_changed = asyncio.Event()
 
     async def create_connection(self, protocol_factory, host=None, port=None, **options):
         """As the usual one, but it hangs while the address is cut off."""
-        while host in self._cut:
-            await self._healed.wait()
+        while host in self._unreachable_hosts:
+            await self._reachability_changed.wait()
         options.setdefault("local_addr", (self._own_host, 0))
         return await super().create_connection(protocol_factory, host, port, **options)
 
@@ -55,23 +55,23 @@
             return transport
         if host != self._own_host:
             self._transports[transport] = (host, sock.fileno())
-            if host in self._cut:
-                self.call_soon(self.call_soon, self._hold, transport)
+            if host in self._unreachable_hosts:
+                self.call_soon(self.call_soon, self._stop_reading, transport)
         return transport
 
-    def _hold(self, transport) -> None:
+    def _stop_reading(self, transport) -> None:
         host, descriptor = self._transports.get(transport, ("", -1))
-        if host in self._cut and not transport.is_closing():
+        if host in self._unreachable_hosts and not transport.is_closing():
             self._remove_reader(descriptor)  # type: ignore[attr-defined]
 
-    def _make_datagram_transport(self, sock: socket.socket, protocol, *options, **more):
+    def _make_datagram_transport(self, sock: socket.socket, protocol, *options, **keywords):
         transport = super()._make_datagram_transport(  # type: ignore[misc]
-            sock, protocol, *options, **more
+            sock, protocol, *options, **keywords
         )
         send = transport.sendto
 
         def send_unless_cut(data, addr=None):
-            if addr is None or addr[0] not in self._cut:
+            if addr is None or addr[0] not in self._unreachable_hosts:
                 send(data, addr)
 
         transport.sendto = send_unless_cut
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -7,20 +7,20 @@
 from dataclasses import asdict, dataclass
 from pathlib import Path
 
+from tools.soak.fault_injection import FaultInjector
 from tools.soak.fleet import Fleet
 from tools.soak.layout import make_machines
 from tools.soak.target import Target
-from tools.soak.traffic import Clients, Operator, Told
-from tools.soak.troubles import Troubles
+from tools.soak.traffic import ClientResults, Clients, Operator
 
 __all__ = ["Outcome", "soak"]
 
-_START_SECONDS = 30.0
+_START_TIMEOUT_SECONDS = 30.0
 # How long after the last trouble everything must answer again.
-_RECOVERY_SECONDS = 15.0
+_RECOVERY_TIMEOUT_SECONDS = 15.0
 # Log lines of the programs' own invariants.
-_VIOLATION = '"event": "cold target flooded"'
-_BROKEN_TASK = '"event": "background task failed"'
+_COLD_FLOOD_EVENT = '"event": "cold target flooded"'
+_TASK_FAILURE_EVENT = '"event": "background task failed"'
 
 
 @dataclass(frozen=True)
@@ -42,113 +42,120 @@
         return asdict(self)
 
 
-async def soak(seed: int, seconds: float, per_second: float) -> Outcome:
+async def soak(seed: int, seconds: float, requests_per_second: float) -> Outcome:
     """Runs the mesh for so many seconds of troubles. Raises TimeoutError if it does not start."""
-    choice = random.Random(seed)
-    core, sides = make_machines()
-    ran: dict[str, int] = {}
-    targets = [Target(machine, ran, random.Random(choice.random())) for machine in sides]
-    clients = Clients(sides, per_second, random.Random(choice.random()))
-    operator = Operator(core, targets, random.Random(choice.random()))
+    rng = random.Random(seed)
+    core, target_machines = make_machines()
+    executions: dict[str, int] = {}
+    targets = [
+        Target(machine, executions, random.Random(rng.random())) for machine in target_machines
+    ]
+    clients = Clients(target_machines, requests_per_second, random.Random(rng.random()))
+    operator = Operator(core, targets, random.Random(rng.random()))
     with tempfile.TemporaryDirectory(prefix="soak-") as name:
         folder = Path(name)
-        async with Fleet(core, sides, folder) as fleet:
+        async with Fleet(core, target_machines, folder) as fleet:
             for target in targets:
                 await target.start(is_cold=False)
-            beats = [asyncio.create_task(target.run()) for target in targets]
-            await _until(operator.change, _START_SECONDS)
-            load = asyncio.create_task(clients.run())
-            await _until(lambda: _is_served(clients.told), _START_SECONDS)
-            orders = [
-                asyncio.create_task(operator.change_for_ever()),
-                asyncio.create_task(operator.evacuate_for_ever()),
+            heartbeat_tasks = [asyncio.create_task(target.run()) for target in targets]
+            await _wait_until(operator.change, _START_TIMEOUT_SECONDS)
+            client_task = asyncio.create_task(clients.run())
+            await _wait_until(lambda: _has_served_requests(clients.results), _START_TIMEOUT_SECONDS)
+            operator_tasks = [
+                asyncio.create_task(operator.change_continuously()),
+                asyncio.create_task(operator.evacuate_continuously()),
             ]
-            troubles = Troubles(fleet, targets, random.Random(choice.random()))
-            await troubles.run(seconds)
-            await _stop(orders)
-            violations = await _check_recovery(operator, clients.told)
-            await _stop([load])
+            fault_injector = FaultInjector(fleet, targets, random.Random(rng.random()))
+            await fault_injector.run(seconds)
+            await _cancel_tasks(operator_tasks)
+            violations = await _check_recovery(operator, clients.results)
+            await _cancel_tasks([client_task])
             await clients.finish()
             violations += [
-                f"{n.name} ended by itself" for n in fleet.nodes if n.has_ended_by_itself
+                f"{node.name} ended by itself" for node in fleet.nodes if node.exited_unexpectedly
             ]
-            await _stop(beats)
+            await _cancel_tasks(heartbeat_tasks)
             for target in targets:
                 await target.crash()
-        violations += _check_requests(clients.told, ran)
+        violations += _check_requests(clients.results, executions)
         violations += [
-            f"flooded: {target.machine.name} got {target.worst_cold_second} in one second"
+            f"flooded: {target.machine.name} got "
+            f"{target.peak_cold_requests_per_second} in one second"
             for target in targets
-            if target.is_flooded
+            if target.exceeded_cold_limit
         ]
         violations += _check_logs(fleet)
     return Outcome(
         seed,
         seconds,
-        clients.told.asked,
-        clients.told.served,
+        clients.results.sent,
+        clients.results.served,
         operator.acknowledged,
         operator.evacuations,
-        max(target.worst_cold_second for target in targets),
-        tuple(troubles.played),
+        max(target.peak_cold_requests_per_second for target in targets),
+        tuple(fault_injector.injected),
         tuple(violations),
     )
 
 
-async def _is_served(told: Told) -> bool:
-    return told.served > 0
+async def _has_served_requests(results: ClientResults) -> bool:
+    return results.served > 0
 
 
-async def _until(condition, seconds: float) -> None:
+async def _wait_until(condition, seconds: float) -> None:
     async with asyncio.timeout(seconds):
         while not await condition():
             await asyncio.sleep(0.1)
 
 
-async def _stop(tasks: list[asyncio.Task]) -> None:
+async def _cancel_tasks(tasks: list[asyncio.Task]) -> None:
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _check_recovery(operator: Operator, told: Told) -> list[str]:
+async def _check_recovery(operator: Operator, results: ClientResults) -> list[str]:
     """After the troubles: what was acknowledged is there, and requests are served."""
-    found = []
-    ends = time.monotonic() + _RECOVERY_SECONDS
+    violations = []
+    deadline = time.monotonic() + _RECOVERY_TIMEOUT_SECONDS
     while (version := await operator.read_version()) < operator.acknowledged:
-        if time.monotonic() > ends:
-            found.append(f"configuration {version} after {operator.acknowledged} was acknowledged")
+        if time.monotonic() > deadline:
+            violations.append(
+                f"configuration {version} after {operator.acknowledged} was acknowledged"
+            )
             break
         await asyncio.sleep(0.2)
-    served = told.served
-    while told.served < served + 20:
-        if time.monotonic() > ends:
-            found.append(f"only {told.served - served} served after the troubles")
+    served = results.served
+    while results.served < served + 20:
+        if time.monotonic() > deadline:
+            violations.append(f"only {results.served - served} served after the troubles")
             break
         await asyncio.sleep(0.2)
-    return found
+    return violations
 
 
-def _check_requests(told: Told, ran: dict[str, int]) -> list[str]:
-    found = [
-        f"ran twice: {attempt}" for attempt in sorted(told.mutating) if ran.get(attempt, 0) > 1
+def _check_requests(results: ClientResults, executions: dict[str, int]) -> list[str]:
+    violations = [
+        f"ran twice: {attempt}"
+        for attempt in sorted(results.mutating)
+        if executions.get(attempt, 0) > 1
     ]
-    found += [
+    violations += [
         f"promised but ran: {attempt}"
-        for attempt in sorted(told.promised & told.mutating)
-        if ran.get(attempt)
+        for attempt in sorted(results.reported_unexecuted & results.mutating)
+        if executions.get(attempt)
     ]
-    found += [f"wrong answer: {attempt}" for attempt in told.wrong]
-    return found
+    violations += [f"wrong answer: {attempt}" for attempt in results.mismatched]
+    return violations
 
 
 def _check_logs(fleet: Fleet) -> list[str]:
     """The programs' own invariants, as they logged them."""
-    found = []
+    violations = []
     for node in fleet.nodes:
         text = node.log.read_text(errors="replace")
-        for mark in (_VIOLATION, _BROKEN_TASK):
-            if mark in text:
-                line = next(line for line in text.splitlines() if mark in line)
-                found.append(f"{node.name}: {line[:600]}")
-    return found
+        for event in (_COLD_FLOOD_EVENT, _TASK_FAILURE_EVENT):
+            if event in text:
+                line = next(line for line in text.splitlines() if event in line)
+                violations.append(f"{node.name}: {line[:600]}")
+    return violations
--- a/tools/soak/target.py
+++ b/tools/soak/target.py
@@ -6,16 +6,21 @@
 import random
 import time
 
-from tools.soak.http_call import call
-from tools.soak.layout import BEAT_SECONDS, COLD_ALLOWED, COLD_SECONDS, Machine
+from tools.soak.http_call import send_request
+from tools.soak.layout import (
+    COLD_START_SECONDS,
+    HEARTBEAT_INTERVAL_SECONDS,
+    MAX_COLD_REQUESTS_PER_SECOND,
+    Machine,
+)
 
 __all__ = ["Target"]
 
-_SLOTS = 8
-_LIVES = itertools.count(1)
+_CAPACITY_SLOTS = 8
+_INSTANCE_NUMBERS = itertools.count(1)
 # A heartbeat may come late by so many seconds, and some do.
-_LATE_SECONDS = 2.0
-_LATE_SHARE = 0.2
+_MAX_HEARTBEAT_DELAY_SECONDS = 2.0
+_DELAYED_HEARTBEAT_RATIO = 0.2
 
 
 class Target:
@@ -24,20 +29,20 @@
     All times are seconds of the monotonic clock.
     """
 
-    def __init__(self, machine: Machine, ran: dict[str, int], choice: random.Random) -> None:
+    def __init__(self, machine: Machine, executions: dict[str, int], rng: random.Random) -> None:
         self.machine = machine
         # How often each request ran, over all targets.
-        self._ran = ran
-        self._random = choice
+        self._executions = executions
+        self._rng = rng
         self.instance = ""
         self.cold_until = 0.0
         # The largest number of requests in one second of each cold time.
-        self.worst_cold_second = 0
-        self.lost_share = 0.0
-        self._arrivals: list[float] = []
+        self.peak_cold_requests_per_second = 0
+        self.lost_response_ratio = 0.0
+        self._arrival_times: list[float] = []
         self._cold_since = 0.0
         self._running = 0
-        self._numbers = itertools.count(1)
+        self._call_sequence = itertools.count(1)
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task] = set()
@@ -46,12 +51,12 @@
         """Begins a life, unless one goes on; `is_cold` if it starts while there is traffic."""
         if self._server is not None:
             return
-        self.instance = f"i-{next(_LIVES)}"
-        self._arrivals.clear()
-        self._numbers = itertools.count(1)
+        self.instance = f"i-{next(_INSTANCE_NUMBERS)}"
+        self._arrival_times.clear()
+        self._call_sequence = itertools.count(1)
         self.cold_until = 0.0
         self._server = await asyncio.start_server(
-            self._serve, self.machine.host, self.machine.application
+            self._serve, self.machine.host, self.machine.application_port
         )
         if is_cold:
             self.go_cold()
@@ -69,39 +74,41 @@
         now = time.monotonic()
         if now > self.cold_until:
             self._cold_since = now
-        self.cold_until = now + COLD_SECONDS
-        self._spawn(self._beat())
+        self.cold_until = now + COLD_START_SECONDS
+        self._spawn(self._send_heartbeat())
 
     async def run(self) -> None:
         """Sends heartbeats for ever."""
         while True:
             if self._server is not None:
-                self._spawn(self._beat())
-            await asyncio.sleep(BEAT_SECONDS)
+                self._spawn(self._send_heartbeat())
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
 
     def _spawn(self, run) -> None:
         task = asyncio.get_running_loop().create_task(run)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    def _cold_left(self) -> int:
+    def _cold_remaining_ms(self) -> int:
         return max(0, int((self.cold_until - time.monotonic()) * 1000))
 
-    async def _beat(self) -> None:
+    async def _send_heartbeat(self) -> None:
         machine = self.machine
         path = f"/mesh/targets/{self.instance}"
         body = {
             "upstream": machine.service,
-            "address": f"{machine.host}:{machine.application}",
+            "address": f"{machine.host}:{machine.application_port}",
             "zone": machine.zone,
-            "capacity-slots": _SLOTS,
+            "capacity-slots": _CAPACITY_SLOTS,
             "state": "ready",
-            "cold-remaining-ms": self._cold_left(),
-            "call-sequence": next(self._numbers),
+            "cold-remaining-ms": self._cold_remaining_ms(),
+            "call-sequence": next(self._call_sequence),
         }
-        if self._random.random() < _LATE_SHARE:
-            await asyncio.sleep(self._random.uniform(0.0, _LATE_SECONDS))
-        await call((machine.host, machine.control), "PUT", path, body=json.dumps(body).encode())
+        if self._rng.random() < _DELAYED_HEARTBEAT_RATIO:
+            await asyncio.sleep(self._rng.uniform(0.0, _MAX_HEARTBEAT_DELAY_SECONDS))
+        await send_request(
+            (machine.host, machine.control_port), "PUT", path, body=json.dumps(body).encode()
+        )
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._writers.add(writer)
@@ -127,22 +134,23 @@
         if path == "/health":
             return (
                 f"HTTP/1.1 200 OK\r\nInstance-Id: {self.instance}\r\n"
-                f"Server-Load: {self._running},0,{_SLOTS}\r\nCold-Ms: {self._cold_left()}\r\n"
+                f"Server-Load: {self._running},0,{_CAPACITY_SLOTS}\r\n"
+                f"Cold-Ms: {self._cold_remaining_ms()}\r\n"
                 "Content-Length: 0\r\n\r\n"
             ).encode()
         if headers.get("Expected-Instance") != self.instance:
             return b"HTTP/1.1 421 no\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
-        self._note_arrival()
-        if self._running >= _SLOTS:
+        self._record_arrival()
+        if self._running >= _CAPACITY_SLOTS:
             return b"HTTP/1.1 503 no\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
         attempt = headers["Attempt-Id"]
-        self._ran[attempt] = self._ran.get(attempt, 0) + 1
+        self._executions[attempt] = self._executions.get(attempt, 0) + 1
         self._running += 1
         try:
-            await asyncio.sleep(self._random.uniform(0.002, 0.03))
+            await asyncio.sleep(self._rng.uniform(0.002, 0.03))
         finally:
             self._running -= 1
-        if self._random.random() < self.lost_share:
+        if self._rng.random() < self.lost_response_ratio:
             return None
         body = f"done {attempt}"
         return (
@@ -150,16 +158,20 @@
             f"Content-Length: {len(body)}\r\n\r\n{body}"
         ).encode()
 
-    def _note_arrival(self) -> None:
+    def _record_arrival(self) -> None:
         now = time.monotonic()
         if now > self.cold_until:
-            self._arrivals.clear()
+            self._arrival_times.clear()
             return
-        self._arrivals = [at for at in self._arrivals if now - at < 1.0 and at >= self._cold_since]
-        self._arrivals.append(now)
-        self.worst_cold_second = max(self.worst_cold_second, len(self._arrivals))
+        self._arrival_times = [
+            at for at in self._arrival_times if now - at < 1.0 and at >= self._cold_since
+        ]
+        self._arrival_times.append(now)
+        self.peak_cold_requests_per_second = max(
+            self.peak_cold_requests_per_second, len(self._arrival_times)
+        )
 
     @property
-    def is_flooded(self) -> bool:
+    def exceeded_cold_limit(self) -> bool:
         """Whether a second of a cold time held more requests than the target bears."""
-        return self.worst_cold_second > COLD_ALLOWED
+        return self.peak_cold_requests_per_second > MAX_COLD_REQUESTS_PER_SECOND
