--- a/tools/bench_days/days.py
+++ b/tools/bench_days/days.py
@@ -1,4 +1,4 @@
-"""The days of this folder: which entries each one holds, and of which kinds."""
+"""Reads the bench days of this folder: their entries and the kinds of these."""
 
 import tomllib
 from collections.abc import Collection
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Entry:
-    """One trouble or piece of planned work, as the day's file has it."""
+    """One fault or planned operation; `at` is in seconds and `how` names the variant."""
 
     at: float
     kind: str
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class Day:
-    """A day's file, its name and its entries by time."""
+    """A day's file, its name, its entries ordered by time, and the kind of its closing fault."""
 
     path: Path
     name: str
@@ -31,12 +31,12 @@
 
     @property
     def kinds(self) -> frozenset[str]:
-        """The kinds of all entries; the closing fault isn't one."""
+        """The kinds of all entries, without the closing fault."""
         return frozenset(entry.kind for entry in self.entries)
 
 
 def read_day(path: Path) -> Day:
-    """Reads one file; ValueError when it doesn't hold exactly one day with a name of its own."""
+    """Reads one file. Raises ValueError unless it holds one valid day with the file's name."""
     with path.open("rb") as file:
         document = tomllib.load(file)
     days = document.get("day")
@@ -57,15 +57,16 @@
 
 
 def read_days(names: list[str], folder: Path = DAYS_FOLDER) -> list[Day]:
-    """The days with these names, in this order; all of the folder if none is named."""
+    """Returns the days with these names in this order, or all of the folder if none is given."""
     paths = [folder / f"{name}.toml" for name in names] or sorted(folder.glob("*.toml"))
     return [read_day(path) for path in paths]
 
 
 def write_day_without_kinds(day: Day, kinds: Collection[str], folder: Path) -> Path | None:
-    """A copy of the day's file in the folder, without entries of these kinds.
+    """Writes a copy of the day's file without entries of these kinds, and returns its path.
 
-    The file itself if none are named, None if no entry would be left. Files hold an entry a line.
+    Returns the original path if no kinds are given, and None if no entry would remain.
+    Works on lines, so a day's file must hold one entry per line.
     """
     if not kinds:
         return day.path
--- a/tools/model_check/__init__.py
+++ b/tools/model_check/__init__.py
@@ -1,1 +1,1 @@
-"""Explores interleavings of the real acceptor and proposer, breadth first."""
+"""Explores interleavings of the real acceptor and proposer by breadth-first search."""
--- a/tools/soak/__init__.py
+++ b/tools/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A soak: real processes on loopback under random troubles, with invariants checked."""
+"""A soak test: real processes on loopback under random faults, with invariants checked."""
--- a/tools/soak/__main__.py
+++ b/tools/soak/__main__.py
@@ -1,4 +1,4 @@
-"""python3 -m tools.soak --seeds=1,2,3 --seconds=60: exits with 1 if an invariant broke."""
+"""python3 -m tools.soak --seeds=1,2,3 --seconds=60: exits with 1 if an invariant was violated."""
 
 import asyncio
 import json
@@ -9,14 +9,16 @@
 from tools.soak.run import soak
 
 FLAGS = flags.FLAGS
-flags.DEFINE_list("seeds", ["1"], "Seeds to play, one after the other.")
-flags.DEFINE_float("seconds", 30.0, "Seconds of troubles in each.", lower_bound=1, upper_bound=3600)
+flags.DEFINE_list("seeds", ["1"], "Seeds to run, one after the other.")
+flags.DEFINE_float(
+    "seconds", 30.0, "Seconds of fault injection per seed.", lower_bound=1, upper_bound=3600
+)
 flags.DEFINE_float("rate", 150.0, "Requests a second.", lower_bound=1, upper_bound=2000)
-flags.DEFINE_string("out", "", "File that gets each outcome as a JSON line.")
+flags.DEFINE_string("out", "", "File to which each outcome is appended as a JSON line.")
 
 
 def main(_arguments: list[str]) -> int:
-    """Plays the seeds; the exit status."""
+    """Runs each seed and returns the exit status."""
     failed_seeds = 0
     for seed in FLAGS.seeds:
         outcome = asyncio.run(soak(int(seed), FLAGS.seconds, FLAGS.rate))
--- a/tools/soak/fault_injection.py
+++ b/tools/soak/fault_injection.py
@@ -1,4 +1,4 @@
-"""Random troubles that overlap in time."""
+"""Injects random faults that overlap in time."""
 
 import asyncio
 import random
@@ -9,12 +9,12 @@
 
 __all__ = ["FaultInjector"]
 
-# At most so many troubles at once; a soak is of troubles that overlap.
+# More than one, so that faults overlap.
 _MAX_CONCURRENT_FAULTS = 3
 
 
 class FaultInjector:
-    """Draws troubles one after the other and ends each of them again."""
+    """Starts random faults one after the other; each ends by itself after a random time."""
 
     def __init__(self, fleet: Fleet, targets: list[Target], rng: random.Random) -> None:
         self._fleet = fleet
@@ -22,11 +22,11 @@
         self._rng = rng
         self._affected_nodes: set[Node] = set()
         self._tasks: set[asyncio.Task] = set()
-        # Every trouble with when it began, for the report.
+        # Start time in seconds and name of each fault, for the report.
         self.injected: list[tuple[float, str]] = []
 
     async def run(self, seconds: float) -> None:
-        """Brings troubles about for so long, and returns once all of them are over."""
+        """Injects faults for `seconds`, and returns once all of them have ended."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         faults = [
@@ -68,7 +68,7 @@
         await self._restart([node for node in core if node not in self._affected_nodes], 2.5)
 
     async def _lose_power(self) -> None:
-        """Of all machines at once; targets come back cold, and all disks stay."""
+        """Restarts all programs and targets; targets come back cold, disks keep their data."""
         nodes = [node for node in self._fleet.nodes if node not in self._affected_nodes]
         for target in self._targets:
             await target.crash()
@@ -108,8 +108,8 @@
             self._affected_nodes.discard(node)
 
     async def _cut_side_from_core(self) -> None:
-        side = self._rng.choice(self._fleet.proxies).machine
-        await self._partition([(side.host, node.machine.host) for node in self._fleet.stores])
+        machine = self._rng.choice(self._fleet.proxies).machine
+        await self._partition([(machine.host, node.machine.host) for node in self._fleet.stores])
 
     async def _cut_core(self) -> None:
         first = self._rng.choice(self._fleet.stores).machine
--- a/tools/soak/fleet.py
+++ b/tools/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Starts, cuts, pauses and kills the programs of a soak; only processes of its own."""
+"""Starts, partitions, signals and kills the programs of a soak test, and no other processes."""
 
 import asyncio
 import os
@@ -12,7 +12,7 @@
 
 
 class Node:
-    """One program of one machine."""
+    """One program on one machine."""
 
     def __init__(self, machine: Machine, role: str, folder: Path, core: list[Machine]) -> None:
         self.machine = machine
@@ -26,11 +26,11 @@
 
     @property
     def unreachable_hosts_file(self) -> Path:
-        """Lists the addresses that this machine cannot reach."""
+        """The file that lists the addresses this machine cannot reach."""
         return self._folder / f"{self.machine.name}.cut"
 
     async def start(self) -> None:
-        """Starts the program, on its earlier disk if it has one."""
+        """Starts the program, with the data directory of its previous start if there is one."""
         data = ""
         if self.role != "proxy":
             path = self._folder / f"{self.name}.data"
@@ -57,17 +57,17 @@
             )
 
     def send(self, number: signal.Signals) -> None:
-        """Sends a signal to the program, if it runs."""
+        """Sends a signal to the program if it is running."""
         if self._process is not None and self._process.returncode is None:
             self._process.send_signal(number)
 
     @property
     def exited_unexpectedly(self) -> bool:
-        """Whether the program ended though nobody killed it."""
+        """Whether the program exited without a call of `kill`."""
         return self._process is not None and self._process.returncode is not None
 
     async def kill(self) -> None:
-        """Kills the program and waits for its end."""
+        """Kills the program and waits until it has exited."""
         process, self._process = self._process, None
         if process is not None:
             if process.returncode is None:
@@ -76,7 +76,7 @@
 
 
 class Fleet:
-    """All programs; leaving the context ends every one of them."""
+    """All programs of the soak test; leaving the context kills every one of them."""
 
     def __init__(self, core: list[Machine], target_machines: list[Machine], folder: Path) -> None:
         self.stores = [Node(machine, "store", folder, core) for machine in core]
@@ -86,7 +86,7 @@
 
     @property
     def nodes(self) -> list[Node]:
-        """Every program."""
+        """All programs: stores, registries and proxies."""
         return [*self.stores, *self.registries, *self.proxies]
 
     async def __aenter__(self) -> "Fleet":
@@ -102,7 +102,7 @@
         return next(node.unreachable_hosts_file for node in self.nodes if node.machine.host == host)
 
     def set_partitioned(self, first_host: str, second_host: str, is_partitioned: bool) -> None:
-        """Cuts two addresses off from each other, or joins them again."""
+        """Partitions two addresses from each other, or reconnects them."""
         for source, destination in ((first_host, second_host), (second_host, first_host)):
             hosts = self._unreachable_hosts.setdefault(source, set())
             (hosts.add if is_partitioned else hosts.discard)(destination)
--- a/tools/soak/http_call.py
+++ b/tools/soak/http_call.py
@@ -1,4 +1,4 @@
-"""One HTTP call on a connection of its own, as plain as clients, targets and operators are."""
+"""One HTTP request on its own connection, as clients, targets and operators send it."""
 
 import asyncio
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 
 
 class HttpResponse(NamedTuple):
-    """An answer; status 0 if none came, or not a whole one."""
+    """An HTTP response; status 0 stands for a missing or malformed one."""
 
     status: int
     head: bytes
@@ -25,7 +25,7 @@
     body: bytes = b"",
     timeout_seconds: float = 1.0,
 ) -> HttpResponse:
-    """The answer to the call, or one with status 0."""
+    """Returns the response, or one with status 0 after an error or the timeout."""
     writer = None
     try:
         async with asyncio.timeout(timeout_seconds):
--- a/tools/soak/layout.py
+++ b/tools/soak/layout.py
@@ -1,4 +1,4 @@
-"""The machines of a soak: their addresses, config files and the configuration they serve."""
+"""The machines of a soak test: addresses, config files and the configuration they serve."""
 
 import os
 from pathlib import Path
@@ -21,7 +21,7 @@
 COLD_START_SECONDS = 3.0
 HEARTBEAT_INTERVAL_SECONDS = 1.5
 _COLD_START_REQUESTS_PER_SECOND = 6.0
-# By the bounds below: 1.5 times that and 5 more.
+# Follows from the bounds below: 1.5 times the cold start rate, plus a slack of 5.
 MAX_COLD_REQUESTS_PER_SECOND = 14
 _FIRST_PORT = 29000
 _BOUNDS_CONFIG = """
@@ -46,7 +46,7 @@
 
 
 class Machine(NamedTuple):
-    """A machine of the soak; one of the core has no service."""
+    """A machine of the soak test; `service` is empty for a core machine."""
 
     name: str
     host: str
@@ -55,23 +55,23 @@
 
     @property
     def control_port(self) -> int:
-        """The port for targets and operators."""
+        """The port for requests of targets and operators."""
         return _FIRST_PORT
 
     @property
     def outbound_port(self) -> int:
-        """The port for clients."""
+        """The port for requests of clients."""
         return _FIRST_PORT + 1
 
     @property
     def application_port(self) -> int:
-        """The port of the target."""
+        """The port on which the target listens."""
         return _FIRST_PORT + 2
 
 
 def make_machines() -> tuple[list[Machine], list[Machine]]:
-    """The core machines, and those with a target: one of each service in each zone."""
-    # Loopback addresses of this process alone, so that two soaks can run at once.
+    """Returns the core machines and the machines with a target, one per service and zone."""
+    # The process id selects the loopback addresses, so that two soak tests can run at once.
     network = f"127.{192 + os.getpid() // 250 % 60}.{1 + os.getpid() % 250}"
     core = [
         Machine(f"core-{number}", f"{network}.{10 + number}", zone, "")
@@ -88,7 +88,7 @@
 def write_config(
     path: Path, machine: Machine, core: list[Machine], data_directory: str, is_first: bool
 ) -> None:
-    """Writes the config file of one program of the machine; `data` is its folder, if any."""
+    """Writes the config file of one program; `data_directory` is empty for a proxy."""
     seeds = ",".join(f"{seed.host}:{seed.control_port}" for seed in core)
     lines = [
         f"node-name={machine.name}",
@@ -114,7 +114,7 @@
 
 
 def make_configuration(version: int) -> dict:
-    """A configuration with a route to read and one to write for each service."""
+    """Returns a configuration with a read-only and a mutating route for each service."""
     return {
         "config-version": version,
         "route-list": [
--- a/tools/soak/node.py
+++ b/tools/soak/node.py
@@ -1,6 +1,6 @@
-"""python3 -m tools.soak.node HOST CUT_FILE PROGRAM: one program on a loop that can be cut.
+"""python3 -m tools.soak.node HOST CUT_FILE PROGRAM: runs one program on a partitionable event loop.
 
-The cut file lists the addresses out of reach, one a line; it is read again and again.
+The cut file lists the unreachable addresses, one per line; it is polled for changes.
 """
 
 import asyncio
@@ -18,7 +18,7 @@
 
 
 class _PartitionableLoopPolicy(asyncio.DefaultEventLoopPolicy):
-    """Makes the loop of this process, and has it follow the cut file."""
+    """Creates event loops that apply each change of the cut file."""
 
     def __init__(self, host: str, path: Path) -> None:
         super().__init__()
--- a/tools/soak/partitionable_loop.py
+++ b/tools/soak/partitionable_loop.py
@@ -1,7 +1,7 @@
-"""An event loop whose connections to some addresses can be cut, as by a network partition.
+"""An event loop that simulates a network partition from chosen addresses.
 
-A cut holds bytes up and tells nobody: neither end reads, new connections hang, and
-datagrams are lost.  It must be set at both ends.  Only programs of a soak run on it.
+A partition blocks bytes without an error: neither end reads, new connections hang, and
+datagrams are dropped. It must be set at both ends. Only programs of a soak test use it.
 """
 
 import asyncio
@@ -12,18 +12,18 @@
 
 
 class PartitionableEventLoop(asyncio.SelectorEventLoop):
-    """Connects from the node's own address, so that both ends know each other by it."""
+    """Connects from the node's own address, so that each end identifies the other by it."""
 
     def __init__(self, own_host: str) -> None:
         super().__init__()
         self._own_host = own_host
         self._unreachable_hosts: frozenset[str] = frozenset()
         self._reachability_changed = asyncio.Event()
-        # Open connections to other nodes, each with what reads it.
+        # Open connections to other nodes, each with its peer's host and its file descriptor.
         self._transports: dict[asyncio.Transport, tuple[str, int]] = {}
 
     def set_unreachable_hosts(self, hosts: Iterable[str]) -> None:
-        """From now on exactly these addresses are out of reach."""
+        """Makes exactly these addresses unreachable from now on."""
         self._unreachable_hosts = frozenset(hosts)
         for transport, (host, descriptor) in list(self._transports.items()):
             if transport.is_closing():
@@ -39,7 +39,7 @@
         self._reachability_changed = asyncio.Event()
 
     async def create_connection(self, protocol_factory, host=None, port=None, **options):
-        """As the usual one, but it hangs while the address is cut off."""
+        """Connects as the base class does, but waits while the address is unreachable."""
         while host in self._unreachable_hosts:
             await self._reachability_changed.wait()
         options.setdefault("local_addr", (self._own_host, 0))
--- a/tools/soak/run.py
+++ b/tools/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: the whole mesh under random troubles, and what it came to."""
+"""One soak test: runs the whole mesh under random faults and checks its invariants."""
 
 import asyncio
 import random
@@ -16,16 +16,16 @@
 __all__ = ["Outcome", "soak"]
 
 _START_TIMEOUT_SECONDS = 30.0
-# How long after the last trouble everything must answer again.
+# Time after the last fault within which the mesh must serve requests again.
 _RECOVERY_TIMEOUT_SECONDS = 15.0
-# Log lines of the programs' own invariants.
+# Log events by which the programs report a violated invariant or a failed background task.
 _COLD_FLOOD_EVENT = '"event": "cold target flooded"'
 _TASK_FAILURE_EVENT = '"event": "background task failed"'
 
 
 @dataclass(frozen=True)
 class Outcome:
-    """What one seed came to; `violations` names each invariant that did not hold."""
+    """The result of one seed; `violations` describes each violated invariant."""
 
     seed: int
     seconds: float
@@ -38,12 +38,12 @@
     violations: tuple[str, ...]
 
     def as_dict(self) -> dict:
-        """For a report in JSON."""
+        """Returns the fields as a JSON object."""
         return asdict(self)
 
 
 async def soak(seed: int, seconds: float, requests_per_second: float) -> Outcome:
-    """Runs the mesh for so many seconds of troubles. Raises TimeoutError if it does not start."""
+    """Runs the mesh under faults for `seconds`. Raises TimeoutError if it does not start."""
     rng = random.Random(seed)
     core, target_machines = make_machines()
     executions: dict[str, int] = {}
@@ -115,7 +115,7 @@
 
 
 async def _check_recovery(operator: Operator, results: ClientResults) -> list[str]:
-    """After the troubles: what was acknowledged is there, and requests are served."""
+    """Checks that the acknowledged configuration is readable and that requests are served again."""
     violations = []
     deadline = time.monotonic() + _RECOVERY_TIMEOUT_SECONDS
     while (version := await operator.read_version()) < operator.acknowledged:
@@ -150,7 +150,7 @@
 
 
 def _check_logs(fleet: Fleet) -> list[str]:
-    """The programs' own invariants, as they logged them."""
+    """Returns violations that the programs logged themselves, the first of each event per log."""
     violations = []
     for node in fleet.nodes:
         text = node.log.read_text(errors="replace")
--- a/tools/soak/target.py
+++ b/tools/soak/target.py
@@ -1,4 +1,4 @@
-"""A stand-in target that keeps to the published protocol and records what it is sent."""
+"""A fake target that follows the published protocol and records the requests it receives."""
 
 import asyncio
 import itertools
@@ -18,25 +18,25 @@
 
 _CAPACITY_SLOTS = 8
 _INSTANCE_NUMBERS = itertools.count(1)
-# A heartbeat may come late by so many seconds, and some do.
+# Some heartbeats are delayed by a random time of up to this length.
 _MAX_HEARTBEAT_DELAY_SECONDS = 2.0
 _DELAYED_HEARTBEAT_RATIO = 0.2
 
 
 class Target:
-    """The target of one machine, life after life.
+    """The target of one machine, with a new instance id after each start.
 
     All times are seconds of the monotonic clock.
     """
 
     def __init__(self, machine: Machine, executions: dict[str, int], rng: random.Random) -> None:
         self.machine = machine
-        # How often each request ran, over all targets.
+        # Number of executions of each request, over all targets.
         self._executions = executions
         self._rng = rng
         self.instance = ""
         self.cold_until = 0.0
-        # The largest number of requests in one second of each cold time.
+        # The largest number of requests within one second while the target was cold.
         self.peak_cold_requests_per_second = 0
         self.lost_response_ratio = 0.0
         self._arrival_times: list[float] = []
@@ -48,7 +48,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def start(self, is_cold: bool) -> None:
-        """Begins a life, unless one goes on; `is_cold` if it starts while there is traffic."""
+        """Starts a new instance unless one is running; `is_cold` if it starts under traffic."""
         if self._server is not None:
             return
         self.instance = f"i-{next(_INSTANCE_NUMBERS)}"
@@ -62,7 +62,7 @@
             self.go_cold()
 
     async def crash(self) -> None:
-        """Ends without a word."""
+        """Closes the listener and aborts all connections, without withdrawing the target."""
         server, self._server = self._server, None
         if server is not None:
             server.close()
@@ -70,7 +70,7 @@
             writer.transport.abort()
 
     def go_cold(self) -> None:
-        """Is cold from now on, and says so at once."""
+        """Becomes cold and starts a heartbeat that reports it."""
         now = time.monotonic()
         if now > self.cold_until:
             self._cold_since = now
@@ -78,7 +78,7 @@
         self._spawn(self._send_heartbeat())
 
     async def run(self) -> None:
-        """Sends heartbeats for ever."""
+        """Sends heartbeats until cancelled."""
         while True:
             if self._server is not None:
                 self._spawn(self._send_heartbeat())
@@ -130,7 +130,7 @@
             writer.close()
 
     async def _answer(self, path: str, headers: dict[str, str]) -> bytes | None:
-        """The answer, or None if it is lost."""
+        """Returns the response, or None if it is to be lost."""
         if path == "/health":
             return (
                 f"HTTP/1.1 200 OK\r\nInstance-Id: {self.instance}\r\n"
@@ -173,5 +173,5 @@
 
     @property
     def exceeded_cold_limit(self) -> bool:
-        """Whether a second of a cold time held more requests than the target bears."""
+        """Whether the target got more requests within a second than allowed while cold."""
         return self.peak_cold_requests_per_second > MAX_COLD_REQUESTS_PER_SECOND
--- a/tools/soak/traffic.py
+++ b/tools/soak/traffic.py
@@ -1,4 +1,4 @@
-"""The clients and the operator of a soak, and what they were told."""
+"""The clients and the operator of a soak test, and the responses they received."""
 
 import asyncio
 import itertools
@@ -18,19 +18,20 @@
 
 @dataclass
 class ClientResults:
-    """What clients were told, by the ids of their requests."""
+    """Counts of requests, and attempt ids by the response that clients received."""
 
     sent: int = 0
     served: int = 0
-    # Requests of routes that must not run twice, and those promised not to run at all.
+    # Requests of mutating routes, which must not run twice, and requests whose response
+    # status promises that they were not executed.
     mutating: set[str] = field(default_factory=set)
     reported_unexecuted: set[str] = field(default_factory=set)
-    # Successes that were not the target's own whole answer to that request.
+    # Requests with a success status but not the complete response of the target.
     mismatched: list[str] = field(default_factory=list)
 
 
 class Clients:
-    """Ask at random machines, one request after the other at a given rate."""
+    """Send requests to random machines at a given mean rate."""
 
     def __init__(
         self, target_machines: list[Machine], requests_per_second: float, rng: random.Random
@@ -43,7 +44,7 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def run(self) -> None:
-        """Asks for ever."""
+        """Sends requests until cancelled."""
         while True:
             task = asyncio.get_running_loop().create_task(self._send_request())
             self._tasks.add(task)
@@ -51,7 +52,7 @@
             await asyncio.sleep(self._rng.expovariate(self._requests_per_second))
 
     async def finish(self) -> None:
-        """Waits for the answers that are still to come."""
+        """Waits for all outstanding responses."""
         await asyncio.gather(*self._tasks)
 
     async def _send_request(self) -> None:
@@ -82,7 +83,7 @@
 
 
 class Operator:
-    """Changes the configuration and empties zones, whose targets go cold meanwhile."""
+    """Changes the configuration and evacuates zones, whose targets become cold meanwhile."""
 
     def __init__(self, core: list[Machine], targets: list[Target], rng: random.Random) -> None:
         self.acknowledged = 0
@@ -93,7 +94,7 @@
         self._versions = itertools.count(1)
 
     async def change(self) -> bool:
-        """Sends the next version until it is acknowledged or was tried at all machines twice."""
+        """Sends the next version to each core machine up to twice, until it is acknowledged."""
         version = next(self._versions)
         body = json.dumps(make_configuration(version)).encode()
         for machine in self._rng.sample(self._core, len(self._core)) * 2:
@@ -105,18 +106,18 @@
         return False
 
     async def change_continuously(self) -> None:
-        """A change every second or two."""
+        """Sends a change every 1 to 2 seconds until cancelled."""
         while True:
             await asyncio.sleep(self._rng.uniform(1.0, 2.0))
             await self.change()
 
     async def evacuate_continuously(self) -> None:
-        """One zone after the other is emptied and taken back."""
+        """Evacuates random zones one after the other, and ends each evacuation again."""
         while True:
             zone = self._rng.choice(ZONES)
             if await self._send_evacuation("PUT", zone):
                 await asyncio.sleep(self._rng.uniform(0.5, 2.5))
-                # Cold shortly before the zone is taken back.
+                # Targets become cold shortly before the evacuation ends.
                 for target in self._targets:
                     if target.machine.zone == zone:
                         target.go_cold()
@@ -135,7 +136,7 @@
         return False
 
     async def read_version(self) -> int:
-        """The newest version that a registry shows, 0 if none answers."""
+        """Returns the version shown by the first registry that responds, or 0 if none does."""
         for machine in self._core:
             answer = await send_request(
                 (machine.host, machine.control_port), "GET", "/mesh/configuration"
