--- a/tools/soak/fleet.py
+++ b/tools/soak/fleet.py
@@ -1,4 +1,4 @@
-"""Starts, cuts, pauses and kills the programs of a soak; only processes of its own."""
+"""Starts, partitions, signals and kills the programs of a soak test, and no other processes."""
 
 import asyncio
 import os
@@ -12,7 +12,7 @@
 
 
 class Node:
-    """One program of one machine."""
+    """One program on one machine."""
 
     def __init__(self, machine: Machine, role: str, folder: Path, core: list[Machine]) -> None:
         self.machine = machine
@@ -25,12 +25,12 @@
         self._starts = 0
 
     @property
-    def cut_file(self) -> Path:
-        """Lists the addresses that this machine cannot reach."""
+    def unreachable_hosts_file(self) -> Path:
+        """The file that lists the addresses this machine cannot reach."""
         return self._folder / f"{self.machine.name}.cut"
 
     async def start(self) -> None:
-        """Starts the program, on its earlier disk if it has one."""
+        """Starts the program, with the data directory of its previous start if there is one."""
         data = ""
         if self.role != "proxy":
             path = self._folder / f"{self.name}.data"
@@ -45,7 +45,7 @@
                 "-m",
                 "tools.soak.node",
                 self.machine.host,
-                str(self.cut_file),
+                str(self.unreachable_hosts_file),
                 self.role,
                 stdout=log,
                 stderr=log,
@@ -56,18 +56,18 @@
                 },
             )
 
-    def send(self, number: signal.Signals) -> None:
-        """Sends a signal to the program, if it runs."""
+    def send_signal(self, signal_number: signal.Signals) -> None:
+        """Sends a signal to the program if it is running."""
         if self._process is not None and self._process.returncode is None:
-            self._process.send_signal(number)
+            self._process.send_signal(signal_number)
 
     @property
-    def has_ended_by_itself(self) -> bool:
-        """Whether the program ended though nobody killed it."""
+    def exited_unexpectedly(self) -> bool:
+        """Whether the program exited without a call of `kill`."""
         return self._process is not None and self._process.returncode is not None
 
     async def kill(self) -> None:
-        """Kills the program and waits for its end."""
+        """Kills the program and waits until it has exited."""
         process, self._process = self._process, None
         if process is not None:
             if process.returncode is None:
@@ -76,17 +76,17 @@
 
 
 class Fleet:
-    """All programs; leaving the context ends every one of them."""
+    """All programs of the soak test; leaving the context kills every one of them."""
 
-    def __init__(self, core: list[Machine], sides: list[Machine], folder: Path) -> None:
+    def __init__(self, core: list[Machine], target_machines: list[Machine], folder: Path) -> None:
         self.stores = [Node(machine, "store", folder, core) for machine in core]
         self.registries = [Node(machine, "registry", folder, core) for machine in core]
-        self.proxies = [Node(machine, "proxy", folder, core) for machine in sides]
-        self._cuts: dict[str, set[str]] = {}
+        self.proxies = [Node(machine, "proxy", folder, core) for machine in target_machines]
+        self._unreachable_hosts: dict[str, set[str]] = {}
 
     @property
     def nodes(self) -> list[Node]:
-        """Every program."""
+        """All programs: stores, registries and proxies."""
         return [*self.stores, *self.registries, *self.proxies]
 
     async def __aenter__(self) -> "Fleet":
@@ -98,12 +98,12 @@
         for node in self.nodes:
             await node.kill()
 
-    def _cut_file(self, host: str) -> Path:
-        return next(node.cut_file for node in self.nodes if node.machine.host == host)
+    def _unreachable_hosts_file(self, host: str) -> Path:
+        return next(node.unreachable_hosts_file for node in self.nodes if node.machine.host == host)
 
-    def cut(self, one: str, other: str, is_cut: bool) -> None:
-        """Cuts two addresses off from each other, or joins them again."""
-        for near, far in ((one, other), (other, one)):
-            hosts = self._cuts.setdefault(near, set())
-            (hosts.add if is_cut else hosts.discard)(far)
-            self._cut_file(near).write_text("\n".join(sorted(hosts)))
+    def set_partitioned(self, first_host: str, second_host: str, is_partitioned: bool) -> None:
+        """Partitions two addresses from each other, or reconnects them."""
+        for source, destination in ((first_host, second_host), (second_host, first_host)):
+            hosts = self._unreachable_hosts.setdefault(source, set())
+            (hosts.add if is_partitioned else hosts.discard)(destination)
+            self._unreachable_hosts_file(source).write_text("\n".join(sorted(hosts)))
--- a/tools/soak/layout.py
+++ b/tools/soak/layout.py
@@ -1,13 +1,13 @@
-"""The machines of a soak: their addresses, config files and the configuration they serve."""
+"""The machines of a soak test: addresses, config files and the configuration they serve."""
 
 import os
 from pathlib import Path
 from typing import NamedTuple
 
 __all__ = [
-    "BEAT_SECONDS",
-    "COLD_ALLOWED",
-    "COLD_SECONDS",
+    "COLD_START_SECONDS",
+    "HEARTBEAT_INTERVAL_SECONDS",
+    "MAX_COLD_REQUESTS_PER_SECOND",
     "SERVICES",
     "ZONES",
     "Machine",
@@ -18,13 +18,13 @@
 
 ZONES = ("hall-a", "hall-b", "hall-c")
 SERVICES = ("quotes", "orders")
-COLD_SECONDS = 3.0
-BEAT_SECONDS = 1.5
-_COLD_PER_SECOND = 6.0
-# By the bounds below: 1.5 times that and 5 more.
-COLD_ALLOWED = 14
+COLD_START_SECONDS = 3.0
+HEARTBEAT_INTERVAL_SECONDS = 1.5
+_COLD_START_REQUESTS_PER_SECOND = 6.0
+# Follows from the bounds below: 1.5 times the cold start rate, plus a slack of 5.
+MAX_COLD_REQUESTS_PER_SECOND = 14
 _FIRST_PORT = 29000
-_BOUNDS = """
+_BOUNDS_CONFIG = """
 bounds.contact-window-ms=3000
 bounds.ack-timeout-ms=4000
 bounds.catch-up-s=4
@@ -46,7 +46,7 @@
 
 
 class Machine(NamedTuple):
-    """A machine of the soak; one of the core has no service."""
+    """A machine of the soak test; `service` is empty for a core machine."""
 
     name: str
     host: str
@@ -54,42 +54,42 @@
     service: str
 
     @property
-    def control(self) -> int:
-        """The port for targets and operators."""
+    def control_port(self) -> int:
+        """The port for requests of targets and operators."""
         return _FIRST_PORT
 
     @property
-    def outbound(self) -> int:
-        """The port for clients."""
+    def outbound_port(self) -> int:
+        """The port for requests of clients."""
         return _FIRST_PORT + 1
 
     @property
-    def application(self) -> int:
-        """The port of the target."""
+    def application_port(self) -> int:
+        """The port on which the target listens."""
         return _FIRST_PORT + 2
 
 
 def make_machines() -> tuple[list[Machine], list[Machine]]:
-    """The core machines, and those with a target: one of each service in each zone."""
-    # Loopback addresses of this process alone, so that two soaks can run at once.
+    """Returns the core machines and the machines with a target, one per service and zone."""
+    # The process id selects the loopback addresses, so that two soak tests can run at once.
     network = f"127.{192 + os.getpid() // 250 % 60}.{1 + os.getpid() % 250}"
     core = [
         Machine(f"core-{number}", f"{network}.{10 + number}", zone, "")
         for number, zone in enumerate(ZONES)
     ]
-    sides = [
+    target_machines = [
         Machine(f"side-{service}-{zone}", f"{network}.{20 + 10 * kind + number}", zone, service)
         for kind, service in enumerate(SERVICES)
         for number, zone in enumerate(ZONES)
     ]
-    return core, sides
+    return core, target_machines
 
 
 def write_config(
-    path: Path, machine: Machine, core: list[Machine], data: str, is_first: bool
+    path: Path, machine: Machine, core: list[Machine], data_directory: str, is_first: bool
 ) -> None:
-    """Writes the config file of one program of the machine; `data` is its folder, if any."""
-    seeds = ",".join(f"{seed.host}:{seed.control}" for seed in core)
+    """Writes the config file of one program; `data_directory` is empty for a proxy."""
+    seeds = ",".join(f"{seed.host}:{seed.control_port}" for seed in core)
     lines = [
         f"node-name={machine.name}",
         f"zone={machine.zone}",
@@ -99,22 +99,22 @@
         f"internal-port-range={_FIRST_PORT + 4},{_FIRST_PORT + 12}",
         f"seed-nodes={seeds}",
         f"initial-start={str(is_first).lower()}",
-        f"listen-addresses.control-plane={machine.host}:{machine.control}",
+        f"listen-addresses.control-plane={machine.host}:{machine.control_port}",
     ]
-    if data:
-        lines.append(f"data-directory={data}")
+    if data_directory:
+        lines.append(f"data-directory={data_directory}")
     if machine.service:
         lines += [
-            f"listen-addresses.outbound={machine.host}:{machine.outbound}",
+            f"listen-addresses.outbound={machine.host}:{machine.outbound_port}",
             f"listen-addresses.readiness={machine.host}:{_FIRST_PORT + 3}",
-            f"app-address={machine.host}:{machine.application}",
+            f"app-address={machine.host}:{machine.application_port}",
             f"upstream={machine.service}",
         ]
-    path.write_text("\n".join(lines) + _BOUNDS)
+    path.write_text("\n".join(lines) + _BOUNDS_CONFIG)
 
 
 def make_configuration(version: int) -> dict:
-    """A configuration with a route to read and one to write for each service."""
+    """Returns a configuration with a read-only and a mutating route for each service."""
     return {
         "config-version": version,
         "route-list": [
@@ -136,8 +136,8 @@
                 "name": service,
                 "health-check-path": "/health",
                 "max-connections": 100,
-                "cold-start-s": COLD_SECONDS,
-                "coldstart-per-s": _COLD_PER_SECOND,
+                "cold-start-s": COLD_START_SECONDS,
+                "coldstart-per-s": _COLD_START_REQUESTS_PER_SECOND,
             }
             for service in SERVICES
         ],
